--- a/benchmarks/control_bytes.py
+++ b/benchmarks/control_bytes.py
@@ -166,7 +166,7 @@
         near = [
             address
             for address, node in self.nodes.items()
-            if node.core.router_table.me.failure_domain == domain
+            if node.core.router_table.own_record.failure_domain == domain
         ]
         interval_s = 2.0
         if near:
@@ -228,7 +228,7 @@
         """Return the age of the load of each near target at each router."""
         ages = []
         for node in self.nodes.values():
-            domain = node.core.router_table.me.failure_domain
+            domain = node.core.router_table.own_record.failure_domain
             views = node.core.targets(self.now_s)
             ages += [view.report_age_s for view in views if view.failure_domain == domain]
         return ages
--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -44,7 +44,7 @@
         core.announce(announcement(f"target-{index:05d}", domain=domain, lease_s=60.0), 0.0)
     size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    print(f"{len(core.routers())} routers, {len(core.target_table.held)} targets")
+    print(f"{len(core.routers())} routers, {len(core.target_table.live)} targets")
     print(f"  memory {size_bytes / 1e6:.1f} MB")
     started_s = time.process_time()
     for step in range(1, 101):
--- a/packages/control/src/damaskwind/control/fleet/heard_targets.py
+++ b/packages/control/src/damaskwind/control/fleet/heard_targets.py
@@ -1,6 +1,6 @@
 """Know which targets were heard lately, here or at routers, and which were not by anybody."""
 
-from damaskwind.decisions.membership.target_table import Silence, TargetTable
+from damaskwind.decisions.membership.target_table import SilentTargets, TargetTable
 from damaskwind.runtime.clock import read_clock
 from damaskwind.wire.news import Heard, HeardOthers
 
@@ -22,7 +22,7 @@
         self._table = table
         self._here: dict[str, float] = {}
         self._at_routers: dict[str, float] = {}
-        self._silence = Silence((), 0.0)
+        self._silence = SilentTargets((), 0.0)
         self._silence_s = float("-inf")
 
     @property
@@ -56,7 +56,7 @@
         """Return how all targets stand, but for those that nobody has heard lately."""
         now_s = read_clock()
         silence = self._silence_at(now_s)
-        age_s = round(now_s - silence.others_heard_s, 2)
+        age_s = round(now_s - silence.others_seen_s, 2)
         return HeardOthers(self._table.digest, age_s, silence.target_ids)
 
     def listed(self, is_router: bool) -> tuple[Heard, ...]:
@@ -68,11 +68,11 @@
         self._forget_unheard(now_s)
         heard = self._at_routers | self._here if is_router else self._here
         return tuple(
-            Heard(key, round(now_s - at, 2), (self._table.life_of(key) or (0, 0))[1])
+            Heard(key, round(now_s - at, 2), (self._table.incarnation_of(key) or (0, 0))[1])
             for key, at in heard.items()
         )
 
-    def _silence_at(self, now_s: float) -> Silence:
+    def _silence_at(self, now_s: float) -> SilentTargets:
         """Return who is silent, as it was looked up lately."""
         if now_s - self._silence_s > SILENCE_EVERY_S:
             self._forget_unheard(now_s)
--- a/packages/control/src/damaskwind/control/fleet/news_board.py
+++ b/packages/control/src/damaskwind/control/fleet/news_board.py
@@ -12,7 +12,7 @@
 from damaskwind.decisions.fatal_requests.suspicion import Suspicion, SuspicionTable
 from damaskwind.decisions.following.reading_places import PassingPlace
 from damaskwind.decisions.load.held_sums import HeldSum, HeldSums
-from damaskwind.decisions.membership.report_places import ReportPlaces
+from damaskwind.decisions.membership.report_assignment import ReportAssignment
 from damaskwind.decisions.membership.target_record import TargetRecord
 from damaskwind.decisions.membership.target_table import Changes, TargetTable
 from damaskwind.model.evacuations import Evacuations
@@ -95,7 +95,7 @@
         # Takes so many bytes of what the link has for news, if nothing waits there.
         self.take_room: Callable[[int], bool] = lambda size_bytes: True
         self._heard = HeardTargets(self.table)
-        self._report_places = ReportPlaces()
+        self._report_assignment = ReportAssignment()
         self._random = Random(secrets.randbits(64))
         self._subscriptions: dict[str, _Subscription] = {}
         self._routers: list[str] = []
@@ -126,9 +126,9 @@
     def merge(self, records: Iterable[TargetRecord], heard: Iterable[Heard]) -> None:
         """Take what another replica knows."""
         now_s = read_clock()
-        changed = [self.table.take(record, now_s) for record in records]
+        changed = [self.table.merge(record, now_s) for record in records]
         for target_id, age_s, born_ms in heard:
-            self.table.hear(target_id, now_s - age_s, born_ms)
+            self.table.mark_seen(target_id, now_s - age_s, born_ms)
         if any(changed):
             self._note_change()
 
@@ -239,7 +239,7 @@
 
     def report_place(self) -> str | None:
         """Return the host of a router at which a target may report, if it had better not here."""
-        place = self._report_places.choose(self._heard.here, len(self._routers))
+        place = self._report_assignment.choose(self._heard.here, len(self._routers))
         if place is None:
             return None
         return self._subscriptions[self._routers[place]].passes_on.host or None
@@ -323,7 +323,9 @@
         """
         now_s = read_clock()
         changes = self._changes_for(request, has_room)
-        changes = changes._replace(records=self.table.as_of(changes.records, now_s))
+        changes = changes._replace(
+            records=self.table.with_remaining_cold_time(changes.records, now_s)
+        )
         suspicions, suspicions_revision = self.suspicions.changed_since(
             request.suspicions_seen if self.knows(request) else 0, SUSPICIONS_AT_ONCE, now_s
         )
@@ -370,7 +372,7 @@
             return self.table.changed_since(revision)
         if not self._tells_changes(request):
             return Changes((), revision)
-        changes = self.table.changes_for(revision, RECORDS_AT_ONCE)
+        changes = self.table.compact_changes_since(revision, RECORDS_AT_ONCE)
         return changes if has_room or len(changes.records) <= FEW_RECORDS else Changes((), revision)
 
     def _tells_silence(self, subscription: _Subscription | None, now_s: float) -> bool:
--- a/packages/decisions/src/damaskwind/decisions/membership/core.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/core.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable
 from random import Random
 
-from damaskwind.decisions.membership.announcing import AnnouncementPace
+from damaskwind.decisions.membership.announcing import AnnouncementScheduler
 from damaskwind.decisions.membership.handlers import HANDLERS
-from damaskwind.decisions.membership.held import MAX_LEASE_S
+from damaskwind.decisions.membership.live_target import MAX_LEASE_S
 from damaskwind.decisions.membership.messages import (
     GoneReason,
     Message,
@@ -25,7 +25,7 @@
     TargetGone,
 )
 from damaskwind.decisions.membership.parameters import MembershipParameters
-from damaskwind.decisions.membership.rumours import news_of
+from damaskwind.decisions.membership.rumours import group_updates
 from damaskwind.decisions.membership.sizes import RECORD_LIMIT_BYTES, estimate_bytes
 from damaskwind.decisions.membership.state import MembershipState
 from damaskwind.decisions.membership.targets import MergeOutcome
@@ -41,8 +41,8 @@
 
 __all__ = ["MembershipCore"]
 
-_ALWAYS_ROOM = 1 << 30
-_UPKEEP_S = 60.0
+_UNLIMITED_BYTES = 1 << 30
+_MAINTENANCE_INTERVAL_S = 60.0
 _LEAVING_STATES = (TargetState.LEAVING, TargetState.LAPSED)
 
 
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        me: RouterRecord,
+        own_record: RouterRecord,
         seeds: tuple[Address, ...],
         random: Random,
         now_s: float,
@@ -59,17 +59,19 @@
         near_domains: Iterable[str] = (),
     ) -> None:
         self.parameters = parameters or MembershipParameters()
-        self.seeds = tuple(seed for seed in seeds if seed != me.address)
+        self.seeds = tuple(seed for seed in seeds if seed != own_record.address)
         self.suspicions = 0
-        self._state = MembershipState(me, random, now_s, self.parameters, frozenset(near_domains))
+        self._state = MembershipState(
+            own_record, random, now_s, self.parameters, frozenset(near_domains)
+        )
         self.router_table = self._state.routers
         self.target_table = self._state.targets
         self._prober = self._state.prober
         self._gossip = self._state.gossip
-        self._announcements = AnnouncementPace(
+        self._announcements = AnnouncementScheduler(
             self.parameters.announcement_share * self.parameters.control_bytes_per_s, now_s
         )
-        self._next_upkeep_s = now_s + _UPKEEP_S
+        self._next_maintenance_s = now_s + _MAINTENANCE_INTERVAL_S
         self._left = False
         self._started_s = now_s
         self.target_table.lease_floor_s = self._lease_floor_s()
@@ -86,12 +88,12 @@
     ) -> tuple[AnnouncementOutcome, Output]:
         """Take a target's announcement."""
         self._state.advance(now_s)
-        self._announcements.heard(self.now_s)
+        self._announcements.record_announcement(self.now_s)
         target_id = announcement.target_id
         if announcement.state in _LEAVING_STATES:
             tombstone = self.target_table.announce_leave(announcement, self.now_s)
             if tombstone is not None:
-                self._state.take_leave(tombstone)
+                self._state.publish_leave(tombstone)
             accepted = tombstone is not None
         elif estimate_bytes(announcement) > RECORD_LIMIT_BYTES:
             known = self.target_table.known_incarnation(target_id)
@@ -100,50 +102,52 @@
             returns = self._state.would_return(target_id, announcement.incarnation)
             outcome = self.target_table.announce(announcement, self.now_s)
             accepted = outcome not in (MergeOutcome.STALE, MergeOutcome.TOMBSTONED)
-            self._state.after_target(target_id, outcome, returns, pass_on=True)
+            self._state.publish_target(target_id, outcome, returns, forward=True)
         known = self.target_table.known_incarnation(target_id)
         return AnnouncementOutcome(accepted, known), self._state.take_output()
 
     def next_announcement_s(self, lease_s: float) -> float:
         """Return when a target should announce itself again.
 
-        See `AnnouncementPace`.
+        See `AnnouncementScheduler`.
         """
         self._announcements.bytes_per_s = self._announcement_bytes_per_s()
-        return self._announcements.next_s(lease_s, self._near_targets_per_router(), self.now_s)
+        return self._announcements.next_interval_s(
+            lease_s, self._local_targets_per_router(), self.now_s
+        )
 
     def _announcement_bytes_per_s(self) -> float:
         """Return what announcements may take of the budget."""
         parameters = self.parameters
-        large = self._near_members() > parameters.small_domain_members
+        large = self._local_members() > parameters.small_domain_members
         share = parameters.large_announcement_share if large else parameters.announcement_share
         return share * parameters.control_bytes_per_s
 
-    def _near_members(self) -> int:
+    def _local_members(self) -> int:
         """Return how many routers and targets of the own domain there are."""
-        return self._near_targets() + self._near_routers()
+        return self._local_targets() + self._local_routers()
 
-    def _near_targets(self) -> int:
+    def _local_targets(self) -> int:
         """Return how many targets of the own domain are held."""
-        domain = self.router_table.me.failure_domain
-        held = self.target_table.held.values()
+        domain = self.router_table.own_record.failure_domain
+        held = self.target_table.live.values()
         return sum(target.record.failure_domain == domain for target in held)
 
-    def _near_routers(self) -> int:
+    def _local_routers(self) -> int:
         """Return how many routers of the own domain live, this one among them."""
-        return max(len(self.router_table.ring(self.router_table.me.failure_domain)), 1)
+        return max(len(self.router_table.ring(self.router_table.own_record.failure_domain)), 1)
 
-    def _near_targets_per_router(self) -> float:
+    def _local_targets_per_router(self) -> float:
         """Return how many targets of the own domain there are for each router."""
-        return self._near_targets() / self._near_routers()
+        return self._local_targets() / self._local_routers()
 
     def _lease_floor_s(self) -> float:
         """Return the shortest lease that the gossip can keep up now."""
         self._announcements.bytes_per_s = self._announcement_bytes_per_s()
-        large = self._near_members() > self.parameters.small_domain_members
+        large = self._local_members() > self.parameters.small_domain_members
         if large and self.now_s < self._started_s + self.parameters.warm_up_s:
             return MAX_LEASE_S
-        by_budget_s = self._announcements.lease_floor_s(self._near_targets_per_router())
+        by_budget_s = self._announcements.lease_floor_s(self._local_targets_per_router())
         by_gap_s = self.parameters.gaps_per_lease * self.target_table.renewal_gap_s
         return min(max(by_budget_s, by_gap_s), MAX_LEASE_S)
 
@@ -165,7 +169,7 @@
         """Say good-bye; the core sends nothing afterwards."""
         self._state.advance(now_s)
         peers = self._gossip.flood_peers()
-        news = news_of([self.router_table.leave(self.now_s)])
+        news = group_updates([self.router_table.leave(self.now_s)])
         for router_id in peers:
             self._state.send_to(router_id, news, Urgency.LEAVE)
         self._left = True
@@ -180,40 +184,40 @@
         source: Address,
         message: Message,
         now_s: float,
-        room_bytes: int = _ALWAYS_ROOM,
+        available_bytes: int = _UNLIMITED_BYTES,
     ) -> Output:
         """Take an authenticated message from another router."""
         self._state.advance(now_s)
         handler = HANDLERS.get(type(message))
-        if self._left or handler is None or sender_id == self.router_table.me.router_id:
+        if self._left or handler is None or sender_id == self.router_table.own_record.router_id:
             return self._state.take_output()
-        self._gossip.room_bytes = room_bytes
+        self._gossip.available_bytes = available_bytes
         sender = self._state.sender_record(sender_id, sender_incarnation)
-        domain = self.router_table.me.failure_domain
-        self._state.sender_is_near = sender is not None and sender.failure_domain == domain
+        domain = self.router_table.own_record.failure_domain
+        self._state.sender_is_local = sender is not None and sender.failure_domain == domain
         handler(self._state, sender, source, message, self.now_s)
         return self._state.take_output()
 
-    def tick(self, now_s: float, room_bytes: int = _ALWAYS_ROOM) -> Output:
+    def tick(self, now_s: float, available_bytes: int = _UNLIMITED_BYTES) -> Output:
         """Do what time asks for; call it about ten times a second."""
         self._state.advance(now_s)
         if self._left:
             return self._state.take_output()
-        self._gossip.room_bytes = room_bytes
+        self._gossip.available_bytes = available_bytes
         self._check_probes()
-        for tombstone in self.target_table.lapse(self.now_s):
+        for tombstone in self.target_table.expire_leases(self.now_s):
             self._state.events.append(TargetGone(tombstone.target_id, GoneReason.LAPSED))
         for target_id in self._state.damper.release(self.now_s):
-            self._state.tell_target(target_id)
+            self._state.emit_target_changed(target_id)
         if self._prober.start_round(self.now_s):
             self.target_table.lease_floor_s = self._lease_floor_s()
-            self._state.sends += self._gossip.round(self.seeds, self.now_s)
+            self._state.sends += self._gossip.probe_round(self.seeds, self.now_s)
         self._state.sends += self._gossip.flood(self.now_s)
         self._state.sends += self._gossip.flood_notes(self.now_s)
-        self._upkeep()
+        self._run_maintenance()
         return self._state.take_output()
 
-    def dropped(self, send: Send) -> None:
+    def handle_dropped(self, send: Send) -> None:
         """Hear from the pacer that a send never left."""
         if isinstance(send.message, Probe):
             self._prober.cancel(send.message.nonce)
@@ -227,28 +231,28 @@
         self._state.advance(now_s)
         return [
             self.target_table.view(target_id, self.now_s)
-            for target_id in self.target_table.held
-            if not self._state.damper.suppressed(target_id, self.now_s)
+            for target_id in self.target_table.live
+            if not self._state.damper.is_suppressed(target_id, self.now_s)
         ]
 
     def _check_probes(self) -> None:
         """Ask others about late probes, suspect failed ones, give up old suspects."""
         parameters = self.parameters
-        for nonce, router_id in self._prober.late(parameters.probe_timeout_s, self.now_s):
-            self._state.sends += self._gossip.ask_others(nonce, router_id)
-        for router_id in self._prober.failed(parameters.indirect_timeout_s, self.now_s):
+        for nonce, router_id in self._prober.take_late(parameters.probe_timeout_s, self.now_s):
+            self._state.sends += self._gossip.request_indirect_probes(nonce, router_id)
+        for router_id in self._prober.take_failed(parameters.indirect_timeout_s, self.now_s):
             record = self.router_table.get(router_id)
             if record is not None and record.state == RouterState.ALIVE:
                 self.suspicions += 1
-                self._state.merge_router(record._replace(state=RouterState.SUSPECT), pass_on=True)
+                self._state.merge_router(record._replace(state=RouterState.SUSPECT), forward=True)
         for record in self.router_table.suspects_since(self.now_s - parameters.suspicion_s):
-            self._state.merge_router(record._replace(state=RouterState.DEAD), pass_on=True)
+            self._state.merge_router(record._replace(state=RouterState.DEAD), forward=True)
 
-    def _upkeep(self) -> None:
+    def _run_maintenance(self) -> None:
         """Forget what has served its time."""
-        if self.now_s < self._next_upkeep_s:
+        if self.now_s < self._next_maintenance_s:
             return
-        self._next_upkeep_s = self.now_s + _UPKEEP_S
+        self._next_maintenance_s = self.now_s + _MAINTENANCE_INTERVAL_S
         self.target_table.tombstones.expire(self.now_s)
         self.router_table.forget(self.now_s)
         self._gossip.spills.forget(self.now_s)
--- a/packages/decisions/src/damaskwind/decisions/membership/damping.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/damping.py
@@ -6,9 +6,9 @@
 never held back, and a target keeps its id and so its place in the placement.
 
 >>> damper = FlapDamper()
->>> [damper.note_return("a", now_s) for now_s in (0.0, 1.0, 2.0)]
+>>> [damper.record_return("a", now_s) for now_s in (0.0, 1.0, 2.0)]
 [False, False, True]
->>> damper.suppressed("a", 10.0), damper.suppressed("a", 60.0)
+>>> damper.is_suppressed("a", 10.0), damper.is_suppressed("a", 60.0)
 (True, False)
 """
 
@@ -27,7 +27,7 @@
         self._penalties: dict[str, tuple[float, float]] = {}
         self._suppressed: set[str] = set()
 
-    def note_return(self, target_id: str, now_s: float) -> bool:
+    def record_return(self, target_id: str, now_s: float) -> bool:
         """Count a return; tell whether the target is held back now."""
         penalty = self._penalty(target_id, now_s) + 1.0
         self._penalties[target_id] = (penalty, now_s)
@@ -35,7 +35,7 @@
             self._suppressed.add(target_id)
         return target_id in self._suppressed
 
-    def suppressed(self, target_id: str, now_s: float) -> bool:
+    def is_suppressed(self, target_id: str, now_s: float) -> bool:
         """Tell whether the target is held back, and end that when it is time."""
         if target_id not in self._suppressed:
             return False
--- a/packages/decisions/src/damaskwind/decisions/membership/digests.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/digests.py
@@ -16,7 +16,7 @@
     "BUCKETS",
     "DigestTable",
     "Member",
-    "fold",
+    "combine_digests",
     "pack_keys",
     "unpack_keys",
     "pack_entries",
@@ -29,8 +29,8 @@
 
 BUCKETS = 16
 _ENTRY = struct.Struct(">II")
-_WORD = struct.Struct(">I")
-_ALL = struct.Struct(f">{BUCKETS}I")
+_KEY = struct.Struct(">I")
+_BUCKET_DIGESTS = struct.Struct(f">{BUCKETS}I")
 
 
 class Member(NamedTuple):
@@ -77,7 +77,7 @@
     return xxhash.xxh32_intdigest(repr(parts).encode())
 
 
-def fold(digests: bytes) -> bytes:
+def combine_digests(digests: bytes) -> bytes:
     """Return four bytes that stand for the digests of all buckets."""
     return xxhash.xxh32_digest(digests)
 
@@ -95,13 +95,13 @@
 
 def pack_keys(keys: list[int]) -> bytes:
     """Pack keys whose records are wanted."""
-    return b"".join(_WORD.pack(key) for key in keys)
+    return b"".join(_KEY.pack(key) for key in keys)
 
 
 def unpack_keys(packed: bytes) -> list[int]:
     """Return the keys whose records are wanted."""
-    whole = len(packed) // _WORD.size * _WORD.size
-    return [key for (key,) in _WORD.iter_unpack(packed[:whole])]
+    whole = len(packed) // _KEY.size * _KEY.size
+    return [key for (key,) in _KEY.iter_unpack(packed[:whole])]
 
 
 class DigestTable:
@@ -117,13 +117,13 @@
         held = self._members.get(key)
         if held == (failure_domain, member):
             return
-        self.drop(key)
+        self.remove(key)
         self._members[key] = (failure_domain, member)
         self._buckets.setdefault((failure_domain, key % BUCKETS), {})[key] = member
         digests = self._digests.setdefault(failure_domain, [0] * BUCKETS)
         digests[key % BUCKETS] ^= member.version
 
-    def drop(self, key: int) -> None:
+    def remove(self, key: int) -> None:
         """Forget a member."""
         held = self._members.pop(key, None)
         if held is None:
@@ -143,7 +143,7 @@
 
     def digests(self, failure_domain: str) -> bytes:
         """Return the digests of all buckets of a domain."""
-        return _ALL.pack(*self._digests.get(failure_domain, [0] * BUCKETS))
+        return _BUCKET_DIGESTS.pack(*self._digests.get(failure_domain, [0] * BUCKETS))
 
     def bucket(self, failure_domain: str, bucket: int) -> dict[int, Member]:
         """Return the members of a bucket by key."""
@@ -151,7 +151,7 @@
 
     def differing(self, failure_domain: str, digests: bytes) -> list[int]:
         """Return the buckets whose digests differ from those given."""
-        if len(digests) != _ALL.size:
+        if len(digests) != _BUCKET_DIGESTS.size:
             return []
         mine = self._digests.get(failure_domain, [0] * BUCKETS)
-        return [i for i, value in enumerate(_ALL.unpack(digests)) if value != mine[i]]
+        return [i for i, value in enumerate(_BUCKET_DIGESTS.unpack(digests)) if value != mine[i]]
--- a/packages/decisions/src/damaskwind/decisions/membership/handlers.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/handlers.py
@@ -25,7 +25,7 @@
 HANDLERS: dict[type, Handler] = {}
 
 
-def _handles(kind: type) -> Callable[[Handler], Handler]:
+def _handler_for(kind: type) -> Callable[[Handler], Handler]:
     """Register the handler of a kind of message."""
 
     def register(handler: Handler) -> Handler:
@@ -35,54 +35,54 @@
     return register
 
 
-@_handles(Probe)
+@_handler_for(Probe)
 def _on_probe(
     state: MembershipState, sender: RouterRecord | None, source: Address, probe: Probe, now_s: float
 ) -> None:
     """Answer a probe."""
     knew = sender is not None
     if probe.sender is not None:
-        state.merge_router(probe.sender, pass_on=True)
+        state.merge_router(probe.sender, forward=True)
         sender = state.routers.get(probe.sender.router_id)
         knew = True
-    near = sender is not None and sender.failure_domain == state.routers.me.failure_domain
+    near = sender is not None and sender.failure_domain == state.routers.own_record.failure_domain
     if near:
-        state.prober.hear_round(probe.nonce, now_s)
-    state.hear_revision(sender, probe.revision)
+        state.prober.sync_round(probe.nonce, now_s)
+    state.update_revision(sender, probe.revision)
     state.merge_loads(probe.loads, probe.vector)
-    answer = state.repairs_to(sender, source)
-    state.merge_news(probe.news, answer)
+    answer = state.repair_sender(sender, source)
+    state.merge_updates(probe.updates, answer)
     for key in unpack_keys(probe.overdue):
-        state.targets.refresh_by_key(key)
+        state.targets.resend_renewal(key)
     ack = state.gossip.ack(probe, sender, knew, now_s)
-    state.answer(sender.router_id if sender else "", source, Urgency.PROBE, ack)
+    state.reply(sender.router_id if sender else "", source, Urgency.PROBE, ack)
     _check_summaries(state, probe.summaries, answer, now_s)
 
 
-@_handles(Ack)
+@_handler_for(Ack)
 def _on_ack(
     state: MembershipState, sender: RouterRecord | None, source: Address, ack: Ack, now_s: float
 ) -> None:
     """Take the answer to a probe, or pass it on to whom it was asked for."""
     if ack.sender is not None:
-        state.merge_router(ack.sender, pass_on=True)
+        state.merge_router(ack.sender, forward=True)
         sender = state.routers.get(ack.sender.router_id)
-    forward = state.prober.forwarded(ack.nonce)
-    if forward is not None:
-        state.send_to(forward[0], Ack(forward[1], state.gossip.revision), Urgency.PROBE)
-    probe = state.prober.answered(ack.nonce)
+    requester = state.prober.pop_forward(ack.nonce)
+    if requester is not None:
+        state.send_to(requester[0], Ack(requester[1], state.gossip.revision), Urgency.PROBE)
+    probe = state.prober.pop_answered(ack.nonce)
     direct = probe is not None and sender is not None and probe.router_id == sender.router_id
     if direct and ack.sender is None:
         state.gossip.introduced.add(sender.router_id)
-    state.hear_revision(sender, ack.revision)
+    state.update_revision(sender, ack.revision)
     state.merge_loads(ack.loads, ack.vector)
-    answer = state.repairs_to(sender, source)
-    state.merge_news(ack.news, answer)
+    answer = state.repair_sender(sender, source)
+    state.merge_updates(ack.updates, answer)
     _check_summaries(state, ack.summaries, answer, now_s)
 
 
-@_handles(IndirectProbe)
-def _on_indirect(
+@_handler_for(IndirectProbe)
+def _on_indirect_probe(
     state: MembershipState,
     sender: RouterRecord | None,
     source: Address,
@@ -93,12 +93,12 @@
     record = state.routers.get(asked.router_id)
     if sender is None or record is None:
         return
-    nonce = state.prober.side_nonce()
-    state.prober.forward(nonce, sender.router_id, asked.nonce, now_s)
+    nonce = state.prober.next_off_ring_nonce()
+    state.prober.add_forward(nonce, sender.router_id, asked.nonce, now_s)
     state.sends.append(state.gossip.bare_probe(nonce, record))
 
 
-@_handles(Compare)
+@_handler_for(Compare)
 def _on_compare(
     state: MembershipState,
     sender: RouterRecord | None,
@@ -109,10 +109,10 @@
     """Answer a comparison with a sketch."""
     sketch = state.repair.sketch(asked, now_s)
     if sketch is not None:
-        state.repairs_to(sender, source)(sketch)
+        state.repair_sender(sender, source)(sketch)
 
 
-@_handles(Sketch)
+@_handler_for(Sketch)
 def _on_sketch(
     state: MembershipState,
     sender: RouterRecord | None,
@@ -121,17 +121,17 @@
     now_s: float,
 ) -> None:
     """Answer a sketch with what levels the two."""
-    news = state.repair.level(sketch, now_s)
+    news = state.repair.reconcile(sketch, now_s)
     if news is not None:
-        state.repairs_to(sender, source)(news)
+        state.repair_sender(sender, source)(news)
 
 
-@_handles(News)
+@_handler_for(News)
 def _on_news(
     state: MembershipState, sender: RouterRecord | None, source: Address, news: News, now_s: float
 ) -> None:
     """Merge news."""
-    state.merge_news(news, state.repairs_to(sender, source))
+    state.merge_updates(news, state.repair_sender(sender, source))
 
 
 def _check_summaries(
--- a/packages/decisions/src/damaskwind/decisions/membership/held.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/live_target.py
@@ -6,13 +6,20 @@
 from damaskwind.decisions.membership.messages import GoneReason, TargetRecord, Tombstone
 from damaskwind.model.targets import TargetAnnouncement, TargetState, TargetView
 
-__all__ = ["MAX_LEASE_S", "HeldTarget", "MergeOutcome", "outlives", "record_of", "view_of"]
+__all__ = [
+    "MAX_LEASE_S",
+    "LiveTarget",
+    "MergeOutcome",
+    "supersedes_tombstone",
+    "record_from_announcement",
+    "make_view",
+]
 
 MAX_LEASE_S = 60.0
 MIN_LEASE_S = 1.0
 
 
-class HeldTarget:
+class LiveTarget:
     """A live target: its record and what changes with each renewal."""
 
     __slots__ = ("load_key", "measured_at_s", "observed", "record", "renewed_at_s", "transmissions")
@@ -26,7 +33,7 @@
         self.load_key = load_key(record.target_id, record.incarnation)
 
 
-def record_of(announcement: TargetAnnouncement) -> TargetRecord:
+def record_from_announcement(announcement: TargetAnnouncement) -> TargetRecord:
     """Turn a target's announcement into a record of age zero."""
     load = announcement.load
     return TargetRecord(
@@ -60,7 +67,7 @@
     EXPIRED = "expired"
 
 
-def outlives(record: TargetRecord, tombstone: Tombstone) -> bool:
+def supersedes_tombstone(record: TargetRecord, tombstone: Tombstone) -> bool:
     """Tell whether a live record is later than a tombstone."""
     if record.incarnation != tombstone.incarnation:
         return record.incarnation > tombstone.incarnation
@@ -68,7 +75,7 @@
     return lapsed and record.renewed_sequence > tombstone.sequence
 
 
-def view_of(held: HeldTarget, now_s: float) -> TargetView:
+def make_view(held: LiveTarget, now_s: float) -> TargetView:
     """Return a held target as the placement wants it."""
     record = held.record
     return TargetView(
--- a/packages/decisions/src/damaskwind/decisions/membership/load_vector.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/load_vector.py
@@ -27,8 +27,8 @@
     "VectorRenewal",
     "decode_vector",
     "encode_vector",
-    "head_bytes",
-    "layout_of",
+    "header_size_bytes",
+    "build_layout",
 ]
 
 AGES_S = (0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0, 1.1, 1.2, 1.3, 1.4, 1.5, 1.6)
@@ -39,7 +39,7 @@
 RENEWAL_BITS = 9
 _AGE_BITS = 5
 _AGE_MASK = 31
-_GROUP_HEAD_BYTES = 3
+_GROUP_HEADER_BYTES = 3
 _MAX_GROUP = 255
 _MAX_GROUPS_LOG2 = 8
 _LOAD_UNIT_TOKENS = 64
@@ -69,10 +69,10 @@
     age_s: float
 
 
-def layout_of(keys: Iterable[int]) -> Layout:
+def build_layout(keys: Iterable[int]) -> Layout:
     """Sort load keys into groups of some `GROUP_TARGETS`.
 
-    >>> [len(group) for group in layout_of([7, 2, 9]).groups]
+    >>> [len(group) for group in build_layout([7, 2, 9]).groups]
     [3]
     """
     keys = sorted(keys)
@@ -84,31 +84,31 @@
     return Layout(tuple(map(tuple, groups)), digests)
 
 
-def head_bytes(layout: Layout) -> int:
+def header_size_bytes(layout: Layout) -> int:
     """Return how many bytes a vector takes before its fields."""
     bitmaps = sum(2 * _bitmap_bytes(len(group)) for group in layout.groups)
-    return 1 + _GROUP_HEAD_BYTES * len(layout.groups) + bitmaps
+    return 1 + _GROUP_HEADER_BYTES * len(layout.groups) + bitmaps
 
 
 def _bitmap_bytes(count: int) -> int:
     return (count + 7) // 8
 
 
-def _age_code(age_s: float) -> int:
+def _encode_age(age_s: float) -> int:
     """Return the code of the least age in the table that is not below this one."""
     return min(bisect_left(AGES_S, age_s - 1e-6), len(AGES_S) - 1)
 
 
-def _load_code(load_tokens: int) -> int:
+def _encode_load(load_tokens: int) -> int:
     """Return the 8-bit code of a load.
 
-    >>> [_load_of(_load_code(load)) for load in (0, 10_000, 100_000)]
+    >>> [_decode_load(_encode_load(load)) for load in (0, 10_000, 100_000)]
     [0, 10109, 101006]
     """
     return min(round(_CODES_PER_DOUBLING * log2(1 + max(load_tokens, 0) / _LOAD_UNIT_TOKENS)), 255)
 
 
-def _load_of(code: int) -> int:
+def _decode_load(code: int) -> int:
     """Return the load of a code."""
     return round(_LOAD_UNIT_TOKENS * (2 ** (code / _CODES_PER_DOUBLING) - 1))
 
@@ -118,7 +118,7 @@
 ) -> bytes:
     """Return the vector of some loads and renewals by key.
 
-    >>> layout = layout_of([5, 9])
+    >>> layout = build_layout([5, 9])
     >>> vector = encode_vector(layout, {9: VectorLoad(9, 640, 0.3)}, {})
     >>> len(vector), decode_vector(layout, vector)
     (8, ([VectorLoad(key=9, load_tokens=629, age_s=0.3)], [], []))
@@ -131,11 +131,11 @@
             bitmap = sum(1 << place for place, key in enumerate(group) if key in entries)
             head += bitmap.to_bytes(_bitmap_bytes(len(group)), "big")
         for load in (loads[key] for key in group if key in loads):
-            field = _load_code(load.load_tokens) << _AGE_BITS | _age_code(load.age_s)
+            field = _encode_load(load.load_tokens) << _AGE_BITS | _encode_age(load.age_s)
             word = word << LOAD_BITS | field
             bits += LOAD_BITS
         for renewal in (renewals[key] for key in group if key in renewals):
-            field = (renewal.sequence & 15) << _AGE_BITS | _age_code(renewal.age_s)
+            field = (renewal.sequence & 15) << _AGE_BITS | _encode_age(renewal.age_s)
             word = word << RENEWAL_BITS | field
             bits += RENEWAL_BITS
     padding = -bits % 8
@@ -162,7 +162,7 @@
     nothing[2].extend(range(len(layout.groups)))
     if not vector or vector[0] != len(layout.groups).bit_length() - 1:
         return nothing
-    groups, start = _read_heads(layout, vector)
+    groups, start = _read_headers(layout, vector)
     fields = vector[start:]
     needed = sum(LOAD_BITS * len(g.loads) + RENEWAL_BITS * len(g.renewals) for g in groups)
     if len(groups) < len(layout.groups) or len(fields) * 8 < needed:
@@ -175,7 +175,7 @@
             left -= LOAD_BITS
             field = (word >> left) & ((1 << LOAD_BITS) - 1)
             if group.matches:
-                tokens, age_s = _load_of(field >> _AGE_BITS), AGES_S[field & _AGE_MASK]
+                tokens, age_s = _decode_load(field >> _AGE_BITS), AGES_S[field & _AGE_MASK]
                 loads.append(VectorLoad(keys[place], tokens, age_s))
         for place in group.renewals:
             left -= RENEWAL_BITS
@@ -186,26 +186,26 @@
     return loads, renewals, [i for i, group in enumerate(groups) if not group.matches]
 
 
-def _read_heads(layout: Layout, vector: bytes) -> tuple[list[_Group], int]:
+def _read_headers(layout: Layout, vector: bytes) -> tuple[list[_Group], int]:
     """Read the groups' heads and where the fields start; a cut head ends the list."""
     groups: list[_Group] = []
     start = 1
     for keys, digest in zip(layout.groups, layout.digests, strict=True):
-        head = vector[start : start + _GROUP_HEAD_BYTES]
-        if len(head) < _GROUP_HEAD_BYTES:
+        head = vector[start : start + _GROUP_HEADER_BYTES]
+        if len(head) < _GROUP_HEADER_BYTES:
             break
         count, size = head[2], _bitmap_bytes(head[2])
-        first = start + _GROUP_HEAD_BYTES
+        first = start + _GROUP_HEADER_BYTES
         start = first + 2 * size
         if len(vector) < start:
             break
         matches = head[:2] == digest and count == len(keys)
-        places = _places(vector[first : first + size], count)
-        groups.append(_Group(matches, places, _places(vector[first + size : start], count)))
+        places = _set_bits(vector[first : first + size], count)
+        groups.append(_Group(matches, places, _set_bits(vector[first + size : start], count)))
     return groups, start
 
 
-def _places(bitmap: bytes, count: int) -> list[int]:
+def _set_bits(bitmap: bytes, count: int) -> list[int]:
     """Return the places that are set in a bitmap."""
     word = int.from_bytes(bitmap, "big")
     return [place for place in range(count) if word >> place & 1]
--- a/packages/decisions/src/damaskwind/decisions/membership/loads.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/loads.py
@@ -33,7 +33,7 @@
 _MANTISSA_MASK = 127
 _KEY_MASK = 0xFFFFFF
 _SEQUENCE_MASK = 15
-_SEQUENCE_AHEAD = 7
+_MAX_SEQUENCE_STEP = 7
 
 
 class PackedLoad(NamedTuple):
@@ -109,4 +109,4 @@
     (3, 0, 0)
     """
     step = (low_bits - known_sequence) & _SEQUENCE_MASK
-    return step if step <= _SEQUENCE_AHEAD else 0
+    return step if step <= _MAX_SEQUENCE_STEP else 0
--- a/packages/decisions/src/damaskwind/decisions/membership/messages.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/messages.py
@@ -135,7 +135,7 @@
     loads: bytes = b""
     overdue: bytes = b""
     summaries: tuple[Summary, ...] = ()
-    news: News | None = None
+    updates: News | None = None
     vector: bytes = b""
 
 
@@ -149,7 +149,7 @@
     revision: int
     loads: bytes = b""
     summaries: tuple[Summary, ...] = ()
-    news: News | None = None
+    updates: News | None = None
     sender: RouterRecord | None = None
     vector: bytes = b""
 
--- a/packages/decisions/src/damaskwind/decisions/membership/prober.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/prober.py
@@ -14,12 +14,12 @@
 
 import xxhash
 
-__all__ = ["Outstanding", "Prober", "ring_peers"]
+__all__ = ["PendingProbe", "Prober", "ring_peers"]
 
-_ROUND_LEAP_LIMIT = 100_000
+_MAX_ROUND_JUMP = 100_000
 
 
-class Outstanding(NamedTuple):
+class PendingProbe(NamedTuple):
     """A probe that waits for its answer; `asked` is set once others were asked."""
 
     router_id: str
@@ -63,9 +63,9 @@
         self.round_number = 0
         self._round_s = round_s
         self._next_round_s = now_s + first_delay_s
-        self._advanced_s = now_s
-        self._side_nonce = 0
-        self._outstanding: dict[int, Outstanding] = {}
+        self._round_advanced_s = now_s
+        self._off_ring_nonce = 0
+        self._pending: dict[int, PendingProbe] = {}
         self._forwards: dict[int, tuple[str, int, float]] = {}
 
     def start_round(self, now_s: float) -> bool:
@@ -73,62 +73,62 @@
         if now_s < self._next_round_s:
             return False
         self._next_round_s = max(self._next_round_s + self._round_s, now_s + self._round_s / 2)
-        if now_s - self._advanced_s >= self._round_s / 2:
+        if now_s - self._round_advanced_s >= self._round_s / 2:
             self.round_number += 1
-            self._advanced_s = now_s
+            self._round_advanced_s = now_s
         return True
 
-    def hear_round(self, nonce: int, now_s: float) -> None:
+    def sync_round(self, nonce: int, now_s: float) -> None:
         """Catch up with a peer of the ring whose round is ahead.
 
         A router that just caught up does not count its own next round, so the
         common round advances once in `round_s` and not once for each router.
         """
-        if self.round_number < nonce < self.round_number + _ROUND_LEAP_LIMIT:
+        if self.round_number < nonce < self.round_number + _MAX_ROUND_JUMP:
             self.round_number = nonce
-            self._advanced_s = now_s
+            self._round_advanced_s = now_s
 
-    def side_nonce(self) -> int:
+    def next_off_ring_nonce(self) -> int:
         """Return a nonce for a probe outside of the ring."""
-        self._side_nonce -= 1
-        return self._side_nonce
+        self._off_ring_nonce -= 1
+        return self._off_ring_nonce
 
-    def sent(self, nonce: int, router_id: str, now_s: float) -> None:
+    def record_sent(self, nonce: int, router_id: str, now_s: float) -> None:
         """Wait for the answer to a probe."""
-        self._outstanding[nonce] = Outstanding(router_id, now_s)
+        self._pending[nonce] = PendingProbe(router_id, now_s)
 
-    def answered(self, nonce: int) -> Outstanding | None:
+    def pop_answered(self, nonce: int) -> PendingProbe | None:
         """Return the probe that an answer belongs to."""
-        return self._outstanding.pop(nonce, None)
+        return self._pending.pop(nonce, None)
 
     def cancel(self, nonce: int) -> None:
         """Forget a probe that was never sent."""
-        self._outstanding.pop(nonce, None)
+        self._pending.pop(nonce, None)
 
-    def forward(self, nonce: int, router_id: str, their_nonce: int, now_s: float) -> None:
+    def add_forward(self, nonce: int, router_id: str, their_nonce: int, now_s: float) -> None:
         """Remember for whom a probe was sent."""
         self._forwards[nonce] = (router_id, their_nonce, now_s)
 
-    def forwarded(self, nonce: int) -> tuple[str, int] | None:
+    def pop_forward(self, nonce: int) -> tuple[str, int] | None:
         """Return for whom a probe was sent, and its nonce there."""
         held = self._forwards.pop(nonce, None)
         return held[:2] if held else None
 
-    def late(self, timeout_s: float, now_s: float) -> list[tuple[int, str]]:
+    def take_late(self, timeout_s: float, now_s: float) -> list[tuple[int, str]]:
         """Return the probes that are late for the first time: nonce and router."""
         late = []
-        for nonce, probe in self._outstanding.items():
+        for nonce, probe in self._pending.items():
             if not probe.asked and now_s - probe.sent_s >= timeout_s:
-                self._outstanding[nonce] = probe._replace(asked=True)
+                self._pending[nonce] = probe._replace(asked=True)
                 late.append((nonce, probe.router_id))
         return late
 
-    def failed(self, timeout_s: float, now_s: float) -> list[str]:
+    def take_failed(self, timeout_s: float, now_s: float) -> list[str]:
         """Return the routers whose probes failed, and forget those probes."""
         failed = [
-            nonce for nonce, probe in self._outstanding.items() if now_s - probe.sent_s >= timeout_s
+            nonce for nonce, probe in self._pending.items() if now_s - probe.sent_s >= timeout_s
         ]
         old = [nonce for nonce, held in self._forwards.items() if now_s - held[2] >= timeout_s]
         for nonce in old:
             del self._forwards[nonce]
-        return [self._outstanding.pop(nonce).router_id for nonce in failed]
+        return [self._pending.pop(nonce).router_id for nonce in failed]
--- a/packages/decisions/src/damaskwind/decisions/membership/repair.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/repair.py
@@ -13,7 +13,7 @@
     BUCKETS,
     DigestTable,
     Member,
-    fold,
+    combine_digests,
     pack_entries,
     pack_keys,
     unpack_entries,
@@ -21,7 +21,7 @@
 )
 from damaskwind.decisions.membership.messages import Compare, GoneReason, News, Sketch, Summary
 from damaskwind.decisions.membership.routers import RouterTable
-from damaskwind.decisions.membership.rumours import Item, news_of
+from damaskwind.decisions.membership.rumours import Item, group_updates
 from damaskwind.decisions.membership.sizes import estimate_bytes, unpacked_bytes
 from damaskwind.decisions.membership.targets import TargetTable
 
@@ -40,32 +40,32 @@
         routers: RouterTable,
         targets: TargetTable,
         digests: DigestTable,
-        news_bytes: int,
+        updates_bytes: int,
         random: Random,
     ) -> None:
         self._routers = routers
         self._targets = targets
         self._digests = digests
-        self._news_bytes = news_bytes
+        self._updates_bytes = updates_bytes
         self._random = random
-        self._compared_s: dict[str, float] = {}
-        self._turn = 0
+        self._last_compared_s: dict[str, float] = {}
+        self._summary_turn = 0
 
     def own_summary(self) -> Summary:
         """Vouch for the own failure domain."""
-        domain = self._routers.me.failure_domain
-        return Summary(domain, 0.0, fold(self._digests.digests(domain)))
+        domain = self._routers.own_record.failure_domain
+        return Summary(domain, 0.0, combine_digests(self._digests.digests(domain)))
 
-    def foreign_summaries(self, count: int, max_age_s: float, now_s: float) -> tuple[Summary, ...]:
+    def remote_summaries(self, count: int, max_age_s: float, now_s: float) -> tuple[Summary, ...]:
         """Pass on the vouching for some other domains, in turn."""
-        own = self._routers.me.failure_domain
+        own = self._routers.own_record.failure_domain
         domains = sorted(name for name in self._digests.domains() if name != own)
         summaries = []
         for _ in range(min(count, len(domains))):
-            self._turn += 1
-            domain = domains[self._turn % len(domains)]
-            age_s = self._targets.vouched_age_s(domain, now_s)
-            digest = fold(self._digests.digests(domain))
+            self._summary_turn += 1
+            domain = domains[self._summary_turn % len(domains)]
+            age_s = self._targets.confirmed_age_s(domain, now_s)
+            digest = combine_digests(self._digests.digests(domain))
             summaries.append(Summary(domain, min(age_s, max_age_s), digest))
         return tuple(summaries)
 
@@ -73,13 +73,13 @@
         """Compare a peer's summary; return what to ask it when they differ."""
         domain = summary.failure_domain
         digests = self._digests.digests(domain)
-        if fold(digests) == summary.digests:
-            self._vouch(domain, list(range(BUCKETS)), summary.age_s, now_s)
+        if combine_digests(digests) == summary.digests:
+            self._confirm(domain, list(range(BUCKETS)), summary.age_s, now_s)
             return None
-        if now_s - self._compared_s.get(domain, float("-inf")) < 1.0:
+        if now_s - self._last_compared_s.get(domain, float("-inf")) < 1.0:
             return None
-        self._compared_s[domain] = now_s
-        return Compare(Summary(domain, self._targets.vouched_age_s(domain, now_s), digests))
+        self._last_compared_s[domain] = now_s
+        return Compare(Summary(domain, self._targets.confirmed_age_s(domain, now_s), digests))
 
     def sketch(self, compare: Compare, now_s: float) -> Sketch | None:
         """Answer a comparison with what is held in buckets that differ."""
@@ -88,22 +88,22 @@
         differing = self._digests.differing(domain, summary.digests)
         equal = [bucket for bucket in range(BUCKETS) if bucket not in differing]
         if len(summary.digests) == BUCKETS * _KEY_BYTES:
-            self._vouch(domain, equal, summary.age_s, now_s)
+            self._confirm(domain, equal, summary.age_s, now_s)
         self._random.shuffle(differing)
         buckets: list[int] = []
         entries: list[tuple[int, int]] = []
         for bucket in differing:
             members = self._digests.bucket(domain, bucket)
-            if buckets and (len(entries) + len(members)) * _ENTRY_BYTES > self._news_bytes:
+            if buckets and (len(entries) + len(members)) * _ENTRY_BYTES > self._updates_bytes:
                 break
             buckets.append(bucket)
             entries += [(key, member.version) for key, member in members.items()]
         if not buckets:
             return None
-        limit = self._news_bytes // _ENTRY_BYTES
+        limit = self._updates_bytes // _ENTRY_BYTES
         return Sketch(domain, bytes(buckets), pack_entries(entries[:limit]))
 
-    def level(self, sketch: Sketch, now_s: float) -> News | None:
+    def reconcile(self, sketch: Sketch, now_s: float) -> News | None:
         """Answer a sketch with what the peer lacks and what is wanted from it."""
         theirs = unpack_entries(sketch.entries)
         mine: dict[int, Member] = {}
@@ -117,14 +117,14 @@
         for key in theirs:
             if key in mine:
                 continue
-            gone = self._gone(key, sketch.failure_domain, now_s)
+            gone = self._departure_record(key, sketch.failure_domain, now_s)
             if gone is not None:
                 items.append(gone)
             elif self._digests.member(key) is None:
                 wanted.append(key)
-        return self._news(items, wanted)
+        return self._fit_updates(items, wanted)
 
-    def _gone(self, key: int, failure_domain: str, now_s: float) -> Item | None:
+    def _departure_record(self, key: int, failure_domain: str, now_s: float) -> Item | None:
         """Return what proves that the router or target of a key is gone.
 
         A lapse in the own domain proves nothing to a peer that still holds the
@@ -132,20 +132,20 @@
         """
         tombstone = self._targets.tombstones.by_key(key, now_s)
         if tombstone is None:
-            return self._routers.dead_by_key(key)
-        near = failure_domain == self._routers.me.failure_domain
+            return self._routers.gone_by_key(key)
+        near = failure_domain == self._routers.own_record.failure_domain
         return None if near and tombstone.reason == GoneReason.LAPSED else tombstone
 
     def records(self, wanted: bytes, now_s: float) -> News | None:
         """Answer a request for records."""
         members = [self._digests.member(key) for key in unpack_keys(wanted)]
-        return self._news([self._record(member, now_s) for member in members if member], [])
+        return self._fit_updates([self._record(member, now_s) for member in members if member], [])
 
-    def _news(self, items: list[Item | None], wanted: list[int]) -> News | None:
+    def _fit_updates(self, items: list[Item | None], wanted: list[int]) -> News | None:
         """Fit items and wanted keys into one message."""
         self._random.shuffle(items)
         wanted = wanted[:_WANTED_LIMIT]
-        room = unpacked_bytes(self._news_bytes - len(wanted) * _KEY_BYTES)
+        room = unpacked_bytes(self._updates_bytes - len(wanted) * _KEY_BYTES)
         fitting: list[Item] = []
         for item in items:
             size_bytes = estimate_bytes(item)
@@ -155,7 +155,7 @@
             fitting.append(item)
         if not fitting and not wanted:
             return None
-        return news_of(fitting)._replace(wanted=pack_keys(wanted), repair=True)
+        return group_updates(fitting)._replace(wanted=pack_keys(wanted), repair=True)
 
     def _record(self, member: Member, now_s: float) -> Item | None:
         """Return the record of a router or a target."""
@@ -163,7 +163,7 @@
             return self._routers.get(member.name)
         return self._targets.record(member.name, now_s)
 
-    def _vouch(self, domain: str, buckets: list[int], age_s: float, now_s: float) -> None:
+    def _confirm(self, domain: str, buckets: list[int], age_s: float, now_s: float) -> None:
         """Renew the targets of another domain."""
-        if domain != self._routers.me.failure_domain:
-            self._targets.vouch(domain, buckets, age_s, now_s)
+        if domain != self._routers.own_record.failure_domain:
+            self._targets.confirm_buckets(domain, buckets, age_s, now_s)
--- a/packages/decisions/src/damaskwind/decisions/membership/routers.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/routers.py
@@ -43,7 +43,7 @@
         return lived and self.after.state not in _LIVE_STATES
 
 
-def _rendezvous(failure_domain: str, router_id: str) -> int:
+def _rendezvous_weight(failure_domain: str, router_id: str) -> int:
     """Return the weight of a router as relay of its failure domain."""
     return xxhash.xxh3_64_intdigest(f"{failure_domain}\0{router_id}".encode())
 
@@ -51,14 +51,14 @@
 class RouterTable:
     """All routers that one router knows, itself among them."""
 
-    def __init__(self, me: RouterRecord, digests: DigestTable) -> None:
-        self.me = me
+    def __init__(self, own_record: RouterRecord, digests: DigestTable) -> None:
+        self.own_record = own_record
         self._digests = digests
         self._records: dict[str, RouterRecord] = {}
         self._changed_at_s: dict[str, float] = {}
         self._suspects: set[str] = set()
         self._rings: dict[str, list[str]] = {}
-        self._put(me, 0.0)
+        self._put(own_record, 0.0)
 
     def _put(self, record: RouterRecord, now_s: float) -> None:
         """Hold a record and keep the digests and rings in step."""
@@ -73,13 +73,13 @@
             member = Member(True, record.router_id, router_version(record))
             self._digests.put(record.failure_domain, key, member)
         else:
-            self._digests.drop(key)
+            self._digests.remove(key)
 
     def get(self, router_id: str) -> RouterRecord | None:
         """Return the record of a router."""
         return self._records.get(router_id)
 
-    def lives(self, router_id: str) -> bool:
+    def is_live(self, router_id: str) -> bool:
         """Tell whether a router is held alive, perhaps under suspicion."""
         record = self._records.get(router_id)
         return record is not None and record.state in _LIVE_STATES
@@ -97,16 +97,16 @@
 
     def refute(self, incarnation: int, now_s: float) -> RouterRecord:
         """Raise the own incarnation above one that others hold, and return the record."""
-        raised = max(incarnation, self.me.incarnation) + 1
-        self.me = self.me._replace(incarnation=raised, state=RouterState.ALIVE)
-        self._put(self.me, now_s)
-        return self.me
+        raised = max(incarnation, self.own_record.incarnation) + 1
+        self.own_record = self.own_record._replace(incarnation=raised, state=RouterState.ALIVE)
+        self._put(self.own_record, now_s)
+        return self.own_record
 
     def leave(self, now_s: float) -> RouterRecord:
         """Mark the own record as left and return it."""
-        self.me = self.me._replace(state=RouterState.LEFT)
-        self._put(self.me, now_s)
-        return self.me
+        self.own_record = self.own_record._replace(state=RouterState.LEFT)
+        self._put(self.own_record, now_s)
+        return self.own_record
 
     def live(self) -> list[RouterRecord]:
         """Return all routers held alive, this one among them."""
@@ -116,7 +116,7 @@
         """Return the routers held dead; those that left by themselves aren't."""
         return [record for record in self._records.values() if record.state == RouterState.DEAD]
 
-    def dead_by_key(self, key: int) -> RouterRecord | None:
+    def gone_by_key(self, key: int) -> RouterRecord | None:
         """Return the record of a router that is gone, by its key."""
         for record in self._records.values():
             if record.state not in _LIVE_STATES and router_key(record.router_id) == key:
@@ -141,12 +141,14 @@
         hold the same list agree on them without a word.
         """
         ring = self.ring(failure_domain)
-        ranked = sorted(ring, key=lambda name: _rendezvous(failure_domain, name), reverse=True)
+        ranked = sorted(
+            ring, key=lambda name: _rendezvous_weight(failure_domain, name), reverse=True
+        )
         return ranked[:RELAYS_PER_DOMAIN]
 
     def is_relay(self) -> bool:
         """Tell whether this router is a relay of its domain."""
-        return self.me.router_id in self.relays(self.me.failure_domain)
+        return self.own_record.router_id in self.relays(self.own_record.failure_domain)
 
     def suspects_since(self, since_s: float) -> list[RouterRecord]:
         """Return the routers under suspicion since before `since_s`."""
--- a/packages/decisions/src/damaskwind/decisions/membership/rumours.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/rumours.py
@@ -20,19 +20,19 @@
 from damaskwind.decisions.membership.sizes import estimate_bytes
 from damaskwind.decisions.pacing.urgency import Urgency
 
-__all__ = ["Rumour", "RumourQueue", "news_of", "split_news", "transmissions_limit"]
+__all__ = ["Rumour", "RumourQueue", "group_updates", "split_updates", "transmissions_limit"]
 
-COPIES_ENOUGH = 2
+DUPLICATE_LIMIT = 2
 LIFETIME_S = 10.0
 QUEUE_LIMIT = 2000
 JOINS_LIMIT = 8
-_FLOODED = 1 << 30
+_UNBOUNDED = 1 << 30
 
 Item = RouterRecord | TargetRecord | Tombstone
 _FIELDS = {RouterRecord: "routers", TargetRecord: "targets", Tombstone: "tombstones"}
 
 
-def crosses(item: Item) -> bool:
+def crosses_domains(item: Item) -> bool:
     """Tell whether an item matters beyond its failure domain."""
     if isinstance(item, RouterRecord):
         return item.state != RouterState.SUSPECT
@@ -43,11 +43,11 @@
     """An item on its way through the fleet."""
 
     __slots__ = (
-        "born_s",
-        "copies_enough",
-        "copies",
-        "far_floods",
-        "floods",
+        "created_s",
+        "duplicate_limit",
+        "duplicates",
+        "remote_floods",
+        "local_floods",
         "item",
         "sends",
         "size_bytes",
@@ -57,12 +57,12 @@
     def __init__(self, item: Item, urgency: Urgency, flood: bool, now_s: float) -> None:
         self.item = item
         self.urgency = urgency
-        self.floods = 0 if flood else _FLOODED
-        self.far_floods = 0 if flood and crosses(item) else _FLOODED
-        self.born_s = now_s
+        self.local_floods = 0 if flood else _UNBOUNDED
+        self.remote_floods = 0 if flood and crosses_domains(item) else _UNBOUNDED
+        self.created_s = now_s
         self.sends = 0
-        self.copies = 0
-        self.copies_enough = _FLOODED if urgency == Urgency.LEAVE else COPIES_ENOUGH
+        self.duplicates = 0
+        self.duplicate_limit = _UNBOUNDED if urgency == Urgency.LEAVE else DUPLICATE_LIMIT
         self.size_bytes = estimate_bytes(item)
 
 
@@ -73,7 +73,7 @@
     urgency: Urgency
 
 
-def news_of(items: list[Item]) -> News:
+def group_updates(items: list[Item]) -> News:
     """Sort items into the fields of a message."""
     fields: dict[str, list[Item]] = {}
     for item in items:
@@ -81,21 +81,21 @@
     return News(**{name: tuple(values) for name, values in fields.items()})
 
 
-def split_news(news: News) -> tuple[News, ...]:
+def split_updates(news: News) -> tuple[News, ...]:
     """Split the records of a message into two messages; nothing when it can't be split.
 
     >>> graves = tuple(Tombstone(name, 1, 1, 1, "a", 0.0) for name in "xy")
-    >>> [half.tombstones[0].target_id for half in split_news(News(tombstones=graves))]
+    >>> [half.tombstones[0].target_id for half in split_updates(News(tombstones=graves))]
     ['x', 'y']
     """
     items = [*news.routers, *news.targets, *news.tombstones]
     if len(items) < 2:
         return ()
     middle = len(items) // 2
-    first = news_of(items[:middle])._replace(
+    first = group_updates(items[:middle])._replace(
         wanted=news.wanted, repair=news.repair, spills=news.spills
     )
-    return first, news_of(items[middle:])._replace(repair=news.repair)
+    return first, group_updates(items[middle:])._replace(repair=news.repair)
 
 
 def transmissions_limit(routers: int, factor: float) -> int:
@@ -107,11 +107,11 @@
     return max(ceil(factor * log2(routers + 1)), 1)
 
 
-def _aged(rumour: "Rumour", now_s: float) -> Item:
+def _with_current_age(rumour: "Rumour", now_s: float) -> Item:
     """Return an item with the time it waited here added to its age."""
     item = rumour.item
     if isinstance(item, TargetRecord | Tombstone):
-        return item._replace(age_s=item.age_s + max(now_s - rumour.born_s, 0.0))
+        return item._replace(age_s=item.age_s + max(now_s - rumour.created_s, 0.0))
     return item
 
 
@@ -145,65 +145,67 @@
             return
         self._rumours[_key(item)] = Rumour(item, urgency, flood, now_s)
         if len(self._rumours) > QUEUE_LIMIT:
-            worst = max(self._rumours, key=lambda key: self._order(self._rumours[key]))
+            worst = max(self._rumours, key=lambda key: self._priority(self._rumours[key]))
             del self._rumours[worst]
 
-    def heard(self, item: Item) -> None:
+    def count_duplicate(self, item: Item) -> None:
         """Count that a peer sent an item that is known already."""
         rumour = self._rumours.get(_key(item))
         if rumour is not None:
-            rumour.copies += 1
+            rumour.duplicates += 1
 
-    def leaves_wait(self, fanout: int, far: bool) -> bool:
+    def has_pending_leaves(self, fanout: int, far: bool) -> bool:
         """Tell whether a leave waits to be flooded."""
-        count = "far_floods" if far else "floods"
+        count = "remote_floods" if far else "local_floods"
         return any(
             rumour.urgency == Urgency.LEAVE and getattr(rumour, count) < fanout
             for rumour in self._rumours.values()
         )
 
-    def floods_wait(self, fanout: int) -> bool:
+    def has_pending_floods(self, fanout: int) -> bool:
         """Tell whether an item that the peers lack waits to be flooded."""
         return any(
-            rumour.floods < fanout and rumour.copies < rumour.copies_enough
+            rumour.local_floods < fanout and rumour.duplicates < rumour.duplicate_limit
             for rumour in self._rumours.values()
         )
 
-    def to_flood(self, limit_bytes: int, fanout: int, far: bool, now_s: float) -> _Batch | None:
+    def take_flood(self, limit_bytes: int, fanout: int, far: bool, now_s: float) -> _Batch | None:
         """Take the items of one flooding datagram, the most urgent first.
 
         Each item is taken `fanout` times, and as often again for other domains.
         """
         items: list[Item] = []
         urgency = Urgency.ROUTINE
-        count = "far_floods" if far else "floods"
+        count = "remote_floods" if far else "local_floods"
         waiting = [r for r in self._rumours.values() if getattr(r, count) < fanout]
-        for rumour in sorted(waiting, key=self._order):
-            if rumour.copies >= rumour.copies_enough:
-                setattr(rumour, count, _FLOODED)
+        for rumour in sorted(waiting, key=self._priority):
+            if rumour.duplicates >= rumour.duplicate_limit:
+                setattr(rumour, count, _UNBOUNDED)
                 continue
             if rumour.size_bytes > limit_bytes:
                 continue
             limit_bytes -= rumour.size_bytes
             setattr(rumour, count, getattr(rumour, count) + 1)
             rumour.sends += 1
-            items.append(_aged(rumour, now_s))
+            items.append(_with_current_age(rumour, now_s))
             urgency = min(urgency, rumour.urgency)
         return _Batch(items, urgency) if items else None
 
-    def to_carry(self, limit_bytes: int, max_sends: int, now_s: float, near: bool) -> list[Item]:
+    def take_piggyback(
+        self, limit_bytes: int, max_sends: int, now_s: float, near: bool
+    ) -> list[Item]:
         """Take the items that ride along on a probe or an answer."""
         self._expire(max_sends, now_s)
         items: list[Item] = []
         room = limit_bytes
-        for rumour in sorted(self._rumours.values(), key=self._order):
+        for rumour in sorted(self._rumours.values(), key=self._priority):
             if rumour.size_bytes > room:
                 continue
-            if not near and not crosses(rumour.item):
+            if not near and not crosses_domains(rumour.item):
                 continue
             room -= rumour.size_bytes
             rumour.sends += 1
-            items.append(_aged(rumour, now_s))
+            items.append(_with_current_age(rumour, now_s))
         return items
 
     def _expire(self, max_sends: int, now_s: float) -> None:
@@ -211,12 +213,12 @@
         done = [
             key
             for key, rumour in self._rumours.items()
-            if rumour.sends >= max_sends or now_s - rumour.born_s > LIFETIME_S
+            if rumour.sends >= max_sends or now_s - rumour.created_s > LIFETIME_S
         ]
         for key in done:
             del self._rumours[key]
 
     @staticmethod
-    def _order(rumour: Rumour) -> tuple[int, int, float]:
+    def _priority(rumour: Rumour) -> tuple[int, int, float]:
         """Return what puts one item before another: urgent, sent least, old."""
-        return (rumour.urgency, rumour.sends, rumour.born_s)
+        return (rumour.urgency, rumour.sends, rumour.created_s)
--- a/packages/decisions/src/damaskwind/decisions/membership/sizes.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/sizes.py
@@ -13,7 +13,7 @@
 MAX_DATAGRAM_BYTES = 1200
 RECORD_LIMIT_BYTES = 900
 _PACKED_BASE_BYTES = 130
-_PACKING = 6
+_COMPRESSION_RATIO = 6
 
 
 def estimate_bytes(value: Any) -> int:
@@ -43,7 +43,7 @@
     >>> packed_bytes(100), packed_bytes(1200)
     (100, 330)
     """
-    return min(size_bytes, _PACKED_BASE_BYTES + size_bytes // _PACKING)
+    return min(size_bytes, _PACKED_BASE_BYTES + size_bytes // _COMPRESSION_RATIO)
 
 
 def unpacked_bytes(limit_bytes: int) -> int:
@@ -52,4 +52,4 @@
     >>> unpacked_bytes(100), unpacked_bytes(330)
     (100, 1200)
     """
-    return max(limit_bytes, (limit_bytes - _PACKED_BASE_BYTES) * _PACKING)
+    return max(limit_bytes, (limit_bytes - _PACKED_BASE_BYTES) * _COMPRESSION_RATIO)
--- a/packages/decisions/src/damaskwind/decisions/membership/spill_gossip.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/spill_gossip.py
@@ -23,8 +23,8 @@
 NOTE_BYTES = 6
 AGE_UNIT_S = 0.5
 LIFETIME_S = 12.0
-MEMORY_S = 31.0
-WAITING_LIMIT = 4000
+RETENTION_S = 31.0
+QUEUE_LIMIT = 4000
 _AGE_LIMIT = 63
 _TARGET_MASK = (1 << 14) - 1
 
@@ -37,11 +37,11 @@
 class _Note:
     """Where a chat went, when, and how often this router said so."""
 
-    __slots__ = ("born_s", "sends", "target")
+    __slots__ = ("created_s", "sends", "target")
 
-    def __init__(self, target: int, born_s: float) -> None:
+    def __init__(self, target: int, created_s: float) -> None:
         self.target = target
-        self.born_s = born_s
+        self.created_s = created_s
         self.sends = 0
 
 
@@ -56,30 +56,30 @@
 
     def __init__(self) -> None:
         self._known: dict[int, _Note] = {}
-        self._waiting: dict[int, _Note] = {}
+        self._pending: dict[int, _Note] = {}
 
-    def waiting(self, max_sends: int) -> int:
+    def pending_count(self, max_sends: int) -> int:
         """Return how many notes were passed on less often than this."""
-        return sum(note.sends < max_sends for note in self._waiting.values())
+        return sum(note.sends < max_sends for note in self._pending.values())
 
     def publish(self, notes: Iterable[SpillNote], now_s: float) -> None:
         """Pass on this router's own notes."""
         for note in notes:
             chat = int(note.chat_short_digest, 16)
-            self._know(chat, _Note(note_key(note.target_id), now_s))
+            self._store(chat, _Note(note_key(note.target_id), now_s))
 
     def pack(self, limit_bytes: int, max_sends: int, now_s: float) -> bytes:
         """Return the notes that fit, and count that they were passed on."""
         self._expire(max_sends, now_s)
         chosen = nsmallest(
             max(limit_bytes // NOTE_BYTES, 0),
-            self._waiting.items(),
-            key=lambda item: (item[1].sends, -item[1].born_s),
+            self._pending.items(),
+            key=lambda item: (item[1].sends, -item[1].created_s),
         )
         packed = bytearray()
         for chat, note in chosen:
             note.sends += 1
-            age = min(max(ceil((now_s - note.born_s) / AGE_UNIT_S), 0), _AGE_LIMIT)
+            age = min(max(ceil((now_s - note.created_s) / AGE_UNIT_S), 0), _AGE_LIMIT)
             packed += (chat << 20 | note.target << 6 | age).to_bytes(NOTE_BYTES, "big")
         return bytes(packed)
 
@@ -89,10 +89,10 @@
         for start in range(0, len(packed) - NOTE_BYTES + 1, NOTE_BYTES):
             word = int.from_bytes(packed[start : start + NOTE_BYTES], "big")
             chat, target, age = word >> 20, (word >> 6) & _TARGET_MASK, word & _AGE_LIMIT
-            born_s = now_s - age * AGE_UNIT_S
-            if age == _AGE_LIMIT or not self._is_news(chat, target, born_s):
+            created_s = now_s - age * AGE_UNIT_S
+            if age == _AGE_LIMIT or not self._is_newer(chat, target, created_s):
                 continue
-            self._know(chat, _Note(target, born_s))
+            self._store(chat, _Note(target, created_s))
             target_id = target_of.get(target)
             if target_id is not None:
                 fresh.append(SpillNote(f"{chat:0{SHORT_DIGEST_HEX}x}", target_id))
@@ -100,33 +100,33 @@
 
     def forget(self, now_s: float) -> None:
         """Forget the notes whose copies are no longer on their way."""
-        since_s = now_s - MEMORY_S - 1.0
-        for chat in [chat for chat, note in self._known.items() if note.born_s < since_s]:
+        since_s = now_s - RETENTION_S - 1.0
+        for chat in [chat for chat, note in self._known.items() if note.created_s < since_s]:
             del self._known[chat]
 
-    def _is_news(self, chat: int, target: int, born_s: float) -> bool:
+    def _is_newer(self, chat: int, target: int, created_s: float) -> bool:
         """Tell whether a note names another place than the one known, and a later one."""
         known = self._known.get(chat)
         if known is None:
             return True
         if target == known.target:
-            known.sends += chat in self._waiting
+            known.sends += chat in self._pending
             return False
-        return born_s > known.born_s
+        return created_s > known.created_s
 
-    def _know(self, chat: int, note: _Note) -> None:
+    def _store(self, chat: int, note: _Note) -> None:
         """Hold a note in place of the chat's former one."""
-        self._known[chat] = self._waiting[chat] = note
-        if len(self._waiting) > WAITING_LIMIT:
-            del self._waiting[next(iter(self._waiting))]
+        self._known[chat] = self._pending[chat] = note
+        if len(self._pending) > QUEUE_LIMIT:
+            del self._pending[next(iter(self._pending))]
 
     def _expire(self, max_sends: int, now_s: float) -> None:
         """Pass on no more what was sent often enough or is old."""
         since_s = now_s - LIFETIME_S
         done = [
             chat
-            for chat, note in self._waiting.items()
-            if note.sends >= max_sends or note.born_s < since_s
+            for chat, note in self._pending.items()
+            if note.sends >= max_sends or note.created_s < since_s
         ]
         for chat in done:
-            del self._waiting[chat]
+            del self._pending[chat]
--- a/packages/decisions/src/damaskwind/decisions/membership/target_entry.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_entry.py
@@ -7,13 +7,13 @@
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.model.targets import Address
 
-__all__ = ["TargetEntry", "contested_addresses", "occupant", "record_mark"]
+__all__ = ["TargetEntry", "contested_addresses", "address_owner", "record_hash"]
 
 # So many heartbeats after another was heard at its address, a silent target has lost it.
-HEARD_BEATS = 3.0
+SUPERSEDED_AFTER_HEARTBEATS = 3.0
 
 
-def record_mark(record: TargetRecord) -> int:
+def record_hash(record: TargetRecord) -> int:
     """Return a number for what a record says.
 
     What a heartbeat changes without news, its number and the cold time, is left out.
@@ -26,26 +26,26 @@
     """A record with what this process knows about its freshness."""
 
     __slots__ = (
-        "changed_at",
+        "changed_revision",
         "cold_until_s",
-        "described_at",
-        "first_s",
+        "content_revision",
+        "first_seen_s",
         "first_sequence",
-        "gone_s",
-        "heard_s",
+        "gone_at_s",
+        "last_seen_s",
         "record",
     )
 
-    def __init__(self, record: TargetRecord, heard_s: float, changed_at: int) -> None:
+    def __init__(self, record: TargetRecord, received_s: float, revision: int) -> None:
         self.record = record
-        self.heard_s = heard_s
-        self.changed_at = changed_at
+        self.last_seen_s = received_s
+        self.changed_revision = revision
         # When more than the phase changed last.
-        self.described_at = changed_at
-        self.first_s = heard_s
+        self.content_revision = revision
+        self.first_seen_s = received_s
         self.first_sequence = record.sequence
-        self.gone_s = float("-inf")
-        self.cold_until_s = heard_s + record.cold_s
+        self.gone_at_s = float("-inf")
+        self.cold_until_s = received_s + record.cold_s
 
 
 def contested_addresses(entries: Iterable[TargetEntry]) -> dict[Address, list[TargetEntry]]:
@@ -57,8 +57,10 @@
     return {address: rivals for address, rivals in at.items() if len(rivals) > 1}
 
 
-def occupant(rivals: list[TargetEntry], heartbeat_s: float) -> TargetEntry:
+def address_owner(contenders: list[TargetEntry], heartbeat_s: float) -> TargetEntry:
     """Return the last to start of those at an address that were heard lately."""
-    oldest_s = max(entry.heard_s for entry in rivals) - HEARD_BEATS * heartbeat_s
-    heard = [entry for entry in rivals if entry.heard_s >= oldest_s]
-    return max(heard, key=lambda entry: entry.first_s - entry.first_sequence * heartbeat_s)
+    oldest_s = (
+        max(entry.last_seen_s for entry in contenders) - SUPERSEDED_AFTER_HEARTBEATS * heartbeat_s
+    )
+    heard = [entry for entry in contenders if entry.last_seen_s >= oldest_s]
+    return max(heard, key=lambda entry: entry.first_seen_s - entry.first_sequence * heartbeat_s)
--- a/packages/decisions/src/damaskwind/decisions/membership/target_record.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_record.py
@@ -22,9 +22,9 @@
     `slots` is how many requests it runs at once, `sequence` grows with each
     report of a life, `born_ms` is the Unix time of its start, in ms; 0 where it
     tells none. It stays cold for `cold_s` from when it was heard, in a spell that it first
-    told with its report `cold_at`; 0 is the one after its start. `clock_steps` counts how
+    told with its report `cold_sequence`; 0 is the one after its start. `clock_steps` counts how
     often a smaller birth was taken for later, the last time in place of the life born at
-    `overruled_ms`.
+    `superseded_born_ms`.
     """
 
     target_id: str
@@ -37,11 +37,11 @@
     cold_s: float = 0.0
     born_ms: int = 0
     clock_steps: int = 0
-    overruled_ms: int = 0
-    cold_at: int = 0
+    superseded_born_ms: int = 0
+    cold_sequence: int = 0
 
     @property
-    def life(self) -> tuple[int, int]:
+    def incarnation(self) -> tuple[int, int]:
         """Return what orders the lives of one target."""
         return (self.clock_steps, self.born_ms)
 
@@ -52,4 +52,4 @@
     target_id: str
     phase: TargetPhase
     sequence: int
-    life: tuple[int, int]
+    incarnation: tuple[int, int]
--- a/packages/decisions/src/damaskwind/decisions/membership/target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_table.py
@@ -22,9 +22,9 @@
 
 from damaskwind.decisions.membership.target_entry import (
     TargetEntry,
+    address_owner,
     contested_addresses,
-    occupant,
-    record_mark,
+    record_hash,
 )
 from damaskwind.decisions.membership.target_record import (
     PhaseChange,
@@ -33,7 +33,7 @@
 )
 from damaskwind.model.targets import Address
 
-__all__ = ["Changes", "Silence", "TargetTable"]
+__all__ = ["Changes", "SilentTargets", "TargetTable"]
 
 # Reports come late by seconds; a minute is far beyond any.
 TOMBSTONE_S = 60.0
@@ -43,9 +43,9 @@
 # A life that was silent for so long is over: eight heartbeats, and more than a report
 # is late behind any cut. Then a smaller birth is that of a target whose clock was
 # stepped back, and not a late report.
-STALE_LIFE_S = 10.0
+STALE_INCARNATION_S = 10.0
 # A report that is late by less tells of the same cold spell as the one before.
-COLD_SLACK_S = 0.3
+COLD_SPELL_TOLERANCE_S = 0.3
 
 
 class Changes(NamedTuple):
@@ -59,11 +59,11 @@
     phases: tuple[PhaseChange, ...] = ()
 
 
-class Silence(NamedTuple):
+class SilentTargets(NamedTuple):
     """The living targets not heard since some time, and when the stalest of the others was."""
 
     target_ids: tuple[str, ...]
-    others_heard_s: float
+    others_seen_s: float
 
 
 class TargetTable:
@@ -77,43 +77,43 @@
         self.revision = 0
         self._entries: dict[str, TargetEntry] = {}
         self._contested: dict[Address, list[TargetEntry]] = {}
-        self._contested_at = -1
+        self._contested_revision = -1
         self.digest = 0
 
-    def take(self, record: TargetRecord, heard_s: float) -> bool:
-        """Merge a record that was heard at `heard_s`; tell whether it changed anything.
+    def merge(self, record: TargetRecord, received_s: float) -> bool:
+        """Merge a record that was heard at `received_s`; tell whether it changed anything.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
-        >>> table.take(new, 0.0), table.take(new._replace(sequence=3), 1.0)
+        >>> table.merge(new, 0.0), table.merge(new._replace(sequence=3), 1.0)
         (True, False)
-        >>> table.take(new._replace(phase=TargetPhase.GONE, sequence=0), 2.0)
+        >>> table.merge(new._replace(phase=TargetPhase.GONE, sequence=0), 2.0)
         True
-        >>> table.take(new._replace(sequence=9), 3.0)
+        >>> table.merge(new._replace(sequence=9), 3.0)
         False
-        >>> table.take(new._replace(sequence=0, born_ms=1_790_000_000_000), 4.0)
+        >>> table.merge(new._replace(sequence=0, born_ms=1_790_000_000_000), 4.0)
         True
         """
         entry = self._entries.get(record.target_id)
-        if entry is None or (record.life > entry.record.life and record.service):
+        if entry is None or (record.incarnation > entry.record.incarnation and record.service):
             self.revision += 1
-            self.digest ^= record_mark(record) ^ (record_mark(entry.record) if entry else 0)
-            self._entries[record.target_id] = TargetEntry(record, heard_s, self.revision)
+            self.digest ^= record_hash(record) ^ (record_hash(entry.record) if entry else 0)
+            self._entries[record.target_id] = TargetEntry(record, received_s, self.revision)
             return True
-        if record.life < entry.record.life:
+        if record.incarnation < entry.record.incarnation:
             return False
-        if record.life > entry.record.life:
-            return self._end_unseen(entry, record, heard_s)
+        if record.incarnation > entry.record.incarnation:
+            return self._end_unknown_incarnation(entry, record, received_s)
         if record.phase < entry.record.phase:
             return False
         if record.phase == entry.record.phase:
-            return self._refresh(entry, record, heard_s)
+            return self._merge_same_phase(entry, record, received_s)
         if not record.service:
             record = entry.record._replace(phase=record.phase)
         if record.phase is TargetPhase.GONE and entry.record.phase is TargetPhase.SERVING:
-            entry.gone_s = heard_s
-        self._put(entry, record, heard_s)
+            entry.gone_at_s = received_s
+        self._put(entry, record, received_s)
         return True
 
     def report(self, record: TargetRecord, now_s: float) -> bool:
@@ -127,35 +127,40 @@
         >>> table.report(new._replace(born_ms=9_000), 0.0)
         True
         >>> back = new._replace(sequence=0, born_ms=5_000)
-        >>> table.report(back, 5.0), table.report(back, 5.0 + STALE_LIFE_S)
+        >>> table.report(back, 5.0), table.report(back, 5.0 + STALE_INCARNATION_S)
         (False, True)
         """
         entry = self._entries.get(record.target_id)
         if entry is None:
-            return self.take(record, now_s)
+            return self.merge(record, now_s)
         held = entry.record
         is_foreign = held.service not in ("", record.service)
-        if is_foreign or record.born_ms == held.overruled_ms != 0:
+        if is_foreign or record.born_ms == held.superseded_born_ms != 0:
             return False
-        is_over = now_s - entry.heard_s >= STALE_LIFE_S
+        is_over = now_s - entry.last_seen_s >= STALE_INCARNATION_S
         if 0 < record.born_ms < held.born_ms and is_over:
-            steps, overruled_ms = held.clock_steps + 1, held.born_ms
+            steps, superseded_born_ms = held.clock_steps + 1, held.born_ms
         else:
-            steps, overruled_ms = held.clock_steps, held.overruled_ms
+            steps, superseded_born_ms = held.clock_steps, held.superseded_born_ms
         record = record._replace(
-            clock_steps=steps, overruled_ms=overruled_ms, cold_at=self._cold_at(record, now_s)
+            clock_steps=steps,
+            superseded_born_ms=superseded_born_ms,
+            cold_sequence=self._cold_spell_sequence(record, now_s),
         )
-        changed = self.take(record, now_s)
-        self.hear(record.target_id, now_s, record.born_ms)
+        changed = self.merge(record, now_s)
+        self.mark_seen(record.target_id, now_s, record.born_ms)
         return changed
 
-    def _cold_at(self, record: TargetRecord, now_s: float) -> int:
+    def _cold_spell_sequence(self, record: TargetRecord, now_s: float) -> int:
         """Return which cold spell a target's own report tells of: a new one if it ends later."""
         entry = self._entries[record.target_id]
         if record.born_ms != entry.record.born_ms:
             return 0
-        is_new = record.cold_s > 0 and now_s + record.cold_s > entry.cold_until_s + COLD_SLACK_S
-        return record.sequence if is_new else entry.record.cold_at
+        is_new = (
+            record.cold_s > 0
+            and now_s + record.cold_s > entry.cold_until_s + COLD_SPELL_TOLERANCE_S
+        )
+        return record.sequence if is_new else entry.record.cold_sequence
 
     def leave(self, target_id: str, now_s: float, now_ms: int = 0) -> bool:
         """Note that a target said it is gone, known here or not.
@@ -164,16 +169,16 @@
         ends every life that was born before `now_ms`, the Unix time in ms.
         """
         entry = self._entries.get(target_id)
-        steps, born_ms = entry.record.life if entry else (0, now_ms)
+        steps, born_ms = entry.record.incarnation if entry else (0, now_ms)
         nowhere = Address("0.0.0.0", 0)
         gone = TargetRecord(target_id, "", nowhere, "", TargetPhase.GONE, 0)
-        return self.take(gone._replace(born_ms=born_ms, clock_steps=steps), now_s)
+        return self.merge(gone._replace(born_ms=born_ms, clock_steps=steps), now_s)
 
-    def hear(self, target_id: str, heard_s: float, born_ms: int = 0) -> None:
-        """Note that somebody heard a life of a target at `heard_s`."""
+    def mark_seen(self, target_id: str, seen_s: float, born_ms: int = 0) -> None:
+        """Note that somebody heard a life of a target at `received_s`."""
         entry = self._entries.get(target_id)
         if entry is not None and entry.record.born_ms == born_ms:
-            entry.heard_s = max(entry.heard_s, heard_s)
+            entry.last_seen_s = max(entry.last_seen_s, seen_s)
 
     def is_heartbeat(self, record: TargetRecord) -> bool:
         """Tell whether a report says of a serving target nothing that is not known.
@@ -181,7 +186,7 @@
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
-        >>> table.is_heartbeat(new), table.take(new, 1.0), table.is_heartbeat(new)
+        >>> table.is_heartbeat(new), table.merge(new, 1.0), table.is_heartbeat(new)
         (False, True, True)
         >>> table.is_heartbeat(new._replace(phase=TargetPhase.LEAVING))
         False
@@ -194,14 +199,14 @@
             sequence=held.sequence,
             cold_s=held.cold_s,
             clock_steps=held.clock_steps,
-            overruled_ms=held.overruled_ms,
-            cold_at=held.cold_at,
+            superseded_born_ms=held.superseded_born_ms,
+            cold_sequence=held.cold_sequence,
         )
 
-    def life_of(self, target_id: str) -> tuple[int, int] | None:
+    def incarnation_of(self, target_id: str) -> tuple[int, int] | None:
         """Return which life of a target is held, if it is known."""
         entry = self._entries.get(target_id)
-        return entry.record.life if entry else None
+        return entry.record.incarnation if entry else None
 
     def phase_of(self, target_id: str) -> TargetPhase | None:
         """Return the phase of a target, if it is known."""
@@ -213,10 +218,10 @@
         entry = self._entries.get(target_id)
         return entry.record if entry else None
 
-    def heard_s(self, target_id: str) -> float:
+    def last_seen_s(self, target_id: str) -> float:
         """Return when a target was last heard by anybody."""
         entry = self._entries.get(target_id)
-        return entry.heard_s if entry else float("-inf")
+        return entry.last_seen_s if entry else float("-inf")
 
     def age_s(self, target_id: str, now_s: float, heartbeat_s: float) -> float:
         """Return for how long a target has run, by its first report known here.
@@ -227,13 +232,13 @@
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
-        >>> table.take(new, 10.0), table.age_s("t", 40.0, 1.2)
+        >>> table.merge(new, 10.0), table.age_s("t", 40.0, 1.2)
         (True, 34.8)
         """
         entry = self._entries.get(target_id)
         if entry is None:
             return 0.0
-        return now_s - entry.first_s + entry.first_sequence * heartbeat_s
+        return now_s - entry.first_seen_s + entry.first_sequence * heartbeat_s
 
     def is_superseded(self, target_id: str, heartbeat_s: float) -> bool:
         """Tell whether a later start has the address of a target that did not say it is gone.
@@ -248,7 +253,7 @@
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("new", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 1)
-        >>> table.take(new, 0.0), table.take(new._replace(target_id="old", sequence=40), 1.0)
+        >>> table.merge(new, 0.0), table.merge(new._replace(target_id="old", sequence=40), 1.0)
         (True, True)
         >>> table.is_superseded("old", 1.2), table.is_superseded("new", 1.2)
         (True, False)
@@ -256,11 +261,11 @@
         entry = self._entries.get(target_id)
         if entry is None:
             return False
-        if self._contested_at != self.revision:
+        if self._contested_revision != self.revision:
             self._contested = contested_addresses(self._entries.values())
-            self._contested_at = self.revision
+            self._contested_revision = self.revision
         rivals = self._contested.get(entry.record.address)
-        return rivals is not None and occupant(rivals, heartbeat_s) is not entry
+        return rivals is not None and address_owner(rivals, heartbeat_s) is not entry
 
     def __len__(self) -> int:
         """Return how many targets are known, those among them that are gone."""
@@ -272,7 +277,7 @@
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
-        >>> table.take(new, 1.0), table.take(new._replace(target_id="u"), 1.0)
+        >>> table.merge(new, 1.0), table.merge(new._replace(target_id="u"), 1.0)
         (True, True)
         >>> some = table.changed_since(0, limit=1)
         >>> some.revision, [record.target_id for record in some.records]
@@ -280,101 +285,106 @@
         >>> table.changed_since(some.revision).revision
         2
         """
-        changed = [entry for entry in self._entries.values() if entry.changed_at > revision]
+        changed = [entry for entry in self._entries.values() if entry.changed_revision > revision]
         if limit is None or len(changed) <= limit:
             return Changes(tuple(entry.record for entry in changed), self.revision)
-        changed = nsmallest(limit, changed, key=lambda entry: entry.changed_at)
-        told = changed[-1].changed_at if changed else revision
+        changed = nsmallest(limit, changed, key=lambda entry: entry.changed_revision)
+        told = changed[-1].changed_revision if changed else revision
         return Changes(tuple(entry.record for entry in changed), told)
 
-    def changes_for(self, revision: int, limit: int) -> Changes:
+    def compact_changes_since(self, revision: int, limit: int) -> Changes:
         """Return at most `limit` changes after a revision to who knows all up to there.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
         >>> left = new._replace(phase=TargetPhase.LEAVING, sequence=5)
-        >>> table.take(new, 1.0), table.take(left, 2.0)
+        >>> table.merge(new, 1.0), table.merge(left, 2.0)
         (True, True)
-        >>> table.changes_for(1, 9).phases[0].phase, len(table.changes_for(0, 9).records)
-        (<TargetPhase.LEAVING: 1>, 1)
+        >>> table.compact_changes_since(1, 9).phases[0].phase
+        <TargetPhase.LEAVING: 1>
+        >>> len(table.compact_changes_since(0, 9).records)
+        1
         """
         changes = self.changed_since(revision, limit)
         records = [
             record
             for record in changes.records
-            if self._entries[record.target_id].described_at > revision
+            if self._entries[record.target_id].content_revision > revision
         ]
         told = {record.target_id for record in records}
         phases = [
-            PhaseChange(record.target_id, record.phase, record.sequence, record.life)
+            PhaseChange(record.target_id, record.phase, record.sequence, record.incarnation)
             for record in changes.records
             if record.target_id not in told
         ]
         return Changes(tuple(records), changes.revision, tuple(phases))
 
-    def described(self, phases: Iterable[PhaseChange]) -> list[TargetRecord]:
+    def expand_phases(self, phases: Iterable[PhaseChange]) -> list[TargetRecord]:
         """Return the records that changes of phase amount to; of lives not held here none."""
         records = []
         for change in phases:
             entry = self._entries.get(change.target_id)
-            if entry is not None and entry.record.life == change.life:
+            if entry is not None and entry.record.incarnation == change.incarnation:
                 records.append(entry.record._replace(phase=change.phase, sequence=change.sequence))
         return records
 
-    def as_of(self, records: Iterable[TargetRecord], now_s: float) -> tuple[TargetRecord, ...]:
+    def with_remaining_cold_time(
+        self, records: Iterable[TargetRecord], now_s: float
+    ) -> tuple[TargetRecord, ...]:
         """Return records that are held here with how long their targets stay cold from now on.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
-        >>> table.take(new._replace(cold_s=3.0), 1.0)
+        >>> table.merge(new._replace(cold_s=3.0), 1.0)
         True
-        >>> table.as_of([new], 2.5)[0].cold_s, table.as_of([new], 9.0)[0].cold_s
-        (1.5, 0.0)
+        >>> [table.with_remaining_cold_time([new], now_s)[0].cold_s for now_s in (2.5, 9.0)]
+        [1.5, 0.0]
         """
-        return tuple(self._as_of(record, now_s) for record in records)
+        return tuple(self._with_remaining_cold_time(record, now_s) for record in records)
 
-    def _as_of(self, record: TargetRecord, now_s: float) -> TargetRecord:
+    def _with_remaining_cold_time(self, record: TargetRecord, now_s: float) -> TargetRecord:
         cold_s = max(0.0, self._entries[record.target_id].cold_until_s - now_s)
         return record if record.cold_s == cold_s else record._replace(cold_s=cold_s)
 
-    def silent_since(self, since_s: float, now_s: float) -> Silence:
+    def silent_since(self, since_s: float, now_s: float) -> SilentTargets:
         """Return which living targets were not heard since a time, and how the others stand.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
-        >>> table.take(new, 1.0), table.take(new._replace(target_id="u"), 5.0)
+        >>> table.merge(new, 1.0), table.merge(new._replace(target_id="u"), 5.0)
         (True, True)
         >>> table.silent_since(3.0, now_s=6.0)
-        Silence(target_ids=('t',), others_heard_s=5.0)
+        SilentTargets(target_ids=('t',), others_seen_s=5.0)
         """
-        silent, others_heard_s = [], now_s
+        silent, others_seen_s = [], now_s
         for target_id, entry in self._entries.items():
             if entry.record.phase is TargetPhase.GONE:
                 continue
-            if entry.heard_s < since_s:
+            if entry.last_seen_s < since_s:
                 silent.append(target_id)
             else:
-                others_heard_s = min(others_heard_s, entry.heard_s)
-        return Silence(tuple(silent), others_heard_s)
+                others_seen_s = min(others_seen_s, entry.last_seen_s)
+        return SilentTargets(tuple(silent), others_seen_s)
 
-    def hear_others(self, silence: Silence) -> None:
+    def mark_others_seen(self, silence: SilentTargets) -> None:
         """Note that somebody heard all living targets but the silent ones.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
-        >>> table.take(new, 1.0), table.take(new._replace(target_id="u"), 1.0)
+        >>> table.merge(new, 1.0), table.merge(new._replace(target_id="u"), 1.0)
         (True, True)
-        >>> table.hear_others(Silence(("t",), 5.0)); table.heard_s("t"), table.heard_s("u")
+        >>> table.mark_others_seen(SilentTargets(("t",), 5.0))
+        >>> table.last_seen_s("t"), table.last_seen_s("u")
         (1.0, 5.0)
         """
         silent = frozenset(silence.target_ids)
         for target_id, entry in self._entries.items():
             if target_id not in silent and entry.record.phase is not TargetPhase.GONE:
-                entry.heard_s = max(entry.heard_s, silence.others_heard_s)
+                entry.last_seen_s = max(entry.last_seen_s, silence.others_seen_s)
 
     def serving(self) -> list[TargetRecord]:
         """Return the records of all targets that take work."""
@@ -395,67 +405,71 @@
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
         >>> new = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
-        >>> table.take(new, 0.0), table.leave("t", 1.0)
+        >>> table.merge(new, 0.0), table.leave("t", 1.0)
         (True, True)
         >>> len(table.departed(2.0, 2.0)), len(table.departed(4.0, 2.0))
         (1, 0)
         """
         oldest_s = now_s - within_s
-        return [entry.record for entry in self._entries.values() if entry.gone_s >= oldest_s]
+        return [entry.record for entry in self._entries.values() if entry.gone_at_s >= oldest_s]
 
     def forget(self, now_s: float) -> list[str]:
         """Drop tombstones and silent targets that are too old; return their ids."""
         old = [
             target_id
             for target_id, entry in self._entries.items()
-            if now_s - entry.heard_s
+            if now_s - entry.last_seen_s
             > (TOMBSTONE_S if entry.record.phase is TargetPhase.GONE else FORGET_S)
         ]
         for target_id in old:
-            self.digest ^= record_mark(self._entries.pop(target_id).record)
-            self._contested_at = -1
+            self.digest ^= record_hash(self._entries.pop(target_id).record)
+            self._contested_revision = -1
         return old
 
-    def _refresh(self, entry: TargetEntry, record: TargetRecord, heard_s: float) -> bool:
+    def _merge_same_phase(
+        self, entry: TargetEntry, record: TargetRecord, received_s: float
+    ) -> bool:
         """Take a newer report of the same phase; it changes something if it says something new."""
         if record.phase is TargetPhase.GONE:
             return False
-        if record.cold_at > entry.record.cold_at:
+        if record.cold_sequence > entry.record.cold_sequence:
             sequence = max(record.sequence, entry.record.sequence)
-            self._put(entry, record._replace(sequence=sequence), heard_s)
+            self._put(entry, record._replace(sequence=sequence), received_s)
             return True
         if record.sequence <= entry.record.sequence:
             return False
-        if record.cold_at != entry.record.cold_at:
-            record = record._replace(cold_at=entry.record.cold_at)
-        entry.heard_s = max(entry.heard_s, heard_s)
+        if record.cold_sequence != entry.record.cold_sequence:
+            record = record._replace(cold_sequence=entry.record.cold_sequence)
+        entry.last_seen_s = max(entry.last_seen_s, received_s)
         unchanged = entry.record._replace(sequence=record.sequence, cold_s=record.cold_s)
         if record == unchanged:
             entry.record = record
             return False
-        self._put(entry, record, heard_s)
+        self._put(entry, record, received_s)
         return True
 
-    def _end_unseen(self, entry: TargetEntry, record: TargetRecord, heard_s: float) -> bool:
+    def _end_unknown_incarnation(
+        self, entry: TargetEntry, record: TargetRecord, received_s: float
+    ) -> bool:
         """Take the end of a later life of which nothing else is known here."""
         if entry.record.phase is TargetPhase.SERVING:
-            entry.gone_s = heard_s
+            entry.gone_at_s = received_s
         ended = entry.record._replace(
             phase=record.phase, born_ms=record.born_ms, clock_steps=record.clock_steps
         )
-        self._put(entry, ended, heard_s)
+        self._put(entry, ended, received_s)
         return True
 
-    def _put(self, entry: TargetEntry, record: TargetRecord, heard_s: float) -> None:
+    def _put(self, entry: TargetEntry, record: TargetRecord, received_s: float) -> None:
         self.revision += 1
-        self.digest ^= record_mark(entry.record) ^ record_mark(record)
+        self.digest ^= record_hash(entry.record) ^ record_hash(record)
         known = entry.record._replace(
             phase=record.phase, sequence=record.sequence, cold_s=record.cold_s
         )
         if known != record:
-            entry.described_at = self.revision
-        if record.cold_at > entry.record.cold_at:
-            entry.cold_until_s = max(entry.cold_until_s, heard_s + record.cold_s)
+            entry.content_revision = self.revision
+        if record.cold_sequence > entry.record.cold_sequence:
+            entry.cold_until_s = max(entry.cold_until_s, received_s + record.cold_s)
         entry.record = record
-        entry.heard_s = max(entry.heard_s, heard_s)
-        entry.changed_at = self.revision
+        entry.last_seen_s = max(entry.last_seen_s, received_s)
+        entry.changed_revision = self.revision
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/samples.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/samples.py
@@ -60,69 +60,71 @@
         self.random = Random(seed)
         self.cores: dict[Address, MembershipCore] = {}
         self.events: list[tuple[float, str, Event]] = []
-        self.passes: Callable[[str, str], bool] = lambda source, target: True
+        self.delivers: Callable[[str, str], bool] = lambda source, target: True
         self.copies = 1
-        self._underway: list[tuple] = []
+        self._in_flight: list[tuple] = []
         for index, domain in enumerate(domains):
             self.add(router(index, domain))
 
     def add(
         self,
-        me: RouterRecord,
+        own_record: RouterRecord,
         parameters: MembershipParameters | None = None,
         near_domains: tuple[str, ...] = (),
     ) -> MembershipCore:
         seeds = (router(0).address,)
         parameters = parameters or MembershipParameters(warm_up_s=0.0)
         random = Random(self.random.random())
-        core = MembershipCore(me, seeds, random, self.now_s, parameters, near_domains)
-        self.cores[me.address] = core
+        core = MembershipCore(own_record, seeds, random, self.now_s, parameters, near_domains)
+        self.cores[own_record.address] = core
         return core
 
     def core(self, index: int) -> MembershipCore:
         return self.cores[router(index).address]
 
-    def take(self, core: MembershipCore, output: Output) -> None:
-        me = core.router_table.me
+    def apply_output(self, core: MembershipCore, output: Output) -> None:
+        me = core.router_table.own_record
         self.events += [(self.now_s, me.router_id, event) for event in output.events]
         for send in output.sends:
             for _ in range(self.copies):
-                self._underway.append((me, send))
+                self._in_flight.append((me, send))
 
-    def announce(self, index: int, said: TargetAnnouncement) -> bool:
+    def announce(self, index: int, message: TargetAnnouncement) -> bool:
         core = self.core(index)
-        outcome, output = core.announce(said, self.now_s)
-        self.take(core, output)
+        outcome, output = core.announce(message, self.now_s)
+        self.apply_output(core, output)
         return outcome.accepted
 
     def step(self) -> None:
         self.now_s += TICK_S
-        underway, self._underway = self._underway, []
+        underway, self._in_flight = self._in_flight, []
         if self.copies > 1:
             self.random.shuffle(underway)
         for sender, send in underway:
             core = self.cores.get(send.address)
-            if core is None or not self.passes(sender.router_id, core.router_table.me.router_id):
+            if core is None or not self.delivers(
+                sender.router_id, core.router_table.own_record.router_id
+            ):
                 continue
             output = core.receive(
                 sender.router_id, sender.incarnation, sender.address, send.message, self.now_s
             )
-            self.take(core, output)
+            self.apply_output(core, output)
         for core in list(self.cores.values()):
-            self.take(core, core.tick(self.now_s))
+            self.apply_output(core, core.tick(self.now_s))
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / TICK_S)):
             self.step()
 
-    def until(self, condition: Callable[[], bool], limit_s: float) -> bool:
+    def run_until(self, condition: Callable[[], bool], limit_s: float) -> bool:
         end_s = self.now_s + limit_s
         while not condition() and self.now_s < end_s:
             self.step()
         return condition()
 
-    def all_know(self, count: int) -> bool:
+    def all_have_routers(self, count: int) -> bool:
         return all(len(core.routers()) == count for core in self.cores.values())
 
-    def all_hold(self, count: int) -> bool:
+    def all_have_targets(self, count: int) -> bool:
         return all(len(core.targets(self.now_s)) == count for core in self.cores.values())
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/seeded_faults.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/seeded_faults.py
@@ -9,21 +9,21 @@
 class Revives(TargetTable):
     """Takes any later report for the truth."""
 
-    def take(self, record, heard_s):
+    def merge(self, record, received_s):
         entry = self._entries.get(record.target_id)
         if entry is not None and record.phase < entry.record.phase:
-            self._put(entry, record, heard_s)
+            self._put(entry, record, received_s)
             return True
-        return super().take(record, heard_s)
+        return super().merge(record, received_s)
 
 
 class TrustsLast(TargetTable):
     """Takes no notice of sequences within a phase."""
 
-    def _refresh(self, entry, record, heard_s):
+    def _merge_same_phase(self, entry, record, received_s):
         if record.phase is TargetPhase.GONE or record == entry.record:
             return False
-        self._put(entry, record, heard_s)
+        self._put(entry, record, received_s)
         return True
 
 
@@ -34,7 +34,7 @@
         old = [
             key
             for key, entry in self._entries.items()
-            if entry.record.phase is TargetPhase.GONE and now_s - entry.heard_s > 1.0
+            if entry.record.phase is TargetPhase.GONE and now_s - entry.last_seen_s > 1.0
         ]
         for key in old:
             del self._entries[key]
@@ -44,21 +44,21 @@
 class TellsNoMoves(TargetTable):
     """Changes an address without telling anybody."""
 
-    def _refresh(self, entry, record, heard_s):
-        revision, changed_at = self.revision, entry.changed_at
-        changed = super()._refresh(entry, record, heard_s)
-        self.revision, entry.changed_at = revision, changed_at
+    def _merge_same_phase(self, entry, record, received_s):
+        revision, changed_at = self.revision, entry.changed_revision
+        changed = super()._merge_same_phase(entry, record, received_s)
+        self.revision, entry.changed_revision = revision, changed_at
         return changed
 
 
 class MixesLives(TargetTable):
     """Orders a target's reports by phase and sequence, whichever life they are of."""
 
-    def take(self, record, heard_s):
+    def merge(self, record, received_s):
         entry = self._entries.get(record.target_id)
         if entry is not None and record.phase is not TargetPhase.SERVING:
             record = record._replace(born_ms=entry.record.born_ms)
-        return super().take(record, heard_s)
+        return super().merge(record, received_s)
 
 
 _FAULTY_TABLES = (Revives, TrustsLast, BuriesSoon, TellsNoMoves, MixesLives)
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/target_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/target_histories.py
@@ -20,28 +20,28 @@
 ROUTERS = ("e0", "e1")
 TARGETS = ("ta", "tb", "tc")
 # One that tells no birth has one life.
-TELLS_NO_BIRTH = "tc"
+WITHOUT_START_TIME = "tc"
 # A report may be this late; tombstones outlive it by far.
-LATE_S = 10.0
+MAX_REPORT_DELAY_S = 10.0
 
 replicas = st.sampled_from(REPLICAS)
 listeners = st.sampled_from(REPLICAS + ROUTERS)
 target_ids = st.sampled_from(TARGETS)
 
 
-def _age_order(record: TargetRecord) -> tuple[tuple[int, int], TargetPhase, int]:
+def _merge_order(record: TargetRecord) -> tuple[tuple[int, int], TargetPhase, int]:
     """Return what grows over a target's lives."""
-    return (record.life, record.phase, record.sequence)
+    return (record.incarnation, record.phase, record.sequence)
 
 
-class Said(NamedTuple):
+class SentReport(NamedTuple):
     """One thing that a target said, and when."""
 
     record: TargetRecord
     at_s: float
 
 
-class Target:
+class ReportingTarget:
     """A target of the oracle: its life so far and all that it said."""
 
     def __init__(self, born_ms: int) -> None:
@@ -49,7 +49,7 @@
         self.sequence = 0
         self.phase = TargetPhase.SERVING
         self.port = 1
-        self.said: list[Said] = []
+        self.reports: list[SentReport] = []
 
 
 class TargetHistory(RuleBasedStateMachine):
@@ -61,75 +61,77 @@
         super().__init__()
         self.now_s = 0.0
         self.tables = {name: self.table_class() for name in REPLICAS + ROUTERS}
-        self.told: dict[tuple[str, str], int] = {}
-        self.cut: set[frozenset[str]] = set()
-        self.targets = {name: Target(int(name != TELLS_NO_BIRTH)) for name in TARGETS}
+        self.sent_revisions: dict[tuple[str, str], int] = {}
+        self.cut_links: set[frozenset[str]] = set()
+        self.targets = {name: ReportingTarget(int(name != WITHOUT_START_TIME)) for name in TARGETS}
         # The newest that a table was told, until the process restarts or forgets.
         self.known: dict[tuple[str, str], TargetRecord] = {}
 
     @rule(target_id=target_ids, replica=replicas)
     def report(self, target_id: str, replica: str) -> None:
         """A target reports its present phase to a replica."""
-        self._hear(replica, self._say(target_id))
+        self._deliver(replica, self._make_report(target_id))
 
     @rule(target_id=target_ids, replica=replicas, phase=st.sampled_from(list(TargetPhase)))
     def change_phase(self, target_id: str, replica: str, phase: TargetPhase) -> None:
         """A target moves on in its life and says so."""
         one = self.targets[target_id]
         one.phase = max(one.phase, phase)
-        self._hear(replica, self._say(target_id))
+        self._deliver(replica, self._make_report(target_id))
 
     @rule(target_id=target_ids, replica=replicas, born_after_ms=st.integers(1, 3))
     def start_again(self, target_id: str, replica: str, born_after_ms: int) -> None:
         """A target that tells its birth starts again under its id, and counts anew."""
         one = self.targets[target_id]
-        if target_id == TELLS_NO_BIRTH:
+        if target_id == WITHOUT_START_TIME:
             return
         one.born_ms += born_after_ms
         one.sequence, one.phase = 0, TargetPhase.SERVING
-        self._hear(replica, self._say(target_id))
+        self._deliver(replica, self._make_report(target_id))
 
     @rule(target_id=target_ids, replica=replicas)
     def move(self, target_id: str, replica: str) -> None:
         """A target that serves reports another address."""
         self.targets[target_id].port += 1
-        self._hear(replica, self._say(target_id))
+        self._deliver(replica, self._make_report(target_id))
 
     @rule(target_id=target_ids, replica=replicas, index=st.integers(0, 30))
     def repeat_late(self, target_id: str, replica: str, index: int) -> None:
         """An earlier report arrives once more, late."""
-        said = self.targets[target_id].said
+        said = self.targets[target_id].reports
         if said:
             old = said[index % len(said)]
-            if self.now_s - old.at_s <= LATE_S:
-                self._hear(replica, old.record)
+            if self.now_s - old.at_s <= MAX_REPORT_DELAY_S:
+                self._deliver(replica, old.record)
 
     @rule(teller=replicas, listener=listeners)
     def tell(self, teller: str, listener: str) -> None:
         """A replica tells what changed since it last told."""
-        if teller == listener or frozenset((teller, listener)) in self.cut:
+        if teller == listener or frozenset((teller, listener)) in self.cut_links:
             return
         table = self.tables[teller]
-        for record in table.changed_since(self.told.get((teller, listener), 0)).records:
-            self._hear(listener, record)
-        self.told[teller, listener] = table.revision
+        for record in table.changed_since(self.sent_revisions.get((teller, listener), 0)).records:
+            self._deliver(listener, record)
+        self.sent_revisions[teller, listener] = table.revision
 
     @rule(teller=replicas, listener=listeners)
     def cut_link(self, teller: str, listener: str) -> None:
         """Cut two processes from each other."""
-        self.cut.add(frozenset((teller, listener)))
+        self.cut_links.add(frozenset((teller, listener)))
 
     @rule()
     def heal(self) -> None:
         """Mend all links."""
-        self.cut.clear()
+        self.cut_links.clear()
 
     @rule(process=listeners)
     def restart(self, process: str) -> None:
         """A process restarts with an empty table, and is told everything anew."""
         self.tables[process] = self.table_class()
         self.known = {key: record for key, record in self.known.items() if key[0] != process}
-        self.told = {pair: at for pair, at in self.told.items() if process not in pair}
+        self.sent_revisions = {
+            pair: at for pair, at in self.sent_revisions.items() if process not in pair
+        }
 
     @rule(wait_s=st.sampled_from([0.1, 1.0, 9.0]))
     def wait(self, wait_s: float) -> None:
@@ -145,15 +147,15 @@
         for (process, target_id), record in self.known.items():
             shown = self.tables[process].record_of(target_id)
             assert shown is not None, (process, record)
-            order = (record.life, record.phase)
-            assert (shown.life, shown.phase) >= order, (process, record, shown)
+            order = (record.incarnation, record.phase)
+            assert (shown.incarnation, shown.phase) >= order, (process, record, shown)
 
     @invariant()
     def nothing_is_invented(self) -> None:
         """What a table shows of a target that serves, the target has said."""
         for process, table in self.tables.items():
             for record in table.serving():
-                said = [item.record for item in self.targets[record.target_id].said]
+                said = [item.record for item in self.targets[record.target_id].reports]
                 assert record in said, (process, record)
 
     def teardown(self) -> None:
@@ -176,7 +178,7 @@
         told = [self.known[name, target_id] for name in REPLICAS if (name, target_id) in self.known]
         if not told:
             return None
-        newest = max(told, key=_age_order)
+        newest = max(told, key=_merge_order)
         is_gone = newest.phase is TargetPhase.GONE
         return (newest.born_ms, newest.phase, None if is_gone else newest.address)
 
@@ -187,9 +189,9 @@
         for name in ROUTERS:
             record = self.tables[name].record_of(target_id)
             assert record is not None, (name, newest)
-            at_least = (record.life, record.phase) >= (newest.life, newest.phase)
+            at_least = (record.incarnation, record.phase) >= (newest.incarnation, newest.phase)
             assert at_least, (name, record, newest)
-            is_ahead = _age_order(record) > _age_order(newest)
+            is_ahead = _merge_order(record) > _merge_order(newest)
             is_gone = record.phase is TargetPhase.GONE
             assert is_ahead or is_gone or record.address == newest.address, (name, record, newest)
 
@@ -203,21 +205,21 @@
         is_gone = record.phase is TargetPhase.GONE
         return (record.born_ms, record.phase, None if is_gone else record.address)
 
-    def _say(self, target: str) -> TargetRecord:
+    def _make_report(self, target: str) -> TargetRecord:
         """Have a target say what it is now."""
         one = self.targets[target]
         one.sequence += 1
         record = TargetRecord(
             target, "s", Address("127.0.0.1", one.port), "d", one.phase, one.sequence, 4
         )._replace(born_ms=one.born_ms)
-        one.said.append(Said(record, self.now_s))
+        one.reports.append(SentReport(record, self.now_s))
         return record
 
-    def _hear(self, process: str, record: TargetRecord) -> None:
+    def _deliver(self, process: str, record: TargetRecord) -> None:
         """Have a process take a record, and note what it knows from then on."""
-        self.tables[process].take(record, self.now_s)
+        self.tables[process].merge(record, self.now_s)
         key = (process, record.target_id)
-        self.known[key] = max(self.known.get(key, record), record, key=_age_order)
+        self.known[key] = max(self.known.get(key, record), record, key=_merge_order)
 
 
-assert TOMBSTONE_S > LATE_S
+assert TOMBSTONE_S > MAX_REPORT_DELAY_S
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_core.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_core.py
@@ -20,22 +20,22 @@
 class MembershipCoreTest(TestCase):
     def settled(self, domains: list[str], seed: int = 1) -> Network:
         network = Network(domains, seed)
-        self.assertTrue(network.until(lambda: network.all_know(len(domains)), 60.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_routers(len(domains)), 60.0))
         return network
 
     def test_eight_routers_in_three_domains_find_each_other(self):
         network = self.settled(list("abcabcab"))
         self.assertTrue(network.announce(4, announcement(domain="b")))
-        self.assertTrue(network.until(lambda: network.all_hold(1), 2.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(1), 2.0))
 
     def test_a_leave_reaches_fifty_routers_within_two_seconds(self):
         network = self.settled(["a"] * 50)
         network.announce(3, announcement(lease_s=60.0))
-        self.assertTrue(network.until(lambda: network.all_hold(1), 10.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(1), 10.0))
         self.assertTrue(network.announce(7, leaving()))
-        self.assertTrue(network.until(lambda: network.all_hold(0), 2.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(0), 2.0))
         network.run(20.0)
-        self.assertTrue(network.all_hold(0))
+        self.assertTrue(network.all_have_targets(0))
 
     def test_a_stale_announcement_after_the_leave_is_refused_everywhere(self):
         network = self.settled(["a"] * 5)
@@ -49,29 +49,29 @@
     def test_a_router_that_missed_the_leave_is_told(self):
         network = self.settled(["a"] * 4)
         network.announce(0, announcement(lease_s=60.0))
-        self.assertTrue(network.until(lambda: network.all_hold(1), 5.0))
-        network.passes = lambda source, target: "router-03" not in (source, target)
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(1), 5.0))
+        network.delivers = lambda source, target: "router-03" not in (source, target)
         network.announce(1, leaving())
         network.run(12.0)
         self.assertEqual(len(network.core(3).targets(network.now_s)), 1)
-        network.passes = lambda source, target: True
-        self.assertTrue(network.until(lambda: network.all_hold(0), 30.0))
+        network.delivers = lambda source, target: True
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(0), 30.0))
 
     def test_a_lapse_needs_no_word_and_happens_everywhere(self):
         network = self.settled(["a"] * 6)
         network.announce(0, announcement(lease_s=6.0))
-        self.assertTrue(network.until(lambda: network.all_hold(1), 3.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(1), 3.0))
         network.run(7.0)
-        self.assertTrue(network.all_hold(0))
+        self.assertTrue(network.all_have_targets(0))
         reasons = {e.reason.name for _, _, e in network.events if isinstance(e, TargetGone)}
         self.assertEqual(reasons, {"LAPSED"})
 
     def test_a_lapse_is_told_to_another_domain(self):
         network = self.settled(list("aaabbb"))
         network.announce(0, announcement(lease_s=10.0))
-        self.assertTrue(network.until(lambda: network.all_hold(1), 8.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(1), 8.0))
         # Far sooner than the vouching for a whole domain ends, which takes three minutes.
-        self.assertTrue(network.until(lambda: network.all_hold(0), 20.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(0), 20.0))
 
     def test_a_router_that_just_started_in_a_large_domain_judges_no_target_by_its_lease(self):
         network = Network([])
@@ -89,7 +89,7 @@
         for sequence in range(1, 21):
             network.announce(0, announcement(sequence=sequence, load_tokens=sequence))
             network.run(2.0)
-        self.assertTrue(network.all_hold(1))
+        self.assertTrue(network.all_have_targets(1))
         self.assertFalse([e for _, _, e in network.events if isinstance(e, TargetGone)])
         loads = [e.report for _, name, e in network.events if isinstance(e, LoadHeard)]
         self.assertGreaterEqual(max(report.load_tokens for report in loads), 18)
@@ -98,7 +98,7 @@
         network = self.settled(["a"] * 5)
         network.events.clear()
         before = sum(core.suspicions for core in network.cores.values())
-        network.passes = lambda source, target: (source, target) != ("router-01", "router-02")
+        network.delivers = lambda source, target: (source, target) != ("router-01", "router-02")
         network.run(60.0)
         self.assertEqual(sum(core.suspicions for core in network.cores.values()), before)
         self.assertFalse([e for _, _, e in network.events if isinstance(e, RouterGone)])
@@ -106,43 +106,45 @@
     def test_a_dead_router_is_found_and_its_restart_welcomed(self):
         network = self.settled(["a"] * 5)
         del network.cores[router(2).address]
-        self.assertTrue(network.until(lambda: network.all_know(4), 40.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_routers(4), 40.0))
         network.add(router(2, incarnation=5))
-        self.assertTrue(network.until(lambda: network.all_know(5), 60.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_routers(5), 60.0))
         self.assertGreaterEqual(network.core(0).router_table.get("router-02").incarnation, 5)
 
     def test_a_restart_with_a_lower_incarnation_rises_above_the_old_one(self):
         network = self.settled(["a"] * 4)
         del network.cores[router(2).address]
-        self.assertTrue(network.until(lambda: network.all_know(3), 40.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_routers(3), 40.0))
         network.add(router(2, incarnation=0))
-        self.assertTrue(network.until(lambda: network.all_know(4), 90.0))
-        self.assertGreater(network.core(2).router_table.me.incarnation, 1)
+        self.assertTrue(network.run_until(lambda: network.all_have_routers(4), 90.0))
+        self.assertGreater(network.core(2).router_table.own_record.incarnation, 1)
 
     def test_a_live_router_refutes_its_death(self):
         network = self.settled(["a"] * 3)
         core = network.core(1)
         dead = router(1)._replace(state=RouterState.DEAD, incarnation=4)
-        network.take(core, core.receive("router-00", 1, router(0).address, News((dead,)), 99.0))
-        self.assertEqual(core.router_table.me.incarnation, 5)
-        self.assertEqual(core.router_table.me.state, RouterState.ALIVE)
+        network.apply_output(
+            core, core.receive("router-00", 1, router(0).address, News((dead,)), 99.0)
+        )
+        self.assertEqual(core.router_table.own_record.incarnation, 5)
+        self.assertEqual(core.router_table.own_record.state, RouterState.ALIVE)
 
     def test_a_domain_that_is_cut_off_goes_on_and_merges_again(self):
         network = self.settled(list("aaabbb"))
         cut = {"router-03", "router-04", "router-05"}
         network.announce(0, announcement("in-a", lease_s=60.0))
         network.announce(3, announcement("in-b", domain="b", lease_s=60.0))
-        self.assertTrue(network.until(lambda: network.all_hold(2), 20.0))
-        network.passes = lambda source, target: (source in cut) == (target in cut)
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(2), 20.0))
+        network.delivers = lambda source, target: (source in cut) == (target in cut)
         network.run(30.0)
         self.assertEqual(len(network.core(4).router_table.ring("b")), 3)
         self.assertEqual(len(network.core(1).router_table.ring("a")), 3)
         network.announce(4, announcement("new-in-b", domain="b", lease_s=60.0))
         network.announce(5, announcement("in-b", domain="b", sequence=2, lease_s=60.0))
         network.announce(1, announcement("in-a", sequence=2, lease_s=60.0))
-        network.passes = lambda source, target: True
-        self.assertTrue(network.until(lambda: network.all_know(6), 120.0))
-        self.assertTrue(network.until(lambda: network.all_hold(3), 60.0))
+        network.delivers = lambda source, target: True
+        self.assertTrue(network.run_until(lambda: network.all_have_routers(6), 120.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(3), 60.0))
 
     def test_a_flapping_target_is_held_back_and_comes_back(self):
         network = self.settled(["a"])
@@ -155,7 +157,7 @@
         changed = [e for _, _, e in network.events if isinstance(e, TargetChanged)]
         self.assertEqual([e.target.incarnation for e in changed], [1, 2, 3])
         self.assertEqual(network.core(0).targets(network.now_s), [])
-        self.assertTrue(network.until(lambda: network.all_hold(1), 55.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(1), 55.0))
         self.assertEqual(network.core(0).targets(network.now_s)[0].target_id, "target")
         gone = [e for _, _, e in network.events if isinstance(e, TargetGone)]
         self.assertEqual(len(gone), 5)
@@ -166,11 +168,11 @@
         for sequence in range(1, 8):
             network.announce(sequence % 6, announcement(sequence=sequence))
             network.run(1.0)
-        self.assertTrue(network.all_hold(1))
+        self.assertTrue(network.all_have_targets(1))
         network.announce(0, leaving(sequence=9))
         network.run(10.0)
-        self.assertTrue(network.all_hold(0))
-        self.assertTrue(network.all_know(6))
+        self.assertTrue(network.all_have_targets(0))
+        self.assertTrue(network.all_have_routers(6))
 
     def test_a_clock_that_goes_back_stands_still(self):
         network = self.settled(["a"] * 3)
@@ -201,8 +203,8 @@
         network = self.settled(["a"] * 4)
         network.events.clear()
         core = network.core(3)
-        network.take(core, core.leave(network.now_s))
+        network.apply_output(core, core.leave(network.now_s))
         del network.cores[router(3).address]
-        self.assertTrue(network.until(lambda: network.all_know(3), 2.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_routers(3), 2.0))
         network.run(30.0)
         self.assertFalse([e for _, _, e in network.events if isinstance(e, RouterJoined)])
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_table.py
@@ -7,7 +7,11 @@
 from hypothesis import strategies as st
 
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
-from damaskwind.decisions.membership.target_table import STALE_LIFE_S, TOMBSTONE_S, TargetTable
+from damaskwind.decisions.membership.target_table import (
+    STALE_INCARNATION_S,
+    TOMBSTONE_S,
+    TargetTable,
+)
 from damaskwind.model.targets import Address
 
 
@@ -35,53 +39,53 @@
 class TargetTableTest(unittest.TestCase):
     def test_late_report_revives_nothing(self):
         table = TargetTable()
-        table.take(record(sequence=5), 0.0)
+        table.merge(record(sequence=5), 0.0)
         self.assertTrue(table.leave("t", 1.0))
-        self.assertFalse(table.take(record(sequence=9), 2.0))
+        self.assertFalse(table.merge(record(sequence=9), 2.0))
         self.assertEqual(table.serving(), [])
 
     def test_leave_of_an_unknown_target_is_kept(self):
         table = TargetTable()
         table.leave("t", 0.0)
-        self.assertFalse(table.take(record(sequence=9), 1.0))
+        self.assertFalse(table.merge(record(sequence=9), 1.0))
 
     def test_leaving_is_final_and_still_living(self):
         table = TargetTable()
-        table.take(record(phase=TargetPhase.LEAVING, sequence=3), 0.0)
-        self.assertFalse(table.take(record(sequence=4), 0.0))
+        table.merge(record(phase=TargetPhase.LEAVING, sequence=3), 0.0)
+        self.assertFalse(table.merge(record(sequence=4), 0.0))
         self.assertEqual(table.serving(), [])
         self.assertEqual(len(table.living()), 1)
 
     def test_heartbeat_without_news_changes_no_revision(self):
         table = TargetTable()
-        table.take(record(sequence=1), 0.0)
+        table.merge(record(sequence=1), 0.0)
         before = table.revision
-        self.assertFalse(table.take(record(sequence=2), 1.0))
+        self.assertFalse(table.merge(record(sequence=2), 1.0))
         self.assertEqual(table.revision, before)
-        self.assertEqual(table.heard_s("t"), 1.0)
+        self.assertEqual(table.last_seen_s("t"), 1.0)
 
     def test_changed_address_is_news(self):
         table = TargetTable()
-        table.take(record(sequence=1), 0.0)
+        table.merge(record(sequence=1), 0.0)
         revision = table.revision
-        self.assertTrue(table.take(record(sequence=2, port=2), 1.0))
+        self.assertTrue(table.merge(record(sequence=2, port=2), 1.0))
         self.assertEqual(table.changed_since(revision).records, (record(sequence=2, port=2),))
 
     def test_tombstone_outlives_a_silent_target(self):
         table = TargetTable()
-        table.take(record("quiet"), 0.0)
+        table.merge(record("quiet"), 0.0)
         table.leave("gone", 0.0)
         self.assertEqual(table.forget(50.0), ["quiet"])
-        self.assertFalse(table.take(record("gone"), 50.0))
+        self.assertFalse(table.merge(record("gone"), 50.0))
         self.assertEqual(table.forget(61.0), ["gone"])
 
     def test_target_that_starts_again_serves_at_once_and_counts_anew(self):
         table = TargetTable()
-        table.take(record(sequence=40)._replace(born_ms=5), 0.0)
+        table.merge(record(sequence=40)._replace(born_ms=5), 0.0)
         table.leave("t", 1.0, 900)
         for sequence in (0, 1, 2):
             again = record(sequence=sequence)._replace(born_ms=6)
-            self.assertEqual(table.take(again, 2.0 + sequence), sequence == 0)
+            self.assertEqual(table.merge(again, 2.0 + sequence), sequence == 0)
         self.assertEqual([item.born_ms for item in table.serving()], [6])
         self.assertLess(table.age_s("t", 4.0, 1.2), 4.0)
 
@@ -95,25 +99,25 @@
             record(sequence=99, phase=TargetPhase.GONE),
         )
         table = TargetTable()
-        table.take(record(sequence=0)._replace(born_ms=6), 0.0)
+        table.merge(record(sequence=0)._replace(born_ms=6), 0.0)
         for item in late:
-            self.assertFalse(table.take(item, 1.0), item)
+            self.assertFalse(table.merge(item, 1.0), item)
             self.assertFalse(table.report(item, 1.0), item)
         self.assertEqual(len(table.serving()), 1)
-        self.assertEqual(table.heard_s("t"), 0.0)
+        self.assertEqual(table.last_seen_s("t"), 0.0)
 
     def test_leave_that_names_no_life_ends_those_born_before_it_and_no_later_one(self):
         table = TargetTable()
         table.leave("t", 0.0, 700)
-        self.assertFalse(table.take(record()._replace(born_ms=700), 1.0))
-        self.assertTrue(table.take(record()._replace(born_ms=701), 2.0))
+        self.assertFalse(table.merge(record()._replace(born_ms=700), 1.0))
+        self.assertTrue(table.merge(record()._replace(born_ms=701), 2.0))
         self.assertEqual(len(table.serving()), 1)
 
     def test_leave_of_a_life_not_known_here_ends_what_is_known_of_the_former(self):
         elsewhere, table = TargetTable(), TargetTable()
-        table.take(record(sequence=9)._replace(born_ms=5), 0.0)
+        table.merge(record(sequence=9)._replace(born_ms=5), 0.0)
         elsewhere.leave("t", 1.0, 700)
-        self.assertTrue(table.take(elsewhere.record_of("t"), 1.1))
+        self.assertTrue(table.merge(elsewhere.record_of("t"), 1.1))
         self.assertEqual((table.serving(), table.phase_of("t")), ([], TargetPhase.GONE))
         self.assertEqual(len(table.departed(1.2, 2.0)), 1)
 
@@ -124,7 +128,7 @@
         for second in range(1, 20):
             table.report(record(sequence=second)._replace(born_ms=9_000), float(second))
             self.assertFalse(table.report(back, second + 0.5))
-        self.assertTrue(table.report(back, 19.0 + STALE_LIFE_S))
+        self.assertTrue(table.report(back, 19.0 + STALE_INCARNATION_S))
         self.assertFalse(table.report(record(sequence=90)._replace(born_ms=9_000), 31.0))
         self.assertTrue(table.report(record(sequence=0)._replace(born_ms=9_500), 32.0))
         self.assertEqual(table.record_of("t").born_ms, 9_500)
@@ -137,7 +141,7 @@
         for order in ((former, replica.record_of("t")), (replica.record_of("t"), former)):
             table = TargetTable()
             for item in order:
-                table.take(item, 21.0)
+                table.merge(item, 21.0)
             self.assertEqual(table.record_of("t").born_ms, 4_000)
 
     def test_report_that_names_another_service_changes_nothing(self):
@@ -150,17 +154,17 @@
         ):
             self.assertFalse(table.report(foreign, 1.0))
         self.assertEqual(table.record_of("t"), record())
-        self.assertEqual(table.heard_s("t"), 0.0)
+        self.assertEqual(table.last_seen_s("t"), 0.0)
 
     @given(RECORDS, st.integers(0, 1 << 30))
     def test_order_and_repetition_make_no_difference(self, records, seed):
         forward, shuffled = TargetTable(), TargetTable()
         for item in records:
-            forward.take(item, 0.0)
+            forward.merge(item, 0.0)
         mixed = records * 2
         Random(seed).shuffle(mixed)
         for item in mixed:
-            shuffled.take(item, 0.0)
+            shuffled.merge(item, 0.0)
         for target_id in ("a", "b"):
             self.assertEqual(forward.phase_of(target_id), shuffled.phase_of(target_id))
         self.assertEqual(
@@ -172,12 +176,12 @@
     def test_digest_tells_what_a_table_says_and_not_how_it_came_to_it(self, records):
         table, fresh = TargetTable(), TargetTable()
         for item in records:
-            table.take(item, 0.0)
+            table.merge(item, 0.0)
         self.assertEqual(table.digest == 0, not records)
         for item in table.changed_since(0).records:
-            fresh.take(item._replace(sequence=item.sequence + 7, cold_s=1.0), 5.0)
+            fresh.merge(item._replace(sequence=item.sequence + 7, cold_s=1.0), 5.0)
         self.assertEqual(fresh.digest, table.digest)
-        fresh.take(record("c"), 6.0)
+        fresh.merge(record("c"), 6.0)
         self.assertNotEqual(fresh.digest, table.digest)
         self.assertIn("c", fresh.forget(60.0))
         for target_id in ("a", "b"):
@@ -192,13 +196,13 @@
         told, learned, seen = TargetTable(), TargetTable(), 0
 
         def tell():
-            changes = told.changes_for(seen, 1)
-            for change in (*changes.records, *learned.described(changes.phases)):
-                learned.take(change, 0.0)
+            changes = told.compact_changes_since(seen, 1)
+            for change in (*changes.records, *learned.expand_phases(changes.phases)):
+                learned.merge(change, 0.0)
             return changes.revision
 
         for item in records:
-            told.take(item, 0.0)
+            told.merge(item, 0.0)
             seen = tell()
         while seen < told.revision:
             seen = tell()
@@ -209,9 +213,9 @@
         told, learned = TargetTable(), TargetTable()
         seen = 0
         for item in records:
-            told.take(item, 0.0)
+            told.merge(item, 0.0)
             for change in told.changed_since(seen).records:
-                learned.take(change, 0.0)
+                learned.merge(change, 0.0)
             seen = told.revision
         for target_id in ("a", "b"):
             self.assertEqual(told.phase_of(target_id), learned.phase_of(target_id))
@@ -226,18 +230,18 @@
         # first for the later start, and sent it twenty of sixty calls: "target said so: status
         # 421". Only one of them went on to be heard.
         table = TargetTable()
-        table.take(record("ended", sequence=3), 100.0)
-        table.take(record("runs", sequence=8), 100.0)
+        table.merge(record("ended", sequence=3), 100.0)
+        table.merge(record("runs", sequence=8), 100.0)
         for now_s in (101.0, 102.2, 103.4, 104.6):
-            table.hear("runs", now_s)
+            table.mark_seen("runs", now_s)
         self.assertTrue(table.is_superseded("ended", 1.2))
         self.assertFalse(table.is_superseded("runs", 1.2))
 
     def test_late_report_does_not_displace_the_later_start(self):
         table = TargetTable()
-        table.take(record("runs", sequence=1), 100.0)
-        table.take(record("ended", sequence=40), 101.0)
-        table.hear("runs", 101.2)
+        table.merge(record("runs", sequence=1), 100.0)
+        table.merge(record("ended", sequence=40), 101.0)
+        table.mark_seen("runs", 101.2)
         self.assertTrue(table.is_superseded("ended", 1.2))
         self.assertFalse(table.is_superseded("runs", 1.2))
 
@@ -254,23 +258,23 @@
         self.assertFalse(table.report(record(sequence=9), 9.6))
         self.assertTrue(table.report(record(sequence=10)._replace(cold_s=2.9), 10.8))
         self.assertGreater(table.revision, told)
-        (news,) = table.as_of(table.changed_since(told).records, 11.8)
+        (news,) = table.with_remaining_cold_time(table.changed_since(told).records, 11.8)
         self.assertAlmostEqual(news.cold_s, 1.9)
-        self.assertEqual(news.cold_at, 10)
+        self.assertEqual(news.cold_sequence, 10)
 
     def test_spells_heard_by_different_replicas_converge(self):
         first, second = TargetTable(), TargetTable()
         for table in (first, second):
-            table.take(record(sequence=1), 0.0)
+            table.merge(record(sequence=1), 0.0)
         first.report(record(sequence=5)._replace(cold_s=2.0), 20.0)
         second.report(record(sequence=6), 21.2)
-        second.take(first.record_of("t"), 21.3)
-        first.take(second.record_of("t"), 21.4)
+        second.merge(first.record_of("t"), 21.3)
+        first.merge(second.record_of("t"), 21.4)
         self.assertEqual(first.digest, second.digest)
-        self.assertEqual(second.record_of("t").cold_at, 5)
+        self.assertEqual(second.record_of("t").cold_sequence, 5)
 
     def test_warm_target_is_not_told_as_cold_later(self):
         table = TargetTable()
-        table.take(record()._replace(cold_s=3.0), 0.0)
-        (told,) = table.as_of(table.changed_since(0).records, 60.0)
+        table.merge(record()._replace(cold_s=3.0), 0.0)
+        (told,) = table.with_remaining_cold_time(table.changed_since(0).records, 60.0)
         self.assertEqual(told.cold_s, 0.0)
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_targets.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_targets.py
@@ -4,8 +4,8 @@
 from damaskwind.decisions.membership.loads import pack_load
 from damaskwind.decisions.membership.messages import GoneReason
 from damaskwind.decisions.membership.targets import (
-    FOREIGN_LEASE_S,
     MAX_LEASE_S,
+    REMOTE_LEASE_S,
     MergeOutcome,
     TargetTable,
 )
@@ -20,7 +20,7 @@
         self.peer = TargetTable("a", DigestTable())
 
     def load(self, sequence: int, tokens: int, observed: bool = False, age_s: float = 0.0) -> bytes:
-        key = self.table.held["target"].load_key
+        key = self.table.live["target"].load_key
         return pack_load(key, sequence, tokens, observed, age_s)
 
     def test_old_gossip_does_not_resurrect_a_target_that_left(self):
@@ -29,7 +29,7 @@
         self.table.announce_leave(announcement(sequence=2, state=TargetState.LEAVING), 1.0)
         stale = self.peer.record("target", 1.5)
         self.assertEqual(self.table.merge(stale, 1.5), MergeOutcome.TOMBSTONED)
-        self.assertNotIn("target", self.table.held)
+        self.assertNotIn("target", self.table.live)
         self.assertEqual(
             self.table.announce(announcement(sequence=50), 2.0), MergeOutcome.TOMBSTONED
         )
@@ -43,7 +43,7 @@
         self.assertIsNone(self.table.announce_leave(late, 1.0))
 
     def test_a_tombstone_outlives_every_record_it_must_stop(self):
-        self.assertGreater(TOMBSTONE_S, FOREIGN_LEASE_S + MAX_LEASE_S)
+        self.assertGreater(TOMBSTONE_S, REMOTE_LEASE_S + MAX_LEASE_S)
         self.peer.announce(announcement(lease_s=1e9), 0.0)
         self.table.announce_leave(announcement(sequence=2, state=TargetState.LEAVING), 0.0)
         kept = self.peer.record("target", 0.0)
@@ -52,14 +52,14 @@
         self.table.tombstones.expire(TOMBSTONE_S + 1.0)
         aged = kept._replace(age_s=TOMBSTONE_S + 1.0)
         self.assertEqual(self.table.merge(aged, TOMBSTONE_S + 1.0), MergeOutcome.EXPIRED)
-        self.peer.lapse(MAX_LEASE_S + 0.1)
+        self.peer.expire_leases(MAX_LEASE_S + 0.1)
         self.assertIsNone(self.peer.record("target", MAX_LEASE_S + 0.1))
 
     def test_a_lapse_yields_to_a_later_renewal_only(self):
         self.table.announce(announcement(sequence=3), 0.0)
         same = self.table.record("target", 0.0)
-        self.assertEqual(self.table.lapse(5.9), [])
-        self.assertEqual(self.table.lapse(6.1)[0].reason, GoneReason.LAPSED)
+        self.assertEqual(self.table.expire_leases(5.9), [])
+        self.assertEqual(self.table.expire_leases(6.1)[0].reason, GoneReason.LAPSED)
         self.assertEqual(self.table.merge(same, 6.1), MergeOutcome.TOMBSTONED)
         later = same._replace(renewed_sequence=4)
         self.assertEqual(self.table.merge(later, 6.1), MergeOutcome.NEW)
@@ -67,22 +67,22 @@
     def test_a_record_keeps_its_age_from_router_to_router(self):
         self.table.announce(announcement(), 0.0)
         self.peer.merge(self.table.record("target", 4.0), 104.0)
-        self.assertEqual(len(self.peer.lapse(106.1)), 1)
+        self.assertEqual(len(self.peer.expire_leases(106.1)), 1)
 
     def test_a_packed_load_renews_the_lease_and_one_seen_on_an_answer_does_not(self):
         self.table.announce(announcement(sequence=1), 0.0)
         self.table.merge_loads(self.load(2, 50, age_s=1.0), 5.0)
-        self.assertEqual(self.table.lapse(9.9), [])
+        self.assertEqual(self.table.expire_leases(9.9), [])
         self.table.merge_loads(self.load(2, 70, observed=True), 9.9)
         self.assertEqual(self.table.view("target", 9.9).load_tokens, 70)
-        self.assertEqual(len(self.table.lapse(10.1)), 1)
+        self.assertEqual(len(self.table.expire_leases(10.1)), 1)
 
     def test_a_late_or_repeated_load_changes_nothing(self):
         self.table.announce(announcement(sequence=8, load_tokens=40), 0.0)
         for sequence in (8, 7, 3):
             self.table.merge_loads(self.load(sequence, 900), 3.0)
         self.assertEqual(self.table.view("target", 3.0).load_tokens, 40)
-        self.assertEqual(self.table.expires_s(self.table.held["target"]), 6.0)
+        self.assertEqual(self.table.expires_s(self.table.live["target"]), 6.0)
 
     def test_a_load_of_a_former_incarnation_is_ignored(self):
         self.table.announce(announcement(sequence=1), 0.0)
@@ -99,9 +99,9 @@
         self.peer.merge_loads(self.load(5, 1), 1.0)
         outcome = self.peer.merge(self.table.record("target", 1.0), 1.0)
         self.assertEqual(outcome, MergeOutcome.CHANGED)
-        self.assertEqual(self.peer.held["target"].record.renewed_sequence, 5)
+        self.assertEqual(self.peer.live["target"].record.renewed_sequence, 5)
         outcome = self.table.merge(self.peer.record("target", 1.0), 1.0)
-        self.assertEqual(self.table.held["target"].record.service, "other", outcome)
+        self.assertEqual(self.table.live["target"].record.service, "other", outcome)
 
     def test_observed_loads_go_out_in_turn_with_renewals(self):
         self.table.announce(announcement(sequence=1), 0.0)
@@ -110,10 +110,10 @@
         for _ in range(2):
             self.peer.merge_loads(self.table.pack_loads(60, 9, 2.0), 2.0)
         self.assertEqual(self.peer.view("target", 2.0).load_tokens, 77)
-        self.assertEqual(self.peer.expires_s(self.peer.held["target"]), 6.0)
+        self.assertEqual(self.peer.expires_s(self.peer.live["target"]), 6.0)
 
     def test_targets_of_another_domain_live_as_long_as_it_vouches(self):
         self.table.announce(announcement(domain="b"), 0.0)
-        self.table.vouch("b", list(range(16)), 10.0, 110.0)
-        self.assertEqual(self.table.lapse(99.0 + FOREIGN_LEASE_S), [])
-        self.assertEqual(len(self.table.lapse(101.0 + FOREIGN_LEASE_S)), 1)
+        self.table.confirm_buckets("b", list(range(16)), 10.0, 110.0)
+        self.assertEqual(self.table.expire_leases(99.0 + REMOTE_LEASE_S), [])
+        self.assertEqual(len(self.table.expire_leases(101.0 + REMOTE_LEASE_S)), 1)
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_vectors_and_notes.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_vectors_and_notes.py
@@ -5,9 +5,9 @@
 from damaskwind.decisions.membership.load_vector import (
     VectorLoad,
     VectorRenewal,
+    build_layout,
     decode_vector,
     encode_vector,
-    layout_of,
 )
 from damaskwind.decisions.membership.outputs import SpillHeard
 from damaskwind.decisions.membership.spill_gossip import SpillGossip, note_key
@@ -23,7 +23,7 @@
 class LoadVectorTest(TestCase):
     def test_a_vector_gives_back_what_went_in_within_its_steps(self):
         random = Random(1)
-        layout = layout_of([random.randrange(1 << 24) for _ in range(250)])
+        layout = build_layout([random.randrange(1 << 24) for _ in range(250)])
         keys = [key for group in layout.groups for key in group]
         loads = {key: VectorLoad(key, random.randrange(1 << 20), 1.03) for key in keys[::2]}
         renewals = {key: VectorRenewal(key, key % 16, 0.3) for key in keys[::5]}
@@ -38,7 +38,7 @@
 
     def test_a_join_costs_its_group_and_no_load_goes_to_another_target(self):
         keys = [1000 + 7 * place for place in range(200)]
-        here, there = layout_of(keys), layout_of([*keys, 5])
+        here, there = build_layout(keys), build_layout([*keys, 5])
         loads = {key: VectorLoad(key, key, 0.1) for key in keys}
         heard, _, unlike = decode_vector(there, encode_vector(here, loads, {}))
         self.assertEqual(unlike, [5])
@@ -47,7 +47,7 @@
         self.assertEqual(len(heard), 200 - len([k for k in keys if k % 8 == 5]))
 
     def test_cut_and_damaged_vectors_give_nothing_that_was_not_sent(self):
-        layout = layout_of(range(100, 180))
+        layout = build_layout(range(100, 180))
         whole = encode_vector(layout, {k: VectorLoad(k, 9, 0.1) for k in range(100, 180)}, {})
         for size in range(len(whole)):
             self.assertEqual(decode_vector(layout, whole[:size]), ([], [], [0, 1, 2, 3]))
@@ -72,7 +72,7 @@
         view = self.tables[1].view("target", 3.0)
         self.assertLess(abs(view.load_tokens - 7000), 0.023 * 7000)
         self.assertGreaterEqual(view.report_age_s, 0.0)
-        self.assertEqual(self.tables[1].expires_s(self.tables[1].held["target"]), 6.0)
+        self.assertEqual(self.tables[1].expires_s(self.tables[1].live["target"]), 6.0)
         back = self.vectors[0].merge(self.vectors[1].pack(99, 3, 3.0), 3.0)
         self.assertEqual(back, [])
 
@@ -81,7 +81,7 @@
         packed = [self.vectors[0].pack(99, 2, 4.0) for _ in range(3)]
         self.vectors[1].merge(packed[0], 4.0)
         # The age was rounded up, so the lease is shorter by a step at most.
-        self.assertAlmostEqual(self.tables[1].expires_s(self.tables[1].held["target"]), 9.9)
+        self.assertAlmostEqual(self.tables[1].expires_s(self.tables[1].live["target"]), 9.9)
         self.assertEqual(
             [len(vector) for vector in packed[1:]], [len(packed[0]), len(packed[0]) - 1]
         )
@@ -123,9 +123,9 @@
         near = {"a": ("b",), "b": ("a",), "c": ()}
         for index, domain in enumerate("aabbcc"):
             network.add(router(index, domain), near_domains=near[domain])
-        self.assertTrue(network.until(lambda: network.all_know(6), 60.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_routers(6), 60.0))
         network.announce(0, announcement(lease_s=60.0))
-        self.assertTrue(network.until(lambda: network.all_hold(1), 20.0))
+        self.assertTrue(network.run_until(lambda: network.all_have_targets(1), 20.0))
         network.core(0).publish_spills([SpillNote("00000a1", "target")], network.now_s)
         network.run(12.0)
         heard = {name for _, name, event in network.events if isinstance(event, SpillHeard)}
--- a/packages/decisions/src/damaskwind/decisions/membership/tombstones.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tombstones.py
@@ -18,7 +18,7 @@
 TOMBSTONE_LIMIT = 50_000
 
 
-class _Held(NamedTuple):
+class _StoredTombstone(NamedTuple):
     """A tombstone and when its target went."""
 
     tombstone: Tombstone
@@ -34,20 +34,20 @@
     """The tombstones that one router keeps."""
 
     def __init__(self) -> None:
-        self._held: dict[str, _Held] = {}
+        self._tombstones: dict[str, _StoredTombstone] = {}
         self._by_key: dict[int, str] = {}
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._tombstones)
 
     def incarnation(self, target_id: str) -> int:
         """Return the incarnation that ended, or -1."""
-        held = self._held.get(target_id)
+        held = self._tombstones.get(target_id)
         return held.tombstone.incarnation if held else -1
 
-    def forbid(self, record: TargetRecord) -> bool:
+    def blocks(self, record: TargetRecord) -> bool:
         """Tell whether a tombstone stops a live record."""
-        held = self._held.get(record.target_id)
+        held = self._tombstones.get(record.target_id)
         if held is None or record.incarnation > held.tombstone.incarnation:
             return False
         if record.incarnation < held.tombstone.incarnation:
@@ -57,25 +57,27 @@
 
     def put(self, tombstone: Tombstone, now_s: float) -> bool:
         """Keep a tombstone; tell whether it was news."""
-        held = self._held.get(tombstone.target_id)
+        held = self._tombstones.get(tombstone.target_id)
         if held is not None and _order(held.tombstone) >= _order(tombstone):
             return False
         if tombstone.age_s >= TOMBSTONE_S:
             return False
-        self._held[tombstone.target_id] = _Held(tombstone, now_s - max(tombstone.age_s, 0.0))
+        self._tombstones[tombstone.target_id] = _StoredTombstone(
+            tombstone, now_s - max(tombstone.age_s, 0.0)
+        )
         self._by_key[target_key(tombstone.target_id)] = tombstone.target_id
-        if len(self._held) > TOMBSTONE_LIMIT:
-            self.drop(next(iter(self._held)))
+        if len(self._tombstones) > TOMBSTONE_LIMIT:
+            self.drop(next(iter(self._tombstones)))
         return True
 
     def drop(self, target_id: str) -> None:
         """Forget a tombstone, since its target is back."""
-        if self._held.pop(target_id, None) is not None:
+        if self._tombstones.pop(target_id, None) is not None:
             self._by_key.pop(target_key(target_id), None)
 
     def get(self, target_id: str, now_s: float) -> Tombstone | None:
         """Return the tombstone of a target, with its age."""
-        held = self._held.get(target_id)
+        held = self._tombstones.get(target_id)
         if held is None:
             return None
         return held.tombstone._replace(age_s=max(now_s - held.gone_at_s, 0.0))
@@ -87,6 +89,8 @@
 
     def expire(self, now_s: float) -> None:
         """Drop the tombstones that have served their time."""
-        old = [name for name, held in self._held.items() if now_s - held.gone_at_s > TOMBSTONE_S]
+        old = [
+            name for name, held in self._tombstones.items() if now_s - held.gone_at_s > TOMBSTONE_S
+        ]
         for name in old:
             self.drop(name)
--- a/packages/decisions/src/damaskwind/decisions/membership/vector_exchange.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/vector_exchange.py
@@ -12,10 +12,10 @@
     Layout,
     VectorLoad,
     VectorRenewal,
+    build_layout,
     decode_vector,
     encode_vector,
-    head_bytes,
-    layout_of,
+    header_size_bytes,
 )
 from damaskwind.decisions.membership.targets import TargetTable
 
@@ -23,32 +23,32 @@
 
 RENEWALS_SHARE = 0.25
 MAX_LOAD_AGE_S = 6.0
-ALIKE_WEIGHT = 0.2
-UNLIKE_FOR_S = 4.0
-ALIKE_ENOUGH = 0.75
-FRESHER_BY_S = 0.2
+MATCH_SMOOTHING = 0.2
+MISMATCH_TTL_S = 4.0
+MIN_MATCH_SHARE = 0.75
+MIN_FRESHNESS_GAIN_S = 0.2
 
 
 class VectorExchange:
     """The load vectors that one router sends and hears."""
 
     def __init__(self, targets: TargetTable, domains: frozenset[str]) -> None:
-        self.alike_share = 0.0
+        self.match_share = 0.0
         self._targets = targets
         self._domains = domains
         self._layout: Layout | None = None
         self._members_version = -1
-        self._unlike_until_s: dict[int, float] = {}
+        self._mismatch_until_s: dict[int, float] = {}
 
     @property
-    def works(self) -> bool:
+    def is_usable(self) -> bool:
         """Tell whether peers mostly hold the same targets, so that places name them."""
-        return self.alike_share >= ALIKE_ENOUGH
+        return self.match_share >= MIN_MATCH_SHARE
 
     def pack(self, limit_bytes: int, max_sends: int, now_s: float) -> bytes:
         """Return a vector within the limit, or nothing when there is none to send."""
-        layout = self._layout_now()
-        room_bits = 8 * (limit_bytes - head_bytes(layout))
+        layout = self._current_layout()
+        room_bits = 8 * (limit_bytes - header_size_bytes(layout))
         if room_bits < 0 or not any(layout.groups):
             return b""
         renewals = self._renewals(int(room_bits * RENEWALS_SHARE) // RENEWAL_BITS, max_sends, now_s)
@@ -60,13 +60,13 @@
         """Take a vector; return the targets whose load is fresher now."""
         if not vector:
             return []
-        layout = self._layout_now()
+        layout = self._current_layout()
         loads, renewals, unlike = decode_vector(layout, vector)
         alike = 1.0 - len(unlike) / len(layout.groups)
-        self.alike_share += ALIKE_WEIGHT * (alike - self.alike_share)
-        self._targets.loads_by_vector = self.works
+        self.match_share += MATCH_SMOOTHING * (alike - self.match_share)
+        self._targets.loads_by_vector = self.is_usable
         for group in unlike:
-            self._unlike_until_s[group] = now_s + UNLIKE_FOR_S
+            self._mismatch_until_s[group] = now_s + MISMATCH_TTL_S
         for renewal in renewals:
             self._merge_renewal(renewal, now_s)
         return [load_id for load in loads for load_id in self._merge_load(load, now_s)]
@@ -77,28 +77,30 @@
         if target_id is None or load.age_s >= MAX_VECTOR_AGE_S:
             return []
         measured_at_s = now_s - load.age_s
-        fresher = self._targets.hear_load(target_id, load.load_tokens, measured_at_s, FRESHER_BY_S)
+        fresher = self._targets.merge_observed_load(
+            target_id, load.load_tokens, measured_at_s, MIN_FRESHNESS_GAIN_S
+        )
         return [target_id] if fresher else []
 
     def _merge_renewal(self, renewal: VectorRenewal, now_s: float) -> None:
         """Take one renewal; a known one needs passing on once less."""
         target_id = self._targets.by_load_key.get(renewal.key)
         if target_id is not None and renewal.age_s < MAX_VECTOR_AGE_S:
-            self._targets.hear_renewal(target_id, renewal.sequence, now_s - renewal.age_s)
+            self._targets.merge_renewal(target_id, renewal.sequence, now_s - renewal.age_s)
 
-    def _layout_now(self) -> Layout:
+    def _current_layout(self) -> Layout:
         """Return the layout of the targets held now."""
         if self._layout is None or self._members_version != self._targets.members_version:
             self._members_version = self._targets.members_version
-            held = self._targets.held.values()
+            held = self._targets.live.values()
             keys = [t.load_key for t in held if t.record.failure_domain in self._domains]
-            self._layout = layout_of(keys)
+            self._layout = build_layout(keys)
         return self._layout
 
     def _loads(self, count: int, now_s: float) -> dict[int, VectorLoad]:
         """Return the freshest loads by key."""
         found = []
-        for target in self._targets.held.values():
+        for target in self._targets.live.values():
             age_s = now_s - target.measured_at_s
             if age_s < MAX_LOAD_AGE_S and target.record.failure_domain in self._domains:
                 found.append(VectorLoad(target.load_key, target.record.load_tokens, age_s))
@@ -108,7 +110,7 @@
     def _renewals(self, count: int, max_sends: int, now_s: float) -> dict[int, VectorRenewal]:
         """Return the renewals passed on least by key, and count that they were."""
         found = []
-        for target_id, target in self._targets.held.items():
+        for target_id, target in self._targets.live.items():
             age_s = now_s - target.renewed_at_s
             near = target.record.failure_domain in self._domains
             if near and age_s < MAX_VECTOR_AGE_S and target.transmissions < max_sends:
@@ -116,16 +118,16 @@
         found.sort()
         chosen = {}
         for _, age_s, target_id in found[: max(count, 0)]:
-            target = self._targets.held[target_id]
+            target = self._targets.live[target_id]
             target.transmissions += 1
             sequence = target.record.renewed_sequence
             chosen[target.load_key] = VectorRenewal(target.load_key, sequence, age_s)
         return chosen
 
-    def strays(self, now_s: float) -> set[str]:
+    def uncovered_targets(self, now_s: float) -> set[str]:
         """Return the targets that a vector does not reach: peers hold their group otherwise."""
-        layout = self._layout_now()
-        unlike = [group for group, until_s in self._unlike_until_s.items() if until_s > now_s]
+        layout = self._current_layout()
+        unlike = [group for group, until_s in self._mismatch_until_s.items() if until_s > now_s]
         named = self._targets.by_load_key
         groups = [layout.groups[group] for group in unlike if group < len(layout.groups)]
         return {named[key] for group in groups for key in group if key in named}
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -21,7 +21,7 @@
 from damaskwind.decisions.limits.slices import rendezvous_order
 from damaskwind.decisions.load.held_sums import HeldCount, HeldSum
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
-from damaskwind.decisions.membership.target_table import Silence, TargetTable
+from damaskwind.decisions.membership.target_table import SilentTargets, TargetTable
 from damaskwind.decisions.routing.table import RouteTable
 from damaskwind.model.evacuations import Evacuations
 from damaskwind.model.exception import ConfigurationError, MessageError
@@ -206,7 +206,7 @@
     def is_silent(self, target_id: str, now_s: float) -> bool:
         """Tell whether a target has missed its heartbeats, as far as this router can know."""
         # Who was away itself has heard nobody meanwhile.
-        heard_s = max(self.targets.heard_s(target_id), last_woken_s())
+        heard_s = max(self.targets.last_seen_s(target_id), last_woken_s())
         return now_s - heard_s > SILENT_S and self.replicas_heard() > 0
 
     def table_digest(self) -> int:
@@ -270,14 +270,14 @@
             self._has_news.set()
         self._take_evacuations(host, news.evacuations)
         self._take_records(host, news.records, now_s)
-        self._take_records(host, self.targets.described(news.phases), now_s)
+        self._take_records(host, self.targets.expand_phases(news.phases), now_s)
         if news.tables_at:
             self._tables.fetch(news.tables_at)
         for target_id, age_s, born_ms in news.heard:
-            self.targets.hear(target_id, now_s - age_s, born_ms)
+            self.targets.mark_seen(target_id, now_s - age_s, born_ms)
         others = news.heard_others
         if others is not None and others.digest == self.targets.digest:
-            self.targets.hear_others(Silence(others.silent, now_s - others.age_s))
+            self.targets.mark_others_seen(SilentTargets(others.silent, now_s - others.age_s))
         for target_id in self.targets.forget(now_s):
             logger.info("target forgotten", target=target_id)
             self._note_gone(target_id)
@@ -320,9 +320,9 @@
     def _take_records(self, host: str, records: Iterable[TargetRecord], now_s: float) -> None:
         """Merge records of targets."""
         for record in records:
-            life = self.targets.life_of(record.target_id)
-            if self.targets.take(record, now_s):
-                if life not in (None, record.life) and record.service:
+            life = self.targets.incarnation_of(record.target_id)
+            if self.targets.merge(record, now_s):
+                if life not in (None, record.incarnation) and record.service:
                     self._note_restarted(record)
                 if record.cold_s > 0:
                     self._note_cold(record)
--- a/packages/router/src/damaskwind/router/forwarding/heartbeat_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/heartbeat_relay.py
@@ -70,7 +70,7 @@
         new = [key for key, report in self._reports.items() if report.new_at_s > oldest_s]
         records = [self._table.record_of(target_id) for target_id in new]
         known = [record for record in records if record is not None]
-        return self._table.as_of(known, read_clock())
+        return self._table.with_remaining_cold_time(known, read_clock())
 
     def _forget_told(self) -> None:
         oldest_s = read_clock() - TOLD_S
--- a/packages/router/src/damaskwind/router/forwarding/table_exchange.py
+++ b/packages/router/src/damaskwind/router/forwarding/table_exchange.py
@@ -83,7 +83,9 @@
         if now_s - self._copied_s > COPY_S:
             # What was seen is read first: all of it is in the records read after it.
             seen = self._seen()
-            records = self._table.as_of(self._table.changed_since(0).records, now_s)
+            records = self._table.with_remaining_cold_time(
+                self._table.changed_since(0).records, now_s
+            )
             self._copy = pack_answer(encode(TableCopy(records, seen)))
             self._copied_s = now_s
         return self._copy
--- a/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
@@ -51,7 +51,7 @@
 
 def _life(target: TargetRecord) -> tuple[str, tuple[int, int]]:
     """Return what tells one life of a target from all others."""
-    return (target.target_id, target.life)
+    return (target.target_id, target.incarnation)
 
 
 class SendEnded(NamedTuple):
@@ -169,7 +169,11 @@
     def still_takes_work(self, placed: TargetRecord) -> bool:
         """Tell whether a target takes work that took some when a request was placed there."""
         held = self.view.targets.record_of(placed.target_id)
-        return held is not None and held.life == placed.life and self.takes_work(held, read_clock())
+        return (
+            held is not None
+            and held.incarnation == placed.incarnation
+            and self.takes_work(held, read_clock())
+        )
 
     def serving(self, service: str) -> list[TargetRecord]:
         """Return the targets of a service that may be sent to."""
@@ -277,7 +281,7 @@
     def _is_displaced(self, target_id: str) -> bool:
         """Tell whether another target answers at its address, and it was not heard since."""
         displaced_s = self._displaced_s.get(target_id)
-        return displaced_s is not None and self.view.targets.heard_s(target_id) < displaced_s
+        return displaced_s is not None and self.view.targets.last_seen_s(target_id) < displaced_s
 
     def _pool_health(self, service: str, now_s: float) -> PoolHealth:
         """Return the health of a service's targets, brought up to who serves now."""
--- a/packages/router/src/damaskwind/router/forwarding/tests/bench.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/bench.py
@@ -85,7 +85,7 @@
 
     def admit(self, target_id, address, phase=TargetPhase.SERVING, sequence=100, domain="domain"):
         record = TargetRecord(target_id, "pool", address, domain, phase, sequence, 8)
-        self.view.targets.take(record, read_clock())
+        self.view.targets.merge(record, read_clock())
 
     def publish(self, *routes, version=1):
         accounts = (KeyedAccount("account", ("key",)),)
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
@@ -72,7 +72,7 @@
                 record = TargetRecord(
                     f"{generation}{index}", "pool", addresses[index], "domain", SERVING, 1, 8
                 )
-                self.view.targets.take(record, read_clock() - ages_s[index])
+                self.view.targets.merge(record, read_clock() - ages_s[index])
             for index in range(2):
                 self.view.targets.leave(f"t{index}", 0.0)
             for target in self.targets:
@@ -99,7 +99,7 @@
             await asyncio.sleep(0.03)
         self.assertEqual(len(self.targets[0].received), 1)
         self.targets[0].script = []
-        self.view.targets.hear("t0", read_clock())
+        self.view.targets.mark_seen("t0", read_clock())
         for number in range(9):
             await self.call(request_id=b"s%d" % number)
         self.assertGreater(len(self.targets[0].received), 1)
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_many_targets.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_many_targets.py
@@ -32,7 +32,7 @@
         address = Address("10.0.0.1", number)
         name = f"i-{random.getrandbits(40):010x}"
         record = TargetRecord(name, "pool", address, "domain", TargetPhase.SERVING, 5, 16)
-        view.targets.take(record, read_clock())
+        view.targets.merge(record, read_clock())
     return TargetBeliefs(view, TargetConnections(), 1.2, random)
 
 
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
@@ -69,7 +69,7 @@
         self.view.follow(("127.0.0.1",))
         self.addCleanup(lambda: to_deferred(self.view._links["127.0.0.1"].stop()))
         for target_id in ("t0", "t1"):
-            self.view.targets.hear(target_id, read_clock())
+            self.view.targets.mark_seen(target_id, read_clock())
         self.clock.suspend(AWAY_S)
         link = self.view._links["127.0.0.1"]
         link.last_heard_s = read_clock()
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_target_words.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_target_words.py
@@ -122,7 +122,7 @@
 
     @asyncio_test
     async def test_one_domain_emptied_and_the_rest_at_rest_sends_nothing_anywhere(self):
-        self.view.targets.take(
+        self.view.targets.merge(
             self.view.targets.record_of("t1")._replace(target_id="t2", failure_domain="other"),
             read_clock(),
         )
@@ -179,7 +179,7 @@
         for number in range(4):
             await self.call(request_id=b"s%d" % number)
         self.assertEqual(self.targets[0].received, [])
-        self.view.targets.take(record._replace(born_ms=1_790_000_000_000), read_clock())
+        self.view.targets.merge(record._replace(born_ms=1_790_000_000_000), read_clock())
         for number in range(8):
             await self.call(request_id=b"n%d" % number)
         self.assertGreater(len(self.targets[0].received), 0)
--- a/packages/router/src/damaskwind/router/membership/node.py
+++ b/packages/router/src/damaskwind/router/membership/node.py
@@ -13,7 +13,7 @@
 from damaskwind.decisions.membership.messages import Custom, Message, News, RouterRecord
 from damaskwind.decisions.membership.outputs import AnnouncementOutcome, Event, Output, Send
 from damaskwind.decisions.membership.parameters import MembershipParameters
-from damaskwind.decisions.membership.rumours import split_news
+from damaskwind.decisions.membership.rumours import split_updates
 from damaskwind.decisions.pacing.pacer import ControlPacer
 from damaskwind.decisions.pacing.urgency import Urgency
 from damaskwind.decisions.placement.messages import SpillNote
@@ -146,7 +146,7 @@
         """Return the datagrams that may go now."""
         going = [queued.datagram for queued in self.pacer.take(now_s)]
         for queued in self.pacer.take_dropped():
-            self.core.dropped(queued.send)
+            self.core.handle_dropped(queued.send)
         return going
 
     def _take(self, output: Output, now_s: float) -> None:
@@ -159,7 +159,7 @@
     def _offer(self, send: Send, now_s: float) -> None:
         """Encode a send and queue it."""
         message = send.message
-        incarnation = self.core.router_table.me.incarnation
+        incarnation = self.core.router_table.own_record.incarnation
         try:
             payload = self._codec.encode(message, incarnation)
         except MessageError:
@@ -170,7 +170,7 @@
 
     def _offer_halves(self, send: Send, now_s: float) -> None:
         """Queue news that compressed less than expected as two datagrams."""
-        halves = split_news(send.message) if isinstance(send.message, News) else ()
+        halves = split_updates(send.message) if isinstance(send.message, News) else ()
         self.oversized_sends += not halves
         for half in halves:
             self._offer(send._replace(message=half), now_s)
--- a/packages/router/src/damaskwind/router/membership/service.py
+++ b/packages/router/src/damaskwind/router/membership/service.py
@@ -207,7 +207,7 @@
             "highest_ten_seconds_bytes_per_s": paced.highest_ten_seconds_bytes_per_s,
             "suspicions": node.core.suspicions,
             "routers": len(node.core.routers()),
-            "targets": len(node.core.target_table.held),
+            "targets": len(node.core.target_table.live),
         }
 
     def _tick(self) -> None:
