--- a/packages/decisions/src/damaskwind/decisions/membership/core.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/core.py
@@ -1,8 +1,8 @@
-"""Agree by gossip on which routers and targets there are.
+"""Gossip-based membership of routers and targets.
 
-The core takes announcements, decoded messages and ticks, and returns what to
-send and what happened. It keeps no socket, no clock and no budget: the caller
-passes `now_s` and how many bytes the pacer would let go.
+The core takes announcements, decoded messages and ticks, and returns the
+datagrams to send and the resulting events. It does no I/O: the caller passes
+`now_s` and the number of bytes that the pacer would release.
 """
 
 from collections.abc import Iterable
@@ -47,7 +47,7 @@
 
 
 class MembershipCore:
-    """One router's part in the gossip."""
+    """The membership protocol of one router, driven by its inputs."""
 
     def __init__(
         self,
@@ -78,15 +78,15 @@
 
     @property
     def now_s(self) -> float:
-        """Return the time up to which the core was moved."""
+        """Return the time of the latest input."""
         return self._state.now_s
 
-    # What the process tells
+    # Local inputs
 
     def announce(
         self, announcement: TargetAnnouncement, now_s: float
     ) -> tuple[AnnouncementOutcome, Output]:
-        """Take a target's announcement."""
+        """Process a target's announcement."""
         self._state.advance(now_s)
         self._announcements.record_announcement(self.now_s)
         target_id = announcement.target_id
@@ -99,15 +99,15 @@
             known = self.target_table.known_incarnation(target_id)
             return AnnouncementOutcome(False, known, too_large=True), self._state.take_output()
         else:
-            returns = self._state.would_return(target_id, announcement.incarnation)
+            would_return = self._state.would_return(target_id, announcement.incarnation)
             outcome = self.target_table.announce(announcement, self.now_s)
             accepted = outcome not in (MergeOutcome.STALE, MergeOutcome.TOMBSTONED)
-            self._state.publish_target(target_id, outcome, returns, forward=True)
+            self._state.publish_target(target_id, outcome, would_return, forward=True)
         known = self.target_table.known_incarnation(target_id)
         return AnnouncementOutcome(accepted, known), self._state.take_output()
 
     def next_announcement_s(self, lease_s: float) -> float:
-        """Return when a target should announce itself again.
+        """Return after how many seconds a target should announce itself again.
 
         See `AnnouncementScheduler`.
         """
@@ -117,32 +117,32 @@
         )
 
     def _announcement_bytes_per_s(self) -> float:
-        """Return what announcements may take of the budget."""
+        """Return the share of the byte budget that is reserved for announcements."""
         parameters = self.parameters
         large = self._local_members() > parameters.small_domain_members
         share = parameters.large_announcement_share if large else parameters.announcement_share
         return share * parameters.control_bytes_per_s
 
     def _local_members(self) -> int:
-        """Return how many routers and targets of the own domain there are."""
+        """Return the number of live routers and targets in the local failure domain."""
         return self._local_targets() + self._local_routers()
 
     def _local_targets(self) -> int:
-        """Return how many targets of the own domain are held."""
-        domain = self.router_table.own_record.failure_domain
-        held = self.target_table.live.values()
-        return sum(target.record.failure_domain == domain for target in held)
+        """Return the number of live targets in the local failure domain."""
+        local_domain = self.router_table.own_record.failure_domain
+        live = self.target_table.live.values()
+        return sum(target.record.failure_domain == local_domain for target in live)
 
     def _local_routers(self) -> int:
-        """Return how many routers of the own domain live, this one among them."""
+        """Return the number of live routers in the local failure domain, at least 1."""
         return max(len(self.router_table.ring(self.router_table.own_record.failure_domain)), 1)
 
     def _local_targets_per_router(self) -> float:
-        """Return how many targets of the own domain there are for each router."""
+        """Return the number of targets per router in the local failure domain."""
         return self._local_targets() / self._local_routers()
 
     def _lease_floor_s(self) -> float:
-        """Return the shortest lease that the gossip can keep up now."""
+        """Return the shortest lease that gossip can currently keep renewed."""
         self._announcements.bytes_per_s = self._announcement_bytes_per_s()
         large = self._local_members() > self.parameters.small_domain_members
         if large and self.now_s < self._started_s + self.parameters.warm_up_s:
@@ -152,21 +152,21 @@
         return min(max(by_budget_s, by_gap_s), MAX_LEASE_S)
 
     def observe_load(self, target_id: str, report: LoadReport, now_s: float) -> None:
-        """Take a load that came with an engine's answer."""
+        """Record a load that an engine reported with a response."""
         self._state.advance(now_s)
         self.target_table.observe(target_id, report, self.now_s)
 
     def publish_revision(self, revision: int) -> None:
-        """Tell peers with the next probes which revision is in force here."""
+        """Report the configuration revision in force here with the next probes."""
         self._gossip.revision = max(revision, self._gossip.revision)
 
     def publish_spills(self, notes: Iterable[SpillNote], now_s: float) -> None:
-        """Pass spill notes to the routers of this and the near failure domains."""
+        """Gossip spill notes to the routers of this and the near failure domains."""
         self._state.advance(now_s)
         self._gossip.spills.publish(notes, self.now_s)
 
     def leave(self, now_s: float) -> Output:
-        """Say good-bye; the core sends nothing afterwards."""
+        """Announce that this router leaves; the core sends nothing afterwards."""
         self._state.advance(now_s)
         peers = self._gossip.flood_peers()
         news = group_updates([self.router_table.leave(self.now_s)])
@@ -175,7 +175,7 @@
         self._left = True
         return self._state.take_output()
 
-    # Messages and time
+    # Messages and ticks
 
     def receive(
         self,
@@ -186,20 +186,20 @@
         now_s: float,
         available_bytes: int = _UNLIMITED_BYTES,
     ) -> Output:
-        """Take an authenticated message from another router."""
+        """Process an authenticated message from another router."""
         self._state.advance(now_s)
         handler = HANDLERS.get(type(message))
         if self._left or handler is None or sender_id == self.router_table.own_record.router_id:
             return self._state.take_output()
         self._gossip.available_bytes = available_bytes
         sender = self._state.sender_record(sender_id, sender_incarnation)
-        domain = self.router_table.own_record.failure_domain
-        self._state.sender_is_local = sender is not None and sender.failure_domain == domain
+        local_domain = self.router_table.own_record.failure_domain
+        self._state.sender_is_local = sender is not None and sender.failure_domain == local_domain
         handler(self._state, sender, source, message, self.now_s)
         return self._state.take_output()
 
     def tick(self, now_s: float, available_bytes: int = _UNLIMITED_BYTES) -> Output:
-        """Do what time asks for; call it about ten times a second."""
+        """Run periodic work; to be called about ten times a second."""
         self._state.advance(now_s)
         if self._left:
             return self._state.take_output()
@@ -218,16 +218,16 @@
         return self._state.take_output()
 
     def handle_dropped(self, send: Send) -> None:
-        """Hear from the pacer that a send never left."""
+        """Handle a send that the pacer dropped before it left the host."""
         if isinstance(send.message, Probe):
             self._prober.cancel(send.message.nonce)
 
     def routers(self) -> list[RouterRecord]:
-        """Return the routers held alive, this one among them."""
+        """Return the routers that are considered alive, including this one."""
         return self.router_table.live()
 
     def targets(self, now_s: float) -> list[TargetView]:
-        """Return the targets that may take work."""
+        """Return the targets that may receive requests."""
         self._state.advance(now_s)
         return [
             self.target_table.view(target_id, self.now_s)
@@ -236,7 +236,7 @@
         ]
 
     def _check_probes(self) -> None:
-        """Ask others about late probes, suspect failed ones, give up old suspects."""
+        """Probe indirectly after a timeout, suspect on failure, confirm old suspects dead."""
         parameters = self.parameters
         for nonce, router_id in self._prober.take_late(parameters.probe_timeout_s, self.now_s):
             self._state.sends += self._gossip.request_indirect_probes(nonce, router_id)
@@ -249,7 +249,7 @@
             self._state.merge_router(record._replace(state=RouterState.DEAD), forward=True)
 
     def _run_maintenance(self) -> None:
-        """Forget what has served its time."""
+        """Drop expired tombstones, departed routers and old spill notes."""
         if self.now_s < self._next_maintenance_s:
             return
         self._next_maintenance_s = self.now_s + _MAINTENANCE_INTERVAL_S
--- a/packages/decisions/src/damaskwind/decisions/membership/handlers.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/handlers.py
@@ -1,4 +1,4 @@
-"""What a router does with each kind of message."""
+"""Handlers of the gossip messages, one for each message type."""
 
 from collections.abc import Callable
 from typing import Any
@@ -26,7 +26,7 @@
 
 
 def _handler_for(kind: type) -> Callable[[Handler], Handler]:
-    """Register the handler of a kind of message."""
+    """Register the decorated function as the handler of a message type."""
 
     def register(handler: Handler) -> Handler:
         HANDLERS[kind] = handler
@@ -39,31 +39,33 @@
 def _on_probe(
     state: MembershipState, sender: RouterRecord | None, source: Address, probe: Probe, now_s: float
 ) -> None:
-    """Answer a probe."""
-    knew = sender is not None
+    """Merge what a probe carries, and acknowledge it."""
+    sender_known = sender is not None
     if probe.sender is not None:
         state.merge_router(probe.sender, forward=True)
         sender = state.routers.get(probe.sender.router_id)
-        knew = True
-    near = sender is not None and sender.failure_domain == state.routers.own_record.failure_domain
-    if near:
+        sender_known = True
+    is_local = (
+        sender is not None and sender.failure_domain == state.routers.own_record.failure_domain
+    )
+    if is_local:
         state.prober.sync_round(probe.nonce, now_s)
     state.update_revision(sender, probe.revision)
     state.merge_loads(probe.loads, probe.vector)
-    answer = state.repair_sender(sender, source)
-    state.merge_updates(probe.updates, answer)
+    reply = state.repair_sender(sender, source)
+    state.merge_updates(probe.updates, reply)
     for key in unpack_keys(probe.overdue):
         state.targets.resend_renewal(key)
-    ack = state.gossip.ack(probe, sender, knew, now_s)
+    ack = state.gossip.ack(probe, sender, sender_known, now_s)
     state.reply(sender.router_id if sender else "", source, Urgency.PROBE, ack)
-    _check_summaries(state, probe.summaries, answer, now_s)
+    _check_summaries(state, probe.summaries, reply, now_s)
 
 
 @_handler_for(Ack)
 def _on_ack(
     state: MembershipState, sender: RouterRecord | None, source: Address, ack: Ack, now_s: float
 ) -> None:
-    """Take the answer to a probe, or pass it on to whom it was asked for."""
+    """Match an ack to its probe, or forward it to the router that requested the probe."""
     if ack.sender is not None:
         state.merge_router(ack.sender, forward=True)
         sender = state.routers.get(ack.sender.router_id)
@@ -71,14 +73,14 @@
     if requester is not None:
         state.send_to(requester[0], Ack(requester[1], state.gossip.revision), Urgency.PROBE)
     probe = state.prober.pop_answered(ack.nonce)
-    direct = probe is not None and sender is not None and probe.router_id == sender.router_id
-    if direct and ack.sender is None:
+    is_direct = probe is not None and sender is not None and probe.router_id == sender.router_id
+    if is_direct and ack.sender is None:
         state.gossip.introduced.add(sender.router_id)
     state.update_revision(sender, ack.revision)
     state.merge_loads(ack.loads, ack.vector)
-    answer = state.repair_sender(sender, source)
-    state.merge_updates(ack.updates, answer)
-    _check_summaries(state, ack.summaries, answer, now_s)
+    reply = state.repair_sender(sender, source)
+    state.merge_updates(ack.updates, reply)
+    _check_summaries(state, ack.summaries, reply, now_s)
 
 
 @_handler_for(IndirectProbe)
@@ -86,15 +88,15 @@
     state: MembershipState,
     sender: RouterRecord | None,
     source: Address,
-    asked: IndirectProbe,
+    request: IndirectProbe,
     now_s: float,
 ) -> None:
-    """Probe a router for another one."""
-    record = state.routers.get(asked.router_id)
+    """Probe a router on behalf of another one."""
+    record = state.routers.get(request.router_id)
     if sender is None or record is None:
         return
     nonce = state.prober.next_off_ring_nonce()
-    state.prober.add_forward(nonce, sender.router_id, asked.nonce, now_s)
+    state.prober.add_forward(nonce, sender.router_id, request.nonce, now_s)
     state.sends.append(state.gossip.bare_probe(nonce, record))
 
 
@@ -103,11 +105,11 @@
     state: MembershipState,
     sender: RouterRecord | None,
     source: Address,
-    asked: Compare,
+    request: Compare,
     now_s: float,
 ) -> None:
-    """Answer a comparison with a sketch."""
-    sketch = state.repair.sketch(asked, now_s)
+    """Reply to a comparison with a sketch."""
+    sketch = state.repair.sketch(request, now_s)
     if sketch is not None:
         state.repair_sender(sender, source)(sketch)
 
@@ -120,28 +122,32 @@
     sketch: Sketch,
     now_s: float,
 ) -> None:
-    """Answer a sketch with what levels the two."""
-    news = state.repair.reconcile(sketch, now_s)
-    if news is not None:
-        state.repair_sender(sender, source)(news)
+    """Reply to a sketch with the differences between the two routers."""
+    updates = state.repair.reconcile(sketch, now_s)
+    if updates is not None:
+        state.repair_sender(sender, source)(updates)
 
 
 @_handler_for(News)
 def _on_news(
-    state: MembershipState, sender: RouterRecord | None, source: Address, news: News, now_s: float
+    state: MembershipState,
+    sender: RouterRecord | None,
+    source: Address,
+    updates: News,
+    now_s: float,
 ) -> None:
-    """Merge news."""
-    state.merge_updates(news, state.repair_sender(sender, source))
+    """Merge updates."""
+    state.merge_updates(updates, state.repair_sender(sender, source))
 
 
 def _check_summaries(
     state: MembershipState,
     summaries: tuple[Summary, ...],
-    answer: Callable[[Message], None],
+    reply: Callable[[Message], None],
     now_s: float,
 ) -> None:
-    """Compare digests with a peer's and ask about those that differ."""
+    """Check a peer's digests and start a comparison for those that differ."""
     for summary in summaries:
         compare = state.repair.check(summary, now_s)
         if compare is not None:
-            answer(compare)
+            reply(compare)
--- a/packages/decisions/src/damaskwind/decisions/membership/messages.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/messages.py
@@ -1,7 +1,7 @@
-"""The messages that routers send each other, and the records inside them.
+"""Gossip messages exchanged by routers, and the records that they carry.
 
-All times are ages in seconds, counted by the sender's monotonic clock up to the
-moment of sending, so that no two clocks need to agree.
+All times are ages in seconds, measured on the sender's monotonic clock up to the
+moment of sending, so that clocks need not be synchronized.
 """
 
 from enum import IntEnum
@@ -28,7 +28,7 @@
 
 
 class RouterState(IntEnum):
-    """Where a router stands; at equal incarnations the greater state wins."""
+    """State of a router; at equal incarnations the greater state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -37,16 +37,16 @@
 
 
 class GoneReason(IntEnum):
-    """Why a target is gone: by its own word, or because its lease ran out."""
+    """Why a target is gone: its lease expired, or it announced that it is leaving."""
 
     LAPSED = 0
     LEAVING = 1
 
 
 class RouterRecord(NamedTuple):
-    """A router as the fleet knows it.
+    """The membership record of a router.
 
-    `address` takes datagrams, `peer_address` calls from other processes.
+    `address` receives datagrams, `peer_address` calls from other processes.
     """
 
     router_id: str
@@ -58,11 +58,11 @@
 
 
 class TargetRecord(NamedTuple):
-    """A live target: its announcement, and the age of its last renewal.
+    """The membership record of a live target, with the age of its last lease renewal.
 
-    `sequence` is that of the announcement, `renewed_sequence` that of the last
-    renewal heard since. `load_lag_s` is how old a load measurement is when the
-    target sends it.
+    `sequence` is the sequence number of the announcement, `renewed_sequence` that of
+    the last renewal received after it. `load_lag_s` is the age of a load measurement
+    at the time when the target sends it.
     """
 
     target_id: str
@@ -83,7 +83,7 @@
 
 
 class Tombstone(NamedTuple):
-    """A target that is gone, as of an incarnation and a sequence."""
+    """Marks a target as gone as of an incarnation and a sequence number."""
 
     target_id: str
     incarnation: int
@@ -96,8 +96,8 @@
 class Summary(NamedTuple):
     """The digest of a failure domain's live routers and targets.
 
-    `age_s` is how long ago a router of that domain vouched for it. `digests`
-    holds four bytes in all, or four bytes for each bucket in a `Compare`.
+    `age_s` is the time since a router of that domain confirmed it. `digests` holds
+    four bytes in total, or four bytes for each bucket in a `Compare`.
     """
 
     failure_domain: str
@@ -106,10 +106,11 @@
 
 
 class News(NamedTuple):
-    """Records to merge, and the keys of those whose records the sender wants.
+    """Records to merge, and the keys of records that the sender requests.
 
-    A `repair` levels two routers with each other and is not passed on. `spills` are
-    spill notes, packed as `damaskwind.decisions.membership.spill_gossip` says.
+    A `repair` is the result of anti-entropy between two routers and is not forwarded.
+    `spills` are spill notes in the format of
+    `damaskwind.decisions.membership.spill_gossip`.
     """
 
     routers: tuple[RouterRecord, ...] = ()
@@ -121,12 +122,12 @@
 
 
 class Probe(NamedTuple):
-    """Ask a router whether it lives, with news and loads on the way.
+    """Check whether a router is alive; updates and loads are piggybacked.
 
-    The sender's `revision` is the configuration it has in force; `loads` are
-    packed as `damaskwind.decisions.membership.loads` says, `vector` as `load_vector`
-    says. `sender` introduces a router that the other one may not know. `overdue` are
-    the keys of targets whose renewal the sender has not heard for long.
+    `revision` is the configuration in force at the sender. `loads` has the format of
+    `damaskwind.decisions.membership.loads`, `vector` that of `load_vector`. `sender`
+    introduces a router that the recipient may not know. `overdue` holds the keys of
+    targets from which the sender has received no renewal for a long time.
     """
 
     nonce: int
@@ -140,7 +141,7 @@
 
 
 class Ack(NamedTuple):
-    """Answer a probe, with news and loads on the way.
+    """Acknowledge a probe; updates and loads are piggybacked.
 
     A router that did not know the prober introduces itself as `sender`.
     """
@@ -155,22 +156,22 @@
 
 
 class IndirectProbe(NamedTuple):
-    """Ask a router to probe another one and to pass its answer on."""
+    """Ask a router to probe another one and to forward its acknowledgement."""
 
     nonce: int
     router_id: str
 
 
 class Compare(NamedTuple):
-    """Ask a router whose digest differs to compare bucket by bucket."""
+    """Ask a router whose digest differs to compare the buckets one by one."""
 
     summary: Summary
 
 
 class Sketch(NamedTuple):
-    """What the sender holds in some buckets of a failure domain.
+    """The sender's members in some buckets of a failure domain.
 
-    `entries` are eight bytes a target: four of its key, four of its version.
+    `entries` takes eight bytes per member: four of its key, four of its version.
     """
 
     failure_domain: str
@@ -179,7 +180,7 @@
 
 
 class Custom(NamedTuple):
-    """Bytes of another part of the router, which shares the socket and the budget."""
+    """Payload of another router component that shares the socket and the byte budget."""
 
     kind: str
     payload: bytes
--- a/packages/decisions/src/damaskwind/decisions/membership/prober.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/prober.py
@@ -1,12 +1,12 @@
-"""Probe routers in turn and tell which of them do not answer.
-
-This is SWIM's failure detector. In each round a router probes the peer that
-stands a certain offset further on the ring of its failure domain. The offsets
-are one fixed permutation for all, and round numbers are levelled as Lamport
-clocks, so in each round every router is probed by one other: the load that
-probes bring is even, and after a cycle each pair has met. A peer that does not
-answer is probed through others before it is suspected, so that a path broken
-in one direction accuses nobody.
+"""Probe routers in turn and detect those that do not respond.
+
+This is SWIM's failure detector. In each round a router probes the peer at a
+certain offset on the ring of its failure domain. All routers use the same
+permutation of offsets, and round numbers are synchronized like Lamport clocks,
+so each round probes every router exactly once. The probe load is therefore even,
+and a cycle covers each pair. A peer that does not respond is probed through
+others before it is suspected, so that a path that fails in one direction only
+causes no false suspicion.
 """
 
 from functools import lru_cache
@@ -20,7 +20,7 @@
 
 
 class PendingProbe(NamedTuple):
-    """A probe that waits for its answer; `asked` is set once others were asked."""
+    """A probe without an ack so far; `asked` is set once indirect probes were requested."""
 
     router_id: str
     sent_s: float
@@ -29,7 +29,7 @@
 
 @lru_cache(maxsize=64)
 def _offsets(members: int, cycle: int) -> tuple[int, ...]:
-    """Return the offsets of one cycle, in an order that is the same everywhere."""
+    """Return the offsets of one cycle, in an order that is the same on all routers."""
     return tuple(
         sorted(
             range(1, members),
@@ -39,7 +39,7 @@
 
 
 def ring_peers(ring: list[str], router_id: str, round_number: int, count: int) -> list[str]:
-    """Return the peers that a router turns to in a round, `count` at most.
+    """Return the peers that a router contacts in a round, at most `count`.
 
     >>> [ring_peers(["a", "b", "c"], name, 7, 1)[0] for name in "abc"]
     ['b', 'c', 'a']
@@ -54,9 +54,9 @@
 
 
 class Prober:
-    """The probes of one router that wait for answers.
+    """The pending probes of one router.
 
-    Probes of the ring carry the round as nonce, all others a negative number.
+    Ring probes use the round number as nonce, all other probes a negative number.
     """
 
     def __init__(self, round_s: float, now_s: float, first_delay_s: float) -> None:
@@ -69,7 +69,7 @@
         self._forwards: dict[int, tuple[str, int, float]] = {}
 
     def start_round(self, now_s: float) -> bool:
-        """Tell whether a round is due, and count it."""
+        """Tell whether a round is due, and advance the round number."""
         if now_s < self._next_round_s:
             return False
         self._next_round_s = max(self._next_round_s + self._round_s, now_s + self._round_s / 2)
@@ -79,43 +79,43 @@
         return True
 
     def sync_round(self, nonce: int, now_s: float) -> None:
-        """Catch up with a peer of the ring whose round is ahead.
+        """Adopt the round number of a ring peer that is ahead.
 
-        A router that just caught up does not count its own next round, so the
-        common round advances once in `round_s` and not once for each router.
+        A router that just did so does not advance the number with its own next round,
+        so the shared number advances once per `round_s` and not once per router.
         """
         if self.round_number < nonce < self.round_number + _MAX_ROUND_JUMP:
             self.round_number = nonce
             self._round_advanced_s = now_s
 
     def next_off_ring_nonce(self) -> int:
-        """Return a nonce for a probe outside of the ring."""
+        """Return a nonce for a probe that is not a ring probe."""
         self._off_ring_nonce -= 1
         return self._off_ring_nonce
 
     def record_sent(self, nonce: int, router_id: str, now_s: float) -> None:
-        """Wait for the answer to a probe."""
+        """Record a sent probe as pending."""
         self._pending[nonce] = PendingProbe(router_id, now_s)
 
     def pop_answered(self, nonce: int) -> PendingProbe | None:
-        """Return the probe that an answer belongs to."""
+        """Remove and return the pending probe of an ack, if there is one."""
         return self._pending.pop(nonce, None)
 
     def cancel(self, nonce: int) -> None:
-        """Forget a probe that was never sent."""
+        """Remove a probe that was never sent."""
         self._pending.pop(nonce, None)
 
     def add_forward(self, nonce: int, router_id: str, their_nonce: int, now_s: float) -> None:
-        """Remember for whom a probe was sent."""
+        """Record the router that requested an indirect probe, and its own nonce."""
         self._forwards[nonce] = (router_id, their_nonce, now_s)
 
     def pop_forward(self, nonce: int) -> tuple[str, int] | None:
-        """Return for whom a probe was sent, and its nonce there."""
-        held = self._forwards.pop(nonce, None)
-        return held[:2] if held else None
+        """Remove and return the requester of an indirect probe and its own nonce."""
+        requester = self._forwards.pop(nonce, None)
+        return requester[:2] if requester else None
 
     def take_late(self, timeout_s: float, now_s: float) -> list[tuple[int, str]]:
-        """Return the probes that are late for the first time: nonce and router."""
+        """Return nonce and router of the probes that have newly exceeded the timeout."""
         late = []
         for nonce, probe in self._pending.items():
             if not probe.asked and now_s - probe.sent_s >= timeout_s:
@@ -124,11 +124,15 @@
         return late
 
     def take_failed(self, timeout_s: float, now_s: float) -> list[str]:
-        """Return the routers whose probes failed, and forget those probes."""
+        """Remove the probes that failed, and return their routers."""
         failed = [
             nonce for nonce, probe in self._pending.items() if now_s - probe.sent_s >= timeout_s
         ]
-        old = [nonce for nonce, held in self._forwards.items() if now_s - held[2] >= timeout_s]
-        for nonce in old:
+        expired = [
+            nonce
+            for nonce, requester in self._forwards.items()
+            if now_s - requester[2] >= timeout_s
+        ]
+        for nonce in expired:
             del self._forwards[nonce]
         return [self._pending.pop(nonce).router_id for nonce in failed]
--- a/packages/decisions/src/damaskwind/decisions/membership/routers.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/routers.py
@@ -1,8 +1,8 @@
-"""The routers that a router knows, with their states and relays.
+"""The routers known to a router, with their states, and the relays of each domain.
 
 The merge rule is SWIM's (Das, Gupta and Motivala, DSN 2002): of two records
-the one with the higher incarnation wins, at equal incarnations the graver
-state; only a router itself raises its incarnation.
+the one with the higher incarnation wins; at equal incarnations the greater state
+wins. Only a router itself raises its incarnation.
 """
 
 from typing import NamedTuple
@@ -32,24 +32,24 @@
 
     @property
     def joined(self) -> bool:
-        """Tell whether the router lives now and did not before."""
-        lived = self.before is not None and self.before.state in _LIVE_STATES
-        return not lived and self.after.state in _LIVE_STATES
+        """Tell whether the router is live now and was not before."""
+        was_live = self.before is not None and self.before.state in _LIVE_STATES
+        return not was_live and self.after.state in _LIVE_STATES
 
     @property
     def gone(self) -> bool:
-        """Tell whether the router lived before and does not now."""
-        lived = self.before is not None and self.before.state in _LIVE_STATES
-        return lived and self.after.state not in _LIVE_STATES
+        """Tell whether the router was live before and is not now."""
+        was_live = self.before is not None and self.before.state in _LIVE_STATES
+        return was_live and self.after.state not in _LIVE_STATES
 
 
 def _rendezvous_weight(failure_domain: str, router_id: str) -> int:
-    """Return the weight of a router as relay of its failure domain."""
+    """Return the rendezvous hashing weight of a router as relay of its failure domain."""
     return xxhash.xxh3_64_intdigest(f"{failure_domain}\0{router_id}".encode())
 
 
 class RouterTable:
-    """All routers that one router knows, itself among them."""
+    """All routers known to one router, including itself."""
 
     def __init__(self, own_record: RouterRecord, digests: DigestTable) -> None:
         self.own_record = own_record
@@ -61,7 +61,7 @@
         self._put(own_record, 0.0)
 
     def _put(self, record: RouterRecord, now_s: float) -> None:
-        """Hold a record and keep the digests and rings in step."""
+        """Store a record and update digests, rings and suspects."""
         self._records[record.router_id] = record
         self._changed_at_s[record.router_id] = now_s
         self._rings.clear()
@@ -80,12 +80,12 @@
         return self._records.get(router_id)
 
     def is_live(self, router_id: str) -> bool:
-        """Tell whether a router is held alive, perhaps under suspicion."""
+        """Tell whether a router is considered alive, possibly under suspicion."""
         record = self._records.get(router_id)
         return record is not None and record.state in _LIVE_STATES
 
     def merge(self, record: RouterRecord, now_s: float) -> RouterChange | None:
-        """Take a record; return the change, or `None` when it was no news.
+        """Merge a record; return the change, or `None` if it is not newer.
 
         Records are ordered by incarnation, then by state.
         """
@@ -96,7 +96,7 @@
         return RouterChange(before, record)
 
     def refute(self, incarnation: int, now_s: float) -> RouterRecord:
-        """Raise the own incarnation above one that others hold, and return the record."""
+        """Raise the own incarnation above one that others have, and return the record."""
         raised = max(incarnation, self.own_record.incarnation) + 1
         self.own_record = self.own_record._replace(incarnation=raised, state=RouterState.ALIVE)
         self._put(self.own_record, now_s)
@@ -109,15 +109,15 @@
         return self.own_record
 
     def live(self) -> list[RouterRecord]:
-        """Return all routers held alive, this one among them."""
+        """Return all routers considered alive, including this one."""
         return [record for record in self._records.values() if record.state in _LIVE_STATES]
 
     def dead(self) -> list[RouterRecord]:
-        """Return the routers held dead; those that left by themselves aren't."""
+        """Return the routers considered dead, without those that announced their leave."""
         return [record for record in self._records.values() if record.state == RouterState.DEAD]
 
     def gone_by_key(self, key: int) -> RouterRecord | None:
-        """Return the record of a router that is gone, by its key."""
+        """Return the record of a dead or departed router by its key."""
         for record in self._records.values():
             if record.state not in _LIVE_STATES and router_key(record.router_id) == key:
                 return record
@@ -135,10 +135,10 @@
         return sorted({record.failure_domain for record in self.live()})
 
     def relays(self, failure_domain: str) -> list[str]:
-        """Return the routers of a domain that speak with other domains.
+        """Return the routers of a domain that communicate with other domains.
 
-        These are the live ones of the greatest rendezvous weight, so all who
-        hold the same list agree on them without a word.
+        These are the live routers with the highest rendezvous weights, so all routers
+        with the same member list agree on them without communication.
         """
         ring = self.ring(failure_domain)
         ranked = sorted(
@@ -151,17 +151,17 @@
         return self.own_record.router_id in self.relays(self.own_record.failure_domain)
 
     def suspects_since(self, since_s: float) -> list[RouterRecord]:
-        """Return the routers under suspicion since before `since_s`."""
-        old = sorted(name for name in self._suspects if self._changed_at_s[name] <= since_s)
-        return [self._records[name] for name in old]
+        """Return the routers that have been suspects since `since_s` or earlier."""
+        expired = sorted(name for name in self._suspects if self._changed_at_s[name] <= since_s)
+        return [self._records[name] for name in expired]
 
     def forget(self, now_s: float) -> None:
-        """Drop the routers that have been gone for long."""
-        old = [
+        """Remove routers that have been dead or departed for `FORGET_ROUTER_S`."""
+        expired = [
             name
             for name, record in self._records.items()
             if record.state not in _LIVE_STATES
             and now_s - self._changed_at_s[name] > FORGET_ROUTER_S
         ]
-        for name in old:
+        for name in expired:
             del self._records[name], self._changed_at_s[name]
--- a/packages/decisions/src/damaskwind/decisions/membership/state.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/state.py
@@ -1,7 +1,7 @@
-"""What one router knows, and how records that it hears are merged into it.
+"""The membership state of one router, and the merging of received records.
 
-Every merge gathers the datagrams to send and the events to tell, until
-`take_output` hands them over.
+Merges collect datagrams to send and events to deliver until `take_output`
+returns them.
 """
 
 from collections.abc import Callable
@@ -54,7 +54,7 @@
 
 
 class MembershipState:
-    """The tables of one router and what merges into them."""
+    """The membership tables of one router and the operations that merge into them."""
 
     def __init__(
         self,
@@ -87,23 +87,23 @@
         self._revisions: dict[str, int] = {}
 
     def advance(self, now_s: float) -> None:
-        """Move the clock; one that goes back stands still instead."""
+        """Advance the time; a time in the past leaves it unchanged."""
         self.now_s = max(self.now_s, now_s)
 
     def take_output(self) -> Output:
-        """Return what was gathered and start anew."""
+        """Return the collected sends and events, and clear them."""
         output = Output(self.sends, self.events)
         self.sends, self.events = [], []
         return output
 
     def send_to(self, router_id: str, message: Message, urgency: Urgency) -> None:
-        """Send to a router by its record."""
+        """Send to a router at the address in its record, if it is known."""
         record = self.routers.get(router_id)
         if record is not None:
             self.sends.append(Send(router_id, record.address, message, urgency))
 
     def sender_record(self, sender_id: str, incarnation: int) -> RouterRecord | None:
-        """Return the sender's record, raised to the incarnation it shows itself."""
+        """Return the sender's record, raised to the incarnation in its message."""
         record = self.routers.get(sender_id)
         if record is not None and incarnation > record.incarnation:
             raised = record._replace(incarnation=incarnation, state=RouterState.ALIVE)
@@ -111,18 +111,18 @@
         return self.routers.get(sender_id)
 
     def would_return(self, target_id: str, incarnation: int) -> bool:
-        """Tell whether a record of this incarnation would bring a target back."""
+        """Tell whether a record of this incarnation would bring back a known target."""
         known = self.targets.known_incarnation(target_id)
         gone = target_id not in self.targets.live
         return known >= 0 and (gone or incarnation > known)
 
     def publish_target(
-        self, target_id: str, outcome: MergeOutcome, returns: bool, forward: bool
+        self, target_id: str, outcome: MergeOutcome, would_return: bool, forward: bool
     ) -> None:
-        """Tell of a merged target and pass it on."""
+        """Emit an event for a new or changed target, and gossip its record."""
         if outcome not in _UPDATE_OUTCOMES:
             return
-        if outcome == MergeOutcome.NEW and returns:
+        if outcome == MergeOutcome.NEW and would_return:
             self.damper.record_return(target_id, self.now_s)
         self.emit_target_changed(target_id)
         record = self.targets.record(target_id, self.now_s)
@@ -130,22 +130,22 @@
             self.gossip.rumours.add(record, Urgency.JOIN, self.now_s)
 
     def emit_target_changed(self, target_id: str) -> None:
-        """Tell how a target stands, unless it is gone or held back."""
+        """Emit the current view of a target, unless it is gone or suppressed."""
         if target_id not in self.targets.live:
             return
         if not self.damper.is_suppressed(target_id, self.now_s):
             self.events.append(TargetChanged(self.targets.view(target_id, self.now_s)))
 
     def publish_leave(self, tombstone: Tombstone) -> None:
-        """Tell that a target left and flood it."""
+        """Emit an event for a target that left, and flood its tombstone."""
         self.events.append(TargetGone(tombstone.target_id, tombstone.reason))
         self.gossip.rumours.add(tombstone, Urgency.LEAVE, self.now_s)
 
     def merge_router(self, record: RouterRecord, forward: bool) -> None:
-        """Merge a router's record; refute it when it speaks ill of this one."""
-        me = self.routers.own_record
-        if record.router_id == me.router_id:
-            if (record.incarnation, record.state) > (me.incarnation, RouterState.ALIVE):
+        """Merge a router's record; refute it if it declares this router not alive."""
+        own_record = self.routers.own_record
+        if record.router_id == own_record.router_id:
+            if (record.incarnation, record.state) > (own_record.incarnation, RouterState.ALIVE):
                 raised = self.routers.refute(record.incarnation, self.now_s)
                 self.gossip.rumours.add(raised, Urgency.JOIN, self.now_s)
             return
@@ -158,11 +158,11 @@
             flood = record.state != RouterState.SUSPECT
             self.gossip.rumours.add(record, _STATE_URGENCY[record.state], self.now_s, flood)
         if record.state in (RouterState.SUSPECT, RouterState.DEAD):
-            # It may only be out of reach of others: let it refute at once.
+            # It may be unreachable only from other routers: let it refute at once.
             self.send_to(record.router_id, group_updates([record]), Urgency.PROBE)
 
     def emit_router_change(self, change: RouterChange) -> None:
-        """Tell of a router that came, moved or went."""
+        """Emit an event for a router that joined, changed its peer address or is gone."""
         before, after = change
         moved = before is not None and before.peer_address != after.peer_address
         if change.joined or moved:
@@ -174,70 +174,71 @@
             self.gossip.introduced.discard(after.router_id)
 
     def merge_target(self, record: TargetRecord, forward: bool) -> Tombstone | None:
-        """Merge a target's record; return the tombstone that stops it, if one does."""
-        returns = self.would_return(record.target_id, record.incarnation)
+        """Merge a target's record; return the tombstone that rejects it, if any."""
+        would_return = self.would_return(record.target_id, record.incarnation)
         outcome = self.targets.merge(record, self.now_s)
         if outcome == MergeOutcome.TOMBSTONED:
             tombstone = self.targets.tombstones.get(record.target_id, self.now_s)
-            own = record.failure_domain == self.routers.own_record.failure_domain
-            # A neighbour may have heard a renewal that was missed here; another domain can't:
-            # it hears of this one's renewals as a whole, and only from here of a lapse.
-            doubtful = own and self.sender_is_local and tombstone.reason == GoneReason.LAPSED
+            is_local = record.failure_domain == self.routers.own_record.failure_domain
+            # A router of this domain may have received a renewal that was lost here. One of
+            # another domain can't: that receives the renewals of this domain only in total,
+            # and learns of an expired lease only from here.
+            doubtful = is_local and self.sender_is_local and tombstone.reason == GoneReason.LAPSED
             return None if doubtful else tombstone
         if outcome in (MergeOutcome.KNOWN, MergeOutcome.RENEWED):
             self.count_duplicate(record)
-        self.publish_target(record.target_id, outcome, returns, forward)
+        self.publish_target(record.target_id, outcome, would_return, forward)
         return None
 
     def merge_tombstone(self, tombstone: Tombstone, forward: bool) -> None:
-        """Merge the tombstone of a target."""
-        lived = tombstone.target_id in self.targets.live
+        """Merge a target's tombstone."""
+        was_live = tombstone.target_id in self.targets.live
         if not self.targets.add_tombstone(tombstone, self.now_s):
             self.count_duplicate(tombstone)
             return
-        if lived:
+        if was_live:
             self.events.append(TargetGone(tombstone.target_id, tombstone.reason))
         if forward:
             self.gossip.rumours.add(tombstone, Urgency.LEAVE, self.now_s)
 
-    def merge_updates(self, news: News | None, answer: Callable[[Message], None]) -> None:
-        """Merge records and answer what is wanted or out of date."""
-        if news is None:
+    def merge_updates(self, updates: News | None, reply: Callable[[Message], None]) -> None:
+        """Merge records, and reply with requested records and with tombstones of stale ones."""
+        if updates is None:
             return
-        forward = not news.repair
-        for router in news.routers:
+        forward = not updates.repair
+        for router in updates.routers:
             self.merge_router(router, forward)
-        for tombstone in news.tombstones:
+        for tombstone in updates.tombstones:
             self.merge_tombstone(tombstone, forward)
-        stopping = [self.merge_target(record, forward) for record in news.targets]
-        stopping = [tombstone for tombstone in stopping if tombstone is not None]
-        if stopping:
-            answer(News(tombstones=tuple(stopping), repair=True))
-        if news.wanted:
-            records = self.repair.records(news.wanted, self.now_s)
+        tombstones = [self.merge_target(record, forward) for record in updates.targets]
+        tombstones = [tombstone for tombstone in tombstones if tombstone is not None]
+        if tombstones:
+            reply(News(tombstones=tuple(tombstones), repair=True))
+        if updates.wanted:
+            records = self.repair.records(updates.wanted, self.now_s)
             if records is not None:
-                answer(records)
-        self.merge_spills(news.spills)
+                reply(records)
+        self.merge_spills(updates.spills)
 
     def count_duplicate(self, item: Item) -> None:
-        """Count a copy of known news, if a neighbour sent it.
+        """Count a duplicate of a known item, if a router of this domain sent it.
 
-        Copies from other domains don't show that the neighbours have it.
+        Duplicates from other domains don't show that the routers of this domain have it.
         """
         if self.sender_is_local:
             self.gossip.rumours.count_duplicate(item)
 
     def merge_spills(self, packed: bytes) -> None:
-        """Tell of spill notes that are news and pass them on."""
+        """Merge spill notes; emit those that were not known and queue them for gossip."""
         if not packed:
             return
         target_of = {note_key(target_id): target_id for target_id in self.targets.live}
-        fresh = self.gossip.spills.merge(packed, target_of, self.now_s)
-        if fresh:
-            self.events.append(SpillHeard(tuple(fresh)))
+        new_notes = self.gossip.spills.merge(packed, target_of, self.now_s)
+        if new_notes:
+            self.events.append(SpillHeard(tuple(new_notes)))
 
     def merge_loads(self, loads: bytes, vector: bytes) -> None:
-        """Merge the loads on a probe or an answer and tell of each fresher one."""
+        """Merge the loads of a probe or an ack, and emit an event for each fresher one."""
         fresher = self.targets.merge_loads(loads, self.now_s)
         fresher += self.gossip.vectors.merge(vector, self.now_s)
         for target_id in fresher:
@@ -245,17 +246,17 @@
             self.events.append(LoadHeard(target_id, report))
 
     def update_revision(self, sender: RouterRecord | None, revision: int) -> None:
-        """Tell of a router's configuration revision when it is new."""
+        """Emit an event if a router's configuration revision changed."""
         if sender is not None and self._revisions.get(sender.router_id) != revision:
             self._revisions[sender.router_id] = revision
             self.events.append(RevisionHeard(sender.router_id, sender.peer_address, revision))
 
     def reply(self, router_id: str, source: Address, urgency: Urgency, message: Message) -> None:
-        """Answer a router, by its record if there is one."""
+        """Reply to a router at its recorded address, or at `source` if it is unknown."""
         record = self.routers.get(router_id)
         address = record.address if record else source
         self.sends.append(Send(router_id, address, message, urgency))
 
     def repair_sender(self, sender: RouterRecord | None, source: Address) -> Callable:
-        """Return a function that answers a router with repairs."""
+        """Return a function that sends repair messages to a router."""
         return partial(self.reply, sender.router_id if sender else "", source, Urgency.REPAIR)
--- a/packages/decisions/src/damaskwind/decisions/membership/targets.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/targets.py
@@ -1,10 +1,10 @@
-"""The targets that a router knows: leases, tombstones, loads.
+"""The targets known to a router: leases, tombstones and loads.
 
-A target lives as long as its lease, counted from its last renewal, whoever
-heard it. Renewals travel as packed loads with the age of the announcement, so
-that every router ends the lease at the same moment by itself, without a word.
+A target is live until its lease expires, counted from its last renewal at any
+router. Renewals are gossiped as packed loads with the age of the announcement, so
+that all routers expire the lease at the same time without further communication.
 Targets of other failure domains are renewed when a router of their domain
-vouches for the whole domain by its digest.
+confirms the whole domain by its digest.
 """
 
 from heapq import heappop, heappush
@@ -56,7 +56,7 @@
 
 
 class TargetTable:
-    """All targets that one router knows."""
+    """All targets known to one router by gossip."""
 
     def __init__(self, failure_domain: str, digests: DigestTable) -> None:
         self.failure_domain = failure_domain
@@ -77,24 +77,24 @@
 
     def known_incarnation(self, target_id: str) -> int:
         """Return the highest incarnation known of a target, or -1."""
-        held = self.live.get(target_id)
-        live = held.record.incarnation if held else -1
+        target = self.live.get(target_id)
+        live = target.record.incarnation if target else -1
         return max(live, self.tombstones.incarnation(target_id))
 
     def announce(self, announcement: TargetAnnouncement, now_s: float) -> MergeOutcome:
-        """Take a target's own word that it serves."""
+        """Merge a target's own announcement that it serves."""
         record = record_from_announcement(announcement)
-        held = self.live.get(record.target_id)
-        same = held is not None and held.record.incarnation == record.incarnation
-        if same and record.sequence <= held.record.renewed_sequence:
+        target = self.live.get(record.target_id)
+        same_incarnation = target is not None and target.record.incarnation == record.incarnation
+        if same_incarnation and record.sequence <= target.record.renewed_sequence:
             return MergeOutcome.STALE
         return self.merge(record, now_s)
 
     def announce_leave(self, announcement: TargetAnnouncement, now_s: float) -> Tombstone | None:
-        """Take a target's own word that it leaves; `None` when that is stale.
+        """Merge a target's own announcement that it leaves; return `None` if it is stale.
 
-        A leave ends its incarnation for good, so only a known later incarnation
-        makes it stale, whatever its sequence.
+        A leave is final for its incarnation, so only a known later incarnation makes it
+        stale, whatever its sequence.
         """
         if announcement.incarnation < self.known_incarnation(announcement.target_id):
             return None
@@ -110,79 +110,79 @@
         return tombstone
 
     def merge(self, record: TargetRecord, now_s: float) -> MergeOutcome:
-        """Take a record, from a target itself or from a peer."""
+        """Merge a record from a target itself or from a peer."""
         renewed_at_s = now_s - max(record.age_s, 0.0)
         if now_s >= renewed_at_s + self._lease_s(record):
             return MergeOutcome.EXPIRED
         if self.tombstones.blocks(record):
             return MergeOutcome.TOMBSTONED
-        held = self.live.get(record.target_id)
-        if held is None:
+        target = self.live.get(record.target_id)
+        if target is None:
             self._store(LiveTarget(record, renewed_at_s))
             return MergeOutcome.NEW
-        known = held.record
+        known = target.record
         if record.incarnation < known.incarnation:
             return MergeOutcome.STALE
         if record.incarnation > known.incarnation:
             self._store(LiveTarget(record, renewed_at_s))
             return MergeOutcome.NEW
-        return self._merge_same_incarnation(held, record, renewed_at_s)
+        return self._merge_same_incarnation(target, record, renewed_at_s)
 
     def _merge_same_incarnation(
-        self, held: LiveTarget, record: TargetRecord, renewed_at_s: float
+        self, target: LiveTarget, record: TargetRecord, renewed_at_s: float
     ) -> MergeOutcome:
-        """Take a record of the incarnation already held."""
-        known = held.record
-        renewed = record.renewed_sequence > known.renewed_sequence
-        newer = record.sequence > known.sequence
-        changed = newer and target_version(record) != target_version(known)
-        if changed:
+        """Merge a record of the known incarnation."""
+        known = target.record
+        is_renewed = record.renewed_sequence > known.renewed_sequence
+        is_newer = record.sequence > known.sequence
+        has_changed = is_newer and target_version(record) != target_version(known)
+        if has_changed:
             sequence = max(record.renewed_sequence, known.renewed_sequence)
-            fresher = LiveTarget(
-                record._replace(renewed_sequence=sequence), max(renewed_at_s, held.renewed_at_s)
+            merged = LiveTarget(
+                record._replace(renewed_sequence=sequence), max(renewed_at_s, target.renewed_at_s)
             )
-            self._store(fresher)
+            self._store(merged)
             return MergeOutcome.CHANGED
-        if not renewed:
+        if not is_renewed:
             return MergeOutcome.KNOWN
-        self._renew(held, record.renewed_sequence, renewed_at_s)
-        self._set_load(held, record.load_tokens, renewed_at_s - record.load_lag_s, False)
+        self._renew(target, record.renewed_sequence, renewed_at_s)
+        self._set_load(target, record.load_tokens, renewed_at_s - record.load_lag_s, False)
         return MergeOutcome.RENEWED
 
-    def _store(self, held: LiveTarget) -> None:
-        """Hold a target anew."""
-        record = held.record
+    def _store(self, target: LiveTarget) -> None:
+        """Store a new or changed target."""
+        record = target.record
         former = self.live.get(record.target_id)
         if former is not None:
             self.by_load_key.pop(former.load_key, None)
         self.tombstones.drop(record.target_id)
-        self.live[record.target_id] = held
+        self.live[record.target_id] = target
         self.members_version += 1
-        self.by_load_key[held.load_key] = record.target_id
+        self.by_load_key[target.load_key] = record.target_id
         self._queue_load(record)
         member = Member(False, record.target_id, target_version(record))
         self._digests.put(record.failure_domain, target_key(record.target_id), member)
-        heappush(self._expiries, (self.expires_s(held), record.target_id))
+        heappush(self._expiries, (self.expires_s(target), record.target_id))
 
     # Leases
 
     def _lease_s(self, record: TargetRecord) -> float:
-        """Return how long a renewal lasts here."""
+        """Return the effective lease duration of a target at this router."""
         if record.failure_domain == self.failure_domain:
             return max(record.lease_s, self.lease_floor_s)
         return max(record.lease_s, REMOTE_LEASE_S)
 
-    def renewed_at_s(self, held: LiveTarget) -> float:
-        """Return when a target was last known to live."""
-        record = held.record
+    def renewed_at_s(self, target: LiveTarget) -> float:
+        """Return when a target was last renewed or confirmed."""
+        record = target.record
         if record.failure_domain == self.failure_domain:
-            return held.renewed_at_s
+            return target.renewed_at_s
         bucket = (record.failure_domain, target_key(record.target_id) % BUCKETS)
-        return max(held.renewed_at_s, self._confirmed_at_s.get(bucket, _NEVER_S))
+        return max(target.renewed_at_s, self._confirmed_at_s.get(bucket, _NEVER_S))
 
-    def expires_s(self, held: LiveTarget) -> float:
-        """Return when the lease of a target ends."""
-        return self.renewed_at_s(held) + self._lease_s(held.record)
+    def expires_s(self, target: LiveTarget) -> float:
+        """Return when the lease of a target expires."""
+        return self.renewed_at_s(target) + self._lease_s(target.record)
 
     def confirm_buckets(
         self, failure_domain: str, buckets: list[int], age_s: float, now_s: float
@@ -195,7 +195,7 @@
             )
 
     def confirmed_age_s(self, failure_domain: str, now_s: float) -> float:
-        """Return how long ago a whole domain was vouched for; 0 for the own one."""
+        """Return the time since a whole domain was confirmed; 0 for the local domain."""
         if failure_domain == self.failure_domain:
             return 0.0
         oldest = min(
@@ -204,18 +204,18 @@
         return now_s - oldest
 
     def expire_leases(self, now_s: float) -> list[Tombstone]:
-        """End the leases that are over and return their tombstones."""
-        lapsed = []
+        """Remove targets whose leases have expired, and return their tombstones."""
+        expired = []
         while self._expiries and self._expiries[0][0] <= now_s:
             _, target_id = heappop(self._expiries)
-            held = self.live.get(target_id)
-            if held is None:
+            target = self.live.get(target_id)
+            if target is None:
                 continue
-            expires_s = self.expires_s(held)
+            expires_s = self.expires_s(target)
             if expires_s > now_s:
                 heappush(self._expiries, (expires_s, target_id))
                 continue
-            record = held.record
+            record = target.record
             tombstone = Tombstone(
                 target_id,
                 record.incarnation,
@@ -225,33 +225,33 @@
                 0.0,
             )
             self.add_tombstone(tombstone, now_s)
-            lapsed.append(tombstone)
-        return lapsed
+            expired.append(tombstone)
+        return expired
 
     def overdue_keys(self, share: float, now_s: float) -> list[int]:
-        """Return the keys of own targets whose lease is used up by this share."""
+        """Return the keys of local targets that have used up more than a share of their lease."""
         keys = []
-        for target_id, held in self.live.items():
-            record = held.record
+        for target_id, target in self.live.items():
+            record = target.record
             if record.failure_domain != self.failure_domain:
                 continue
-            if now_s - held.renewed_at_s > share * self._lease_s(record):
+            if now_s - target.renewed_at_s > share * self._lease_s(record):
                 keys.append(target_key(target_id))
         return keys
 
     # Tombstones
 
     def add_tombstone(self, tombstone: Tombstone, now_s: float) -> bool:
-        """Keep a tombstone and drop the target; tell whether it was news."""
-        held = self.live.get(tombstone.target_id)
-        if held is not None and supersedes_tombstone(held.record, tombstone):
+        """Store a tombstone and remove its target; tell whether the tombstone was new."""
+        target = self.live.get(tombstone.target_id)
+        if target is not None and supersedes_tombstone(target.record, tombstone):
             return False
         if not self.tombstones.put(tombstone, now_s):
             return False
-        if held is not None:
+        if target is not None:
             del self.live[tombstone.target_id]
             self.members_version += 1
-            self.by_load_key.pop(held.load_key, None)
+            self.by_load_key.pop(target.load_key, None)
             self._dequeue_load(tombstone.target_id)
             self._digests.remove(target_key(tombstone.target_id))
         return True
@@ -259,56 +259,56 @@
     # Loads
 
     def observe(self, target_id: str, report: LoadReport, now_s: float) -> None:
-        """Take a load that came with an answer; it renews no lease."""
-        held = self.live.get(target_id)
-        if held is not None:
-            self._set_load(held, report.load_tokens, now_s - max(report.age_s, 0.0), True)
+        """Record a load reported with a response; it does not renew the lease."""
+        target = self.live.get(target_id)
+        if target is not None:
+            self._set_load(target, report.load_tokens, now_s - max(report.age_s, 0.0), True)
 
     def merge_loads(self, packed: bytes, now_s: float) -> list[str]:
-        """Take a load vector; return the targets whose load is fresher now."""
-        fresher = []
+        """Merge packed loads; return the targets whose load became fresher."""
+        fresher_ids = []
         for entry in unpack_loads(packed):
             target_id = self.by_load_key.get(entry.key)
             if target_id is None or entry.age_s >= MAX_AGE_S:
                 continue
             if self._merge_load(self.live[target_id], entry, now_s - entry.age_s):
-                fresher.append(target_id)
-        return fresher
+                fresher_ids.append(target_id)
+        return fresher_ids
 
     def merge_observed_load(
         self, target_id: str, load_tokens: int, measured_at_s: float, min_gain_s: float
     ) -> bool:
-        """Take a load from a vector; tell whether it is fresher. It renews no lease."""
-        held = self.live[target_id]
-        return self._set_load(held, load_tokens, measured_at_s, True, min_gain_s)
+        """Merge a load from a vector; tell whether it was fresher. It renews no lease."""
+        target = self.live[target_id]
+        return self._set_load(target, load_tokens, measured_at_s, True, min_gain_s)
 
     def merge_renewal(self, target_id: str, low_bits: int, renewed_at_s: float) -> bool:
-        """Take a renewal by the low bits of its sequence; tell whether it is news."""
-        held = self.live[target_id]
-        step = sequence_step(held.record.renewed_sequence, low_bits)
+        """Merge a renewal by the low bits of its sequence; tell whether it was newer."""
+        target = self.live[target_id]
+        step = sequence_step(target.record.renewed_sequence, low_bits)
         if step:
-            self._renew(held, held.record.renewed_sequence + step, renewed_at_s)
+            self._renew(target, target.record.renewed_sequence + step, renewed_at_s)
         else:
-            # Whoever sent it knows it already: it needs passing on once less.
-            held.transmissions += held.record.renewed_sequence % 16 == low_bits
+            # The sender has this renewal already: it needs one transmission less.
+            target.transmissions += target.record.renewed_sequence % 16 == low_bits
         return step > 0
 
-    def _merge_load(self, held: LiveTarget, entry: PackedLoad, heard_at_s: float) -> bool:
-        """Take one load: a renewal by its sequence, one seen on an answer by its age."""
-        record = held.record
+    def _merge_load(self, target: LiveTarget, entry: PackedLoad, received_at_s: float) -> bool:
+        """Merge one load: a renewal by its sequence, an observed load by its age."""
+        record = target.record
         if entry.observed:
-            return self._set_load(held, entry.load_tokens, heard_at_s, True)
-        if not self.merge_renewal(record.target_id, entry.sequence, heard_at_s):
+            return self._set_load(target, entry.load_tokens, received_at_s, True)
+        if not self.merge_renewal(record.target_id, entry.sequence, received_at_s):
             return False
-        return self._set_load(held, entry.load_tokens, heard_at_s - record.load_lag_s, False)
+        return self._set_load(target, entry.load_tokens, received_at_s - record.load_lag_s, False)
 
     def resend_renewal(self, key: int) -> None:
-        """Pass a target's renewal on once more, since a peer asked for it."""
+        """Send a target's renewal again because a peer requested it."""
         member = self._digests.member(key)
-        held = self.live.get(member.name) if member else None
-        if held is not None:
-            held.transmissions = 0
-            self._queue_load(held.record)
+        target = self.live.get(member.name) if member else None
+        if target is not None:
+            target.transmissions = 0
+            self._queue_load(target.record)
 
     def pack_loads(
         self,
@@ -317,7 +317,7 @@
         now_s: float,
         only: set[str] | None = None,
     ) -> bytes:
-        """Return the loads passed on least, the freshest first, then other domains'."""
+        """Pack local loads, least sent and then freshest first, followed by remote ones."""
         entries = max(limit_bytes // ENTRY_BYTES, 0)
         fresh = self._queued_local if only is None else only.intersection(self._queued_local)
         chosen = sorted(fresh, key=self._load_order)[:entries]
@@ -325,79 +325,79 @@
         return b"".join(self._pack(target_id, max_transmissions, now_s) for target_id in chosen)
 
     def _load_order(self, target_id: str) -> tuple[int, float]:
-        """Return what puts one load before another: passed on least, fresh."""
-        held = self.live[target_id]
-        return (held.transmissions, -held.measured_at_s)
+        """Return the sort key of queued loads: least sent first, then freshest."""
+        target = self.live[target_id]
+        return (target.transmissions, -target.measured_at_s)
 
     def _queue_load(self, record: TargetRecord) -> None:
-        """Mark a target's load to be passed on."""
-        near = record.failure_domain == self.failure_domain
-        (self._queued_local if near else self._queued_remote)[record.target_id] = None
+        """Queue a target's load for gossip."""
+        is_local = record.failure_domain == self.failure_domain
+        (self._queued_local if is_local else self._queued_remote)[record.target_id] = None
 
     def _dequeue_load(self, target_id: str) -> None:
-        """Pass a target's load on no more."""
+        """Remove a target's load from the gossip queues."""
         self._queued_local.pop(target_id, None)
         self._queued_remote.pop(target_id, None)
 
     def _pack(self, target_id: str, max_transmissions: int, now_s: float) -> bytes:
-        """Pack one target's load and count that it was passed on."""
-        held = self.live[target_id]
-        held.transmissions += 1
-        # Every other time the load seen on an answer goes out, else the renewal.
-        observed = held.observed and held.transmissions % 2 == 0
-        age_s = now_s - (held.measured_at_s if observed else held.renewed_at_s)
-        if held.transmissions >= max_transmissions or age_s >= MAX_AGE_S:
+        """Pack one target's load and count the transmission."""
+        target = self.live[target_id]
+        target.transmissions += 1
+        # Alternate between an observed load and the renewal.
+        observed = target.observed and target.transmissions % 2 == 0
+        age_s = now_s - (target.measured_at_s if observed else target.renewed_at_s)
+        if target.transmissions >= max_transmissions or age_s >= MAX_AGE_S:
             self._dequeue_load(target_id)
         if age_s >= MAX_AGE_S:
             return b""
-        record = held.record
+        record = target.record
         return pack_load(
-            held.load_key, record.renewed_sequence, record.load_tokens, observed, age_s
+            target.load_key, record.renewed_sequence, record.load_tokens, observed, age_s
         )
 
-    def _renew(self, held: LiveTarget, sequence: int, renewed_at_s: float) -> None:
-        """Move a lease on."""
-        if held.record.failure_domain == self.failure_domain:
-            gap_s = max(renewed_at_s - held.renewed_at_s, 0.0)
+    def _renew(self, target: LiveTarget, sequence: int, renewed_at_s: float) -> None:
+        """Extend a lease and queue the renewal for gossip."""
+        if target.record.failure_domain == self.failure_domain:
+            gap_s = max(renewed_at_s - target.renewed_at_s, 0.0)
             self.renewal_gap_s += _GAP_SMOOTHING * (gap_s - self.renewal_gap_s)
-        held.record = held.record._replace(renewed_sequence=sequence)
-        held.renewed_at_s = max(held.renewed_at_s, renewed_at_s)
-        held.transmissions = 0
-        self._queue_load(held.record)
+        target.record = target.record._replace(renewed_sequence=sequence)
+        target.renewed_at_s = max(target.renewed_at_s, renewed_at_s)
+        target.transmissions = 0
+        self._queue_load(target.record)
 
     def _set_load(
         self,
-        held: LiveTarget,
+        target: LiveTarget,
         load_tokens: int,
         measured_at_s: float,
         observed: bool,
         min_gain_s: float = _MIN_FRESHNESS_GAIN_S,
     ) -> bool:
-        """Take a load when it is fresher than the one held."""
-        if measured_at_s <= held.measured_at_s + min_gain_s:
+        """Store a load if it is fresher than the known one by more than `min_gain_s`."""
+        if measured_at_s <= target.measured_at_s + min_gain_s:
             return False
-        held.record = held.record._replace(load_tokens=load_tokens)
-        held.measured_at_s = measured_at_s
-        held.observed = observed
+        target.record = target.record._replace(load_tokens=load_tokens)
+        target.measured_at_s = measured_at_s
+        target.observed = observed
         if not (observed and self.loads_by_vector):
-            held.transmissions = min(held.transmissions, 1)
-            self._queue_load(held.record)
+            target.transmissions = min(target.transmissions, 1)
+            self._queue_load(target.record)
         return True
 
     # Views
 
     def record(self, target_id: str, now_s: float) -> TargetRecord | None:
-        """Return a target's record with its age, for a peer."""
-        held = self.live.get(target_id)
-        if held is None:
+        """Return a target's record with its current age, for a peer."""
+        target = self.live.get(target_id)
+        if target is None:
             return None
-        return held.record._replace(age_s=max(now_s - self.renewed_at_s(held), 0.0))
+        return target.record._replace(age_s=max(now_s - self.renewed_at_s(target), 0.0))
 
     def load_report(self, target_id: str, now_s: float) -> LoadReport:
-        """Return the load of a held target with its age."""
+        """Return the load of a live target with its age."""
         view = self.view(target_id, now_s)
         return LoadReport(int(view.load_tokens), view.capacity_tokens, 0, 0, view.report_age_s)
 
     def view(self, target_id: str, now_s: float) -> TargetView:
-        """Return a held target as the placement wants it."""
+        """Return a live target in the form used by placement."""
         return make_view(self.live[target_id], now_s)
