--- a/packages/decisions/src/damaskwind/decisions/membership/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which routers and targets there are, agreed by gossip; pure."""
+"""Membership of routers and targets by gossip; free of I/O."""
--- a/packages/decisions/src/damaskwind/decisions/membership/announcing.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/announcing.py
@@ -1,9 +1,9 @@
-"""How often targets announce themselves, so that announcements keep to a share.
+"""Schedule the announcements of targets within a share of the byte budget.
 
-Announcements come by HTTP and can't be refused for their bytes, but each
-answer tells the target when to come again. The interval grows with the number
-of targets for each router, and also with the bytes that really came in, since
-a router that has just started knows few targets yet.
+Announcements arrive by HTTP and can't be refused because of their size, but each
+response tells the target when to announce itself again. The interval grows with the
+number of targets per router, and also with the number of bytes actually received, since
+a router that has just started knows only a few targets.
 """
 
 from collections import deque
@@ -14,15 +14,15 @@
 MIN_INTERVAL_S = 2.0
 # A lease must outlast the loss of two announcements.
 ANNOUNCEMENTS_PER_LEASE = 3.2
-# A stretched lease stands for a busy domain, where gossip misses more renewals.
+# A lease is stretched in a busy domain, where gossip loses more renewals.
 ANNOUNCEMENTS_PER_STRETCHED_LEASE = 5.0
-# A router that just started does not know yet how many targets there are.
+# A router that has just started does not know yet how many targets there are.
 WARM_UP_S = 30.0
 _WINDOW_S = 5.0
 
 
 class AnnouncementScheduler:
-    """The interval that one router asks of targets.
+    """The announcement interval that one router requests from targets.
 
     >>> scheduler = AnnouncementScheduler(700.0, now_s=0.0)
     >>> scheduler.next_interval_s(lease_s=16.0, targets_per_router=1.0, now_s=60.0)
@@ -44,10 +44,10 @@
         self._received_s.append(now_s)
 
     def lease_floor_s(self, targets_per_router: float) -> float:
-        """Return the shortest lease that this many targets can keep up.
+        """Return the shortest lease that this many targets can keep renewed.
 
-        Where the budget allows fewer announcements than a lease asks for, the
-        lease is stretched: the budget is the harder limit.
+        If the budget allows fewer announcements than a lease requires, the lease is
+        stretched, since the budget is the stricter limit.
         """
         return (
             ANNOUNCEMENTS_PER_STRETCHED_LEASE
@@ -57,7 +57,7 @@
         )
 
     def next_interval_s(self, lease_s: float, targets_per_router: float, now_s: float) -> float:
-        """Return when a target with this lease should announce itself again."""
+        """Return after how many seconds a target with this lease should announce itself again."""
         stretched_s = self.lease_floor_s(targets_per_router) / ANNOUNCEMENTS_PER_STRETCHED_LEASE
         limit_s = max(lease_s / ANNOUNCEMENTS_PER_LEASE, stretched_s)
         if now_s < self._started_s + WARM_UP_S:
@@ -65,8 +65,8 @@
         while self._received_s and self._received_s[0] <= now_s - _WINDOW_S:
             self._received_s.popleft()
         by_count_s = targets_per_router * ANNOUNCEMENT_BYTES / self.bytes_per_s
-        heard_bytes_per_s = len(self._received_s) * ANNOUNCEMENT_BYTES / _WINDOW_S
-        by_bytes_s = self._interval_s * heard_bytes_per_s / self.bytes_per_s
-        wanted_s = max(by_count_s, min(by_bytes_s, 2 * self._interval_s), MIN_INTERVAL_S)
-        self._interval_s = min(wanted_s, limit_s)
+        received_bytes_per_s = len(self._received_s) * ANNOUNCEMENT_BYTES / _WINDOW_S
+        by_bytes_s = self._interval_s * received_bytes_per_s / self.bytes_per_s
+        target_interval_s = max(by_count_s, min(by_bytes_s, 2 * self._interval_s), MIN_INTERVAL_S)
+        self._interval_s = min(target_interval_s, limit_s)
         return self._interval_s
--- a/packages/decisions/src/damaskwind/decisions/membership/damping.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/damping.py
@@ -1,9 +1,9 @@
-"""Hold back targets that come and go, by a penalty that decays.
+"""Suppress flapping targets by a penalty that decays exponentially.
 
 The method is route flap damping (RFC 2439): each return adds one to the
 target's penalty, which halves every `HALF_LIFE_S`. Above `SUPPRESS_ABOVE` the
-target is held back until the penalty falls below `REUSE_BELOW`. Leaves are
-never held back, and a target keeps its id and so its place in the placement.
+target is suppressed until the penalty falls below `REUSE_BELOW`. Leaves are
+never suppressed, and a target keeps its id and therefore its rank in placement.
 
 >>> damper = FlapDamper()
 >>> [damper.record_return("a", now_s) for now_s in (0.0, 1.0, 2.0)]
@@ -28,7 +28,7 @@
         self._suppressed: set[str] = set()
 
     def record_return(self, target_id: str, now_s: float) -> bool:
-        """Count a return; tell whether the target is held back now."""
+        """Count a return; tell whether the target is suppressed now."""
         penalty = self._penalty(target_id, now_s) + 1.0
         self._penalties[target_id] = (penalty, now_s)
         if penalty > SUPPRESS_ABOVE:
@@ -36,7 +36,7 @@
         return target_id in self._suppressed
 
     def is_suppressed(self, target_id: str, now_s: float) -> bool:
-        """Tell whether the target is held back, and end that when it is time."""
+        """Tell whether a target is suppressed; end the suppression if its penalty has decayed."""
         if target_id not in self._suppressed:
             return False
         if self._penalty(target_id, now_s) < REUSE_BELOW:
@@ -45,7 +45,7 @@
         return True
 
     def release(self, now_s: float) -> list[str]:
-        """Return the targets that are held back no longer, and forget old penalties."""
+        """Return the targets that are no longer suppressed, and remove small penalties."""
         released = [name for name in self._suppressed if self._penalty(name, now_s) < REUSE_BELOW]
         self._suppressed.difference_update(released)
         for name in [name for name in self._penalties if self._penalty(name, now_s) < FORGET_BELOW]:
@@ -54,5 +54,5 @@
 
     def _penalty(self, target_id: str, now_s: float) -> float:
         """Return the decayed penalty of a target."""
-        penalty, noted_s = self._penalties.get(target_id, (0.0, now_s))
-        return penalty * 0.5 ** (max(now_s - noted_s, 0.0) / HALF_LIFE_S)
+        penalty, updated_s = self._penalties.get(target_id, (0.0, now_s))
+        return penalty * 0.5 ** (max(now_s - updated_s, 0.0) / HALF_LIFE_S)
--- a/packages/decisions/src/damaskwind/decisions/membership/digests.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/digests.py
@@ -1,8 +1,8 @@
-"""Digests of what is held for each failure domain, kept as it changes.
+"""Incrementally maintained digests of the members of each failure domain.
 
-The live routers and targets of a domain fall into buckets by their key. The
-digest of a bucket is the XOR of its members' versions, so a change costs one
-step, and two routers hold the same when their digests are equal.
+The live routers and targets of a domain are divided into buckets by key. The digest
+of a bucket is the XOR of its members' versions, so that an update takes constant time.
+Two routers with equal digests have the same members.
 """
 
 import struct
@@ -60,7 +60,7 @@
 def target_version(record: TargetRecord) -> int:
     """Return the 32-bit version of a target's record.
 
-    What changes with each renewal (sequences, age, load) is left out.
+    Fields that change with each renewal (sequences, age, load) are left out.
     """
     offers = sorted((offer.model, offer.version, sorted(offer.adapters)) for offer in record.models)
     parts = (
@@ -78,7 +78,7 @@
 
 
 def combine_digests(digests: bytes) -> bytes:
-    """Return four bytes that stand for the digests of all buckets."""
+    """Return a four-byte digest of the digests of all buckets."""
     return xxhash.xxh32_digest(digests)
 
 
@@ -88,24 +88,24 @@
 
 
 def unpack_entries(packed: bytes) -> dict[int, int]:
-    """Return the versions of a sketch by key; a cut entry at its end is left out."""
-    whole = len(packed) // _ENTRY.size * _ENTRY.size
-    return dict(_ENTRY.iter_unpack(packed[:whole]))
+    """Return the versions in a sketch by key; ignore a truncated entry at its end."""
+    size_bytes = len(packed) // _ENTRY.size * _ENTRY.size
+    return dict(_ENTRY.iter_unpack(packed[:size_bytes]))
 
 
 def pack_keys(keys: list[int]) -> bytes:
-    """Pack keys whose records are wanted."""
+    """Pack the keys of requested records."""
     return b"".join(_KEY.pack(key) for key in keys)
 
 
 def unpack_keys(packed: bytes) -> list[int]:
-    """Return the keys whose records are wanted."""
-    whole = len(packed) // _KEY.size * _KEY.size
-    return [key for (key,) in _KEY.iter_unpack(packed[:whole])]
+    """Return the keys of requested records; ignore a truncated key at the end."""
+    size_bytes = len(packed) // _KEY.size * _KEY.size
+    return [key for (key,) in _KEY.iter_unpack(packed[:size_bytes])]
 
 
 class DigestTable:
-    """The buckets of every failure domain."""
+    """The bucket members and digests of all failure domains."""
 
     def __init__(self) -> None:
         self._digests: dict[str, list[int]] = {}
@@ -113,9 +113,9 @@
         self._members: dict[int, tuple[str, Member]] = {}
 
     def put(self, failure_domain: str, key: int, member: Member) -> None:
-        """Hold a member, in place of its former version."""
-        held = self._members.get(key)
-        if held == (failure_domain, member):
+        """Store a member, replacing its previous version."""
+        stored = self._members.get(key)
+        if stored == (failure_domain, member):
             return
         self.remove(key)
         self._members[key] = (failure_domain, member)
@@ -124,21 +124,21 @@
         digests[key % BUCKETS] ^= member.version
 
     def remove(self, key: int) -> None:
-        """Forget a member."""
-        held = self._members.pop(key, None)
-        if held is None:
+        """Remove a member."""
+        stored = self._members.pop(key, None)
+        if stored is None:
             return
-        failure_domain, member = held
+        failure_domain, member = stored
         del self._buckets[failure_domain, key % BUCKETS][key]
         self._digests[failure_domain][key % BUCKETS] ^= member.version
 
     def member(self, key: int) -> Member | None:
         """Return the member with this key."""
-        held = self._members.get(key)
-        return held[1] if held else None
+        stored = self._members.get(key)
+        return stored[1] if stored else None
 
     def domains(self) -> list[str]:
-        """Return the failure domains seen so far."""
+        """Return all failure domains seen so far."""
         return list(self._digests)
 
     def digests(self, failure_domain: str) -> bytes:
@@ -153,5 +153,7 @@
         """Return the buckets whose digests differ from those given."""
         if len(digests) != _BUCKET_DIGESTS.size:
             return []
-        mine = self._digests.get(failure_domain, [0] * BUCKETS)
-        return [i for i, value in enumerate(_BUCKET_DIGESTS.unpack(digests)) if value != mine[i]]
+        own_digests = self._digests.get(failure_domain, [0] * BUCKETS)
+        return [
+            i for i, value in enumerate(_BUCKET_DIGESTS.unpack(digests)) if value != own_digests[i]
+        ]
--- a/packages/decisions/src/damaskwind/decisions/membership/live_target.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/live_target.py
@@ -1,4 +1,4 @@
-"""A live target as a router holds it."""
+"""The state that a router keeps of a live target."""
 
 from enum import Enum
 
@@ -20,7 +20,7 @@
 
 
 class LiveTarget:
-    """A live target: its record and what changes with each renewal."""
+    """A live target: its record and the state that changes with each renewal."""
 
     __slots__ = ("load_key", "measured_at_s", "observed", "record", "renewed_at_s", "transmissions")
 
@@ -34,7 +34,7 @@
 
 
 def record_from_announcement(announcement: TargetAnnouncement) -> TargetRecord:
-    """Turn a target's announcement into a record of age zero."""
+    """Convert a target's announcement to a record of age zero."""
     load = announcement.load
     return TargetRecord(
         announcement.target_id,
@@ -56,7 +56,7 @@
 
 
 class MergeOutcome(Enum):
-    """What became of a record that came from a peer."""
+    """Result of merging a record received from a target or a peer."""
 
     NEW = "new"
     CHANGED = "changed"
@@ -68,16 +68,16 @@
 
 
 def supersedes_tombstone(record: TargetRecord, tombstone: Tombstone) -> bool:
-    """Tell whether a live record is later than a tombstone."""
+    """Tell whether a live record supersedes a tombstone."""
     if record.incarnation != tombstone.incarnation:
         return record.incarnation > tombstone.incarnation
-    lapsed = tombstone.reason == GoneReason.LAPSED
-    return lapsed and record.renewed_sequence > tombstone.sequence
+    is_lapsed = tombstone.reason == GoneReason.LAPSED
+    return is_lapsed and record.renewed_sequence > tombstone.sequence
 
 
-def make_view(held: LiveTarget, now_s: float) -> TargetView:
-    """Return a held target as the placement wants it."""
-    record = held.record
+def make_view(target: LiveTarget, now_s: float) -> TargetView:
+    """Return a live target in the form used by placement."""
+    record = target.record
     return TargetView(
         record.target_id,
         record.incarnation,
@@ -88,6 +88,6 @@
         TargetState.SERVING,
         float(record.load_tokens),
         record.capacity_tokens,
-        max(now_s - held.measured_at_s, 0.0),
+        max(now_s - target.measured_at_s, 0.0),
         record.models,
     )
--- a/packages/decisions/src/damaskwind/decisions/membership/load_vector.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/load_vector.py
@@ -1,16 +1,16 @@
-"""Pack the loads and renewals of a whole list of targets, by place in the list.
+"""Pack the loads and renewals of a list of targets by position in the list.
 
-Two routers that hold the same targets need no names: a target is its place. The
-targets fall into groups by their keys, and each group carries a digest, so that a
-join or a leave on its way costs one group and not the vector. In a group, one bitmap
-says whose load follows and another one whose renewal does:
+Two routers that know the same targets need no ids: a position identifies a target. The
+targets are divided into groups by key, and each group carries a digest, so that a join
+or leave in transit invalidates one group and not the whole vector. In a group, one bitmap
+marks the targets with a load and another one those with a renewal:
 
     vector   one byte: the binary logarithm of the number of groups; the groups; fields
-    group    digest of its keys (2 bytes), how many (1 byte), two bitmaps
-    fields   13 bits a load (8 of load, 5 of age), then 9 a renewal (4 of sequence, 5 of age)
+    group    digest of its keys (2 bytes), number of keys (1 byte), two bitmaps
+    fields   13 bits per load (8 of load, 5 of age), then 9 per renewal (4 of sequence, 5 of age)
 
-A load's code grows with its logarithm; its error stays below 2.3%. Ages round up to
-the next of `AGES_S`, so that nothing looks fresher for having been passed on.
+The code of a load is logarithmic; its error is below 2.3%. Ages are rounded up to the next
+value of `AGES_S`, so that nothing looks fresher after it was forwarded.
 """
 
 from bisect import bisect_left
@@ -47,14 +47,14 @@
 
 
 class Layout(NamedTuple):
-    """The groups of load keys, each sorted, and the digest of each."""
+    """The groups of load keys, each of them sorted, and the digest of each group."""
 
     groups: tuple[tuple[int, ...], ...]
     digests: tuple[bytes, ...]
 
 
 class VectorLoad(NamedTuple):
-    """A load as it stands in a vector; `age_s` is since it was measured."""
+    """A load in a vector; `age_s` is the time since its measurement."""
 
     key: int
     load_tokens: int
@@ -62,7 +62,7 @@
 
 
 class VectorRenewal(NamedTuple):
-    """A renewal: the lowest four bits of its sequence, and its age."""
+    """A renewal in a vector: the lowest four bits of its sequence, and its age."""
 
     key: int
     sequence: int
@@ -70,7 +70,7 @@
 
 
 def build_layout(keys: Iterable[int]) -> Layout:
-    """Sort load keys into groups of some `GROUP_TARGETS`.
+    """Divide load keys into groups of about `GROUP_TARGETS`.
 
     >>> [len(group) for group in build_layout([7, 2, 9]).groups]
     [3]
@@ -85,7 +85,7 @@
 
 
 def header_size_bytes(layout: Layout) -> int:
-    """Return how many bytes a vector takes before its fields."""
+    """Return the size of a vector without its fields, in bytes."""
     bitmaps = sum(2 * _bitmap_bytes(len(group)) for group in layout.groups)
     return 1 + _GROUP_HEADER_BYTES * len(layout.groups) + bitmaps
 
@@ -95,7 +95,7 @@
 
 
 def _encode_age(age_s: float) -> int:
-    """Return the code of the least age in the table that is not below this one."""
+    """Return the code of the smallest age in `AGES_S` that is not below this one."""
     return min(bisect_left(AGES_S, age_s - 1e-6), len(AGES_S) - 1)
 
 
@@ -109,27 +109,27 @@
 
 
 def _decode_load(code: int) -> int:
-    """Return the load of a code."""
+    """Return the load of an 8-bit code."""
     return round(_LOAD_UNIT_TOKENS * (2 ** (code / _CODES_PER_DOUBLING) - 1))
 
 
 def encode_vector(
     layout: Layout, loads: dict[int, VectorLoad], renewals: dict[int, VectorRenewal]
 ) -> bytes:
-    """Return the vector of some loads and renewals by key.
+    """Return the vector with these loads and renewals, given by key.
 
     >>> layout = build_layout([5, 9])
     >>> vector = encode_vector(layout, {9: VectorLoad(9, 640, 0.3)}, {})
     >>> len(vector), decode_vector(layout, vector)
     (8, ([VectorLoad(key=9, load_tokens=629, age_s=0.3)], [], []))
     """
-    head = bytearray([len(layout.groups).bit_length() - 1])
+    header = bytearray([len(layout.groups).bit_length() - 1])
     word, bits = 0, 0
     for group, digest in zip(layout.groups, layout.digests, strict=True):
-        head += digest + bytes([min(len(group), _MAX_GROUP)])
+        header += digest + bytes([min(len(group), _MAX_GROUP)])
         for entries in (loads, renewals):
-            bitmap = sum(1 << place for place, key in enumerate(group) if key in entries)
-            head += bitmap.to_bytes(_bitmap_bytes(len(group)), "big")
+            bitmap = sum(1 << position for position, key in enumerate(group) if key in entries)
+            header += bitmap.to_bytes(_bitmap_bytes(len(group)), "big")
         for load in (loads[key] for key in group if key in loads):
             field = _encode_load(load.load_tokens) << _AGE_BITS | _encode_age(load.age_s)
             word = word << LOAD_BITS | field
@@ -139,11 +139,14 @@
             word = word << RENEWAL_BITS | field
             bits += RENEWAL_BITS
     padding = -bits % 8
-    return bytes(head) + (word << padding).to_bytes((bits + padding) // 8, "big")
+    return bytes(header) + (word << padding).to_bytes((bits + padding) // 8, "big")
 
 
 class _Group(NamedTuple):
-    """A group's places that have a load, and those that have a renewal."""
+    """The positions in a group that have a load and those that have a renewal.
+
+    `matches` tells whether both sides have the same keys in the group.
+    """
 
     matches: bool
     loads: list[int]
@@ -153,59 +156,65 @@
 def decode_vector(
     layout: Layout, vector: bytes
 ) -> tuple[list[VectorLoad], list[VectorRenewal], list[int]]:
-    """Return the loads and renewals of the groups that both sides hold alike.
+    """Return the loads and renewals of the groups that are the same on both sides.
 
-    The last list has the groups that are unlike; a vector of another number of
-    groups, or a cut one, gives nothing and is unlike in all.
+    The last list holds the indices of the groups that differ. A truncated vector, or one
+    with another number of groups, yields no loads or renewals, and all groups differ.
     """
-    nothing: tuple[list[VectorLoad], list[VectorRenewal], list[int]] = ([], [], [])
-    nothing[2].extend(range(len(layout.groups)))
+    no_entries: tuple[list[VectorLoad], list[VectorRenewal], list[int]] = ([], [], [])
+    no_entries[2].extend(range(len(layout.groups)))
     if not vector or vector[0] != len(layout.groups).bit_length() - 1:
-        return nothing
+        return no_entries
     groups, start = _read_headers(layout, vector)
     fields = vector[start:]
     needed = sum(LOAD_BITS * len(g.loads) + RENEWAL_BITS * len(g.renewals) for g in groups)
     if len(groups) < len(layout.groups) or len(fields) * 8 < needed:
-        return nothing
-    word, left = int.from_bytes(fields, "big"), len(fields) * 8
+        return no_entries
+    word, bits_left = int.from_bytes(fields, "big"), len(fields) * 8
     loads: list[VectorLoad] = []
     renewals: list[VectorRenewal] = []
     for keys, group in zip(layout.groups, groups, strict=True):
-        for place in group.loads:
-            left -= LOAD_BITS
-            field = (word >> left) & ((1 << LOAD_BITS) - 1)
+        for position in group.loads:
+            bits_left -= LOAD_BITS
+            field = (word >> bits_left) & ((1 << LOAD_BITS) - 1)
             if group.matches:
                 tokens, age_s = _decode_load(field >> _AGE_BITS), AGES_S[field & _AGE_MASK]
-                loads.append(VectorLoad(keys[place], tokens, age_s))
-        for place in group.renewals:
-            left -= RENEWAL_BITS
-            field = (word >> left) & ((1 << RENEWAL_BITS) - 1)
+                loads.append(VectorLoad(keys[position], tokens, age_s))
+        for position in group.renewals:
+            bits_left -= RENEWAL_BITS
+            field = (word >> bits_left) & ((1 << RENEWAL_BITS) - 1)
             if group.matches:
                 sequence, age_s = field >> _AGE_BITS, AGES_S[field & _AGE_MASK]
-                renewals.append(VectorRenewal(keys[place], sequence, age_s))
+                renewals.append(VectorRenewal(keys[position], sequence, age_s))
     return loads, renewals, [i for i, group in enumerate(groups) if not group.matches]
 
 
 def _read_headers(layout: Layout, vector: bytes) -> tuple[list[_Group], int]:
-    """Read the groups' heads and where the fields start; a cut head ends the list."""
+    """Return the group headers and the start of the fields; stop at a truncated header."""
     groups: list[_Group] = []
     start = 1
     for keys, digest in zip(layout.groups, layout.digests, strict=True):
-        head = vector[start : start + _GROUP_HEADER_BYTES]
-        if len(head) < _GROUP_HEADER_BYTES:
+        header = vector[start : start + _GROUP_HEADER_BYTES]
+        if len(header) < _GROUP_HEADER_BYTES:
             break
-        count, size = head[2], _bitmap_bytes(head[2])
-        first = start + _GROUP_HEADER_BYTES
-        start = first + 2 * size
+        count, bitmap_bytes = header[2], _bitmap_bytes(header[2])
+        bitmaps_start = start + _GROUP_HEADER_BYTES
+        start = bitmaps_start + 2 * bitmap_bytes
         if len(vector) < start:
             break
-        matches = head[:2] == digest and count == len(keys)
-        places = _set_bits(vector[first : first + size], count)
-        groups.append(_Group(matches, places, _set_bits(vector[first + size : start], count)))
+        matches = header[:2] == digest and count == len(keys)
+        load_positions = _set_bits(vector[bitmaps_start : bitmaps_start + bitmap_bytes], count)
+        groups.append(
+            _Group(
+                matches,
+                load_positions,
+                _set_bits(vector[bitmaps_start + bitmap_bytes : start], count),
+            )
+        )
     return groups, start
 
 
 def _set_bits(bitmap: bytes, count: int) -> list[int]:
-    """Return the places that are set in a bitmap."""
+    """Return the positions of the bits that are set in a bitmap."""
     word = int.from_bytes(bitmap, "big")
-    return [place for place in range(count) if word >> place & 1]
+    return [position for position in range(count) if word >> position & 1]
--- a/packages/decisions/src/damaskwind/decisions/membership/loads.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/loads.py
@@ -1,10 +1,10 @@
 """Pack the load of a target into six bytes.
 
-From the highest bit: 24 bits of the key of (target, incarnation), 4 bits of
-sequence, 12 bits of load, 1 bit that marks a load seen on an answer instead of
-in an announcement, 7 bits of age in tenths of a second. An age rounds up, so
-that a report never looks fresher for having been passed on. The load is a
-float of 5 bits exponent and 7 bits mantissa: its error stays below 0.8%.
+From the most significant bit: 24 bits of the key of (target, incarnation), 4 bits of
+sequence, 12 bits of load, 1 bit that marks a load observed on a response instead of an
+announcement, 7 bits of age in tenths of a second. Ages are rounded up, so that a report
+never looks fresher after it was forwarded. The load is a floating-point number
+with 5 bits of exponent and 7 bits of mantissa; its error is below 0.8%.
 """
 
 from collections.abc import Iterator
@@ -37,7 +37,7 @@
 
 
 class PackedLoad(NamedTuple):
-    """One entry as it stands on the wire; `sequence` is its lowest four bits."""
+    """A decoded entry; `sequence` holds the lowest four bits only."""
 
     key: int
     sequence: int
@@ -52,7 +52,7 @@
 
 
 def encode_load(load_tokens: int) -> int:
-    """Return the 12-bit code of a load.
+    """Return the 12-bit floating-point code of a load.
 
     >>> [decode_load(encode_load(load)) for load in (0, 7, 255, 100_000)]
     [0, 7, 255, 99840]
@@ -68,7 +68,7 @@
 
 
 def decode_load(code: int) -> int:
-    """Return the load of a 12-bit code."""
+    """Return the load of a 12-bit floating-point code."""
     exponent = code >> _MANTISSA_BITS
     mantissa = code & _MANTISSA_MASK
     if exponent == 0:
@@ -88,7 +88,7 @@
 
 
 def unpack_loads(packed: bytes) -> Iterator[PackedLoad]:
-    """Yield the entries of a load vector; a cut entry at its end is left out."""
+    """Yield the entries of packed loads; ignore a truncated entry at the end."""
     for start in range(0, len(packed) - ENTRY_BYTES + 1, ENTRY_BYTES):
         word = int.from_bytes(packed[start : start + ENTRY_BYTES], "big")
         yield PackedLoad(
@@ -101,9 +101,9 @@
 
 
 def sequence_step(known_sequence: int, low_bits: int) -> int:
-    """Return how far the sequence with these low bits is ahead of the known one.
+    """Return by how much the sequence with these low bits is ahead of the known one.
 
-    Serial number arithmetic (RFC 1982) on four bits; not ahead gives 0.
+    Uses serial number arithmetic (RFC 1982) on four bits; returns 0 if it is not ahead.
 
     >>> sequence_step(14, 1), sequence_step(14, 13), sequence_step(14, 14)
     (3, 0, 0)
--- a/packages/decisions/src/damaskwind/decisions/membership/outputs.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/outputs.py
@@ -1,4 +1,4 @@
-"""What the membership core returns: datagrams to send and events to handle."""
+"""Output of the membership core: datagrams to send and events to handle."""
 
 from typing import NamedTuple
 
@@ -24,9 +24,9 @@
 
 
 class AnnouncementOutcome(NamedTuple):
-    """What became of an announcement; a stale one names the incarnation known.
+    """Result of an announcement, with the known incarnation of its target.
 
-    `too_large` is set when the announcement does not fit a datagram.
+    `too_large` is set if the announcement does not fit into a datagram.
     """
 
     accepted: bool
@@ -44,39 +44,42 @@
 
 
 class TargetChanged(NamedTuple):
-    """A target joined or changed; `target` is how it stands now."""
+    """A target joined or changed; `target` is its current view."""
 
     target: TargetView
 
 
 class TargetGone(NamedTuple):
-    """A target left or lapsed: no new work for it."""
+    """A target left or its lease expired: it gets no new requests."""
 
     target_id: str
     reason: GoneReason
 
 
 class LoadHeard(NamedTuple):
-    """A fresher load of a target; requests in hand are not gossiped and stand at 0."""
+    """A fresher load of a target was received.
+
+    The request counts of the report are not gossiped and are 0.
+    """
 
     target_id: str
     report: LoadReport
 
 
 class RouterJoined(NamedTuple):
-    """A router is there, or is back."""
+    """A router joined, returned or changed its peer address."""
 
     router: RouterRecord
 
 
 class RouterGone(NamedTuple):
-    """A router left or is held dead."""
+    """A router left or is considered dead."""
 
     router: RouterRecord
 
 
 class RevisionHeard(NamedTuple):
-    """A router has this configuration revision in force and serves it to followers."""
+    """A router reported the configuration revision that it has in force and serves."""
 
     router_id: str
     peer_address: Address
@@ -84,7 +87,7 @@
 
 
 class SpillHeard(NamedTuple):
-    """Spill notes of routers in this failure domain."""
+    """Spill notes were received from routers of the local or a near failure domain."""
 
     notes: tuple[SpillNote, ...]
 
@@ -95,7 +98,7 @@
 
 
 class Output(NamedTuple):
-    """The sends and events that one input caused, in order."""
+    """The sends and events caused by one input, in order."""
 
     sends: list[Send]
     events: list[Event]
--- a/packages/decisions/src/damaskwind/decisions/membership/parameters.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/parameters.py
@@ -1,4 +1,4 @@
-"""The numbers that govern the gossip, with what each was weighed against."""
+"""Parameters of the gossip protocol."""
 
 from typing import NamedTuple
 
@@ -6,24 +6,27 @@
 
 
 class MembershipParameters(NamedTuple):
-    """How often, how much and how patiently a router gossips.
-
-    A round probes one peer. `suspicion_s` is the time a suspect has to refute.
-    Probes take `probe_bytes`, and `spare_probe_bytes` more of loads while there
-    is room for `spare_headroom_bytes` of news, so that news goes before fresher loads.
-    Once the lists of targets are alike, a vector of `vector_share` of a second's budget
-    takes the place of these loads but for `uncovered_loads_bytes`, a `sample_vector_bytes`
-    before; each renewal goes out `renewal_sends` times. Spill notes have `notes_share`
-    on each probe and answer, up to `notes_limit_bytes`.
-    `fanout` counts the peers that news is flooded to in the own domain,
-    `remote_fanout` the other domains that a relay passes it to.
-    For `warm_up_s` after its start a router whose domain has more than
-    `small_domain_members` routers and targets lets no lease of it end before the
-    longest one, and later none before `gaps_per_lease` times the
-    mean gap between the renewals that it hears: a lease must not judge targets
-    by the state of the gossip. `overdue_share` of a lease without a renewal
-    makes a router ask its peers. Announcements may take `announcement_share` of the
-    budget, in larger domains, where loads ride on answers, `large_announcement_share`.
+    """Intervals, timeouts and byte limits of the gossip of a router.
+
+    A round probes one peer. `suspicion_s` is the time in which a suspect can refute.
+    Probes take `probe_bytes`, and `spare_probe_bytes` more for loads if the budget has
+    `spare_headroom_bytes` left for updates, so that updates take precedence over fresher
+    loads. Once the target lists of peers match, a vector with `vector_share` of a second's
+    budget replaces these loads, except for `uncovered_loads_bytes`; before that only samples
+    of up to `sample_vector_bytes` are sent. Each renewal is sent `renewal_sends` times.
+    Spill notes get `notes_share` of a second's budget on each probe and ack, up to
+    `notes_limit_bytes`.
+
+    `fanout` is the number of peers in the local domain to which updates are flooded,
+    `remote_fanout` the number of other domains to which a relay forwards them.
+
+    For `warm_up_s` after its start, a router whose domain has more than
+    `small_domain_members` routers and targets expires no lease of the domain before the
+    longest possible lease, and later none before `gaps_per_lease` times the mean gap
+    between received renewals, so that slow gossip does not expire the leases of running
+    targets. After `overdue_share` of a lease without a renewal, a router asks its peers.
+    Announcements may take `announcement_share` of the budget; in larger domains, where
+    loads are carried by responses, `large_announcement_share`.
     """
 
     control_bytes_per_s: int = 4096
--- a/packages/decisions/src/damaskwind/decisions/membership/repair.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/repair.py
@@ -1,10 +1,10 @@
-"""Level what two routers hold, bucket by bucket.
+"""Anti-entropy between two routers, bucket by bucket.
 
 A router whose digest of a failure domain differs from a peer's sends the
-digests of all buckets (`Compare`). The peer answers with what it holds in some
-of those that differ (`Sketch`). The first sends the records and tombstones
-that the peer lacks and asks for those it lacks itself (`News` with `repair`).
-Each step fits one datagram; what does not fit waits for the next round.
+digests of all buckets (`Compare`). The peer replies with its members in some
+of the buckets that differ (`Sketch`). The first router sends the records and tombstones
+that the peer lacks and requests those that it lacks itself (`News` with `repair`).
+Each step fits into one datagram; the rest is left to the next round.
 """
 
 from random import Random
@@ -33,7 +33,7 @@
 
 
 class Repair:
-    """The anti-entropy of one router, over its tables."""
+    """The anti-entropy of one router over its membership tables."""
 
     def __init__(
         self,
@@ -52,12 +52,12 @@
         self._summary_turn = 0
 
     def own_summary(self) -> Summary:
-        """Vouch for the own failure domain."""
+        """Return the summary that confirms the local failure domain."""
         domain = self._routers.own_record.failure_domain
         return Summary(domain, 0.0, combine_digests(self._digests.digests(domain)))
 
     def remote_summaries(self, count: int, max_age_s: float, now_s: float) -> tuple[Summary, ...]:
-        """Pass on the vouching for some other domains, in turn."""
+        """Return summaries that forward the confirmations of some other domains, in turn."""
         own = self._routers.own_record.failure_domain
         domains = sorted(name for name in self._digests.domains() if name != own)
         summaries = []
@@ -70,7 +70,10 @@
         return tuple(summaries)
 
     def check(self, summary: Summary, now_s: float) -> Compare | None:
-        """Compare a peer's summary; return what to ask it when they differ."""
+        """Check a peer's summary; return a comparison to send if the digests differ.
+
+        At most one comparison per second is started for a domain.
+        """
         domain = summary.failure_domain
         digests = self._digests.digests(domain)
         if combine_digests(digests) == summary.digests:
@@ -82,13 +85,13 @@
         return Compare(Summary(domain, self._targets.confirmed_age_s(domain, now_s), digests))
 
     def sketch(self, compare: Compare, now_s: float) -> Sketch | None:
-        """Answer a comparison with what is held in buckets that differ."""
+        """Return the members in buckets that differ, as the reply to a comparison."""
         summary = compare.summary
         domain = summary.failure_domain
         differing = self._digests.differing(domain, summary.digests)
-        equal = [bucket for bucket in range(BUCKETS) if bucket not in differing]
+        matching = [bucket for bucket in range(BUCKETS) if bucket not in differing]
         if len(summary.digests) == BUCKETS * _KEY_BYTES:
-            self._confirm(domain, equal, summary.age_s, now_s)
+            self._confirm(domain, matching, summary.age_s, now_s)
         self._random.shuffle(differing)
         buckets: list[int] = []
         entries: list[tuple[int, int]] = []
@@ -104,66 +107,66 @@
         return Sketch(domain, bytes(buckets), pack_entries(entries[:limit]))
 
     def reconcile(self, sketch: Sketch, now_s: float) -> News | None:
-        """Answer a sketch with what the peer lacks and what is wanted from it."""
-        theirs = unpack_entries(sketch.entries)
-        mine: dict[int, Member] = {}
+        """Return the records that the peer of a sketch lacks, and the keys missing here."""
+        peer_versions = unpack_entries(sketch.entries)
+        own_members: dict[int, Member] = {}
         for bucket in sketch.buckets:
-            mine.update(self._digests.bucket(sketch.failure_domain, bucket))
+            own_members.update(self._digests.bucket(sketch.failure_domain, bucket))
         items = []
-        for key, member in mine.items():
-            if theirs.get(key) != member.version:
+        for key, member in own_members.items():
+            if peer_versions.get(key) != member.version:
                 items.append(self._record(member, now_s))
-        wanted = []
-        for key in theirs:
-            if key in mine:
+        missing = []
+        for key in peer_versions:
+            if key in own_members:
                 continue
-            gone = self._departure_record(key, sketch.failure_domain, now_s)
-            if gone is not None:
-                items.append(gone)
+            departure = self._departure_record(key, sketch.failure_domain, now_s)
+            if departure is not None:
+                items.append(departure)
             elif self._digests.member(key) is None:
-                wanted.append(key)
-        return self._fit_updates(items, wanted)
+                missing.append(key)
+        return self._fit_updates(items, missing)
 
     def _departure_record(self, key: int, failure_domain: str, now_s: float) -> Item | None:
-        """Return what proves that the router or target of a key is gone.
+        """Return the record that proves that the router or target of a key is gone.
 
-        A lapse in the own domain proves nothing to a peer that still holds the
-        target: the peer may have heard a renewal that was missed here.
+        A lease that expired in the local domain proves nothing to a peer that still has
+        the target: the peer may have received a renewal that was lost here.
         """
         tombstone = self._targets.tombstones.by_key(key, now_s)
         if tombstone is None:
             return self._routers.gone_by_key(key)
-        near = failure_domain == self._routers.own_record.failure_domain
-        return None if near and tombstone.reason == GoneReason.LAPSED else tombstone
+        is_local = failure_domain == self._routers.own_record.failure_domain
+        return None if is_local and tombstone.reason == GoneReason.LAPSED else tombstone
 
     def records(self, wanted: bytes, now_s: float) -> News | None:
-        """Answer a request for records."""
+        """Return the requested records, as the reply to a list of keys."""
         members = [self._digests.member(key) for key in unpack_keys(wanted)]
         return self._fit_updates([self._record(member, now_s) for member in members if member], [])
 
     def _fit_updates(self, items: list[Item | None], wanted: list[int]) -> News | None:
-        """Fit items and wanted keys into one message."""
+        """Return a message with as many items and requested keys as fit."""
         self._random.shuffle(items)
         wanted = wanted[:_WANTED_LIMIT]
-        room = unpacked_bytes(self._updates_bytes - len(wanted) * _KEY_BYTES)
+        headroom_bytes = unpacked_bytes(self._updates_bytes - len(wanted) * _KEY_BYTES)
         fitting: list[Item] = []
         for item in items:
             size_bytes = estimate_bytes(item)
-            if item is None or (size_bytes > room and fitting):
+            if item is None or (size_bytes > headroom_bytes and fitting):
                 continue
-            room -= size_bytes
+            headroom_bytes -= size_bytes
             fitting.append(item)
         if not fitting and not wanted:
             return None
         return group_updates(fitting)._replace(wanted=pack_keys(wanted), repair=True)
 
     def _record(self, member: Member, now_s: float) -> Item | None:
-        """Return the record of a router or a target."""
+        """Return the record of a member."""
         if member.is_router:
             return self._routers.get(member.name)
         return self._targets.record(member.name, now_s)
 
     def _confirm(self, domain: str, buckets: list[int], age_s: float, now_s: float) -> None:
-        """Renew the targets of another domain."""
+        """Renew the targets in some buckets of a domain, unless it is the local one."""
         if domain != self._routers.own_record.failure_domain:
             self._targets.confirm_buckets(domain, buckets, age_s, now_s)
--- a/packages/decisions/src/damaskwind/decisions/membership/rumours.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/rumours.py
@@ -1,10 +1,9 @@
-"""News to pass on: which items wait, and how often each was sent.
+"""A queue of rumours: updates to disseminate, with their transmission counts.
 
-New items are flooded at once to a few peers, and then ride along on probes and
-answers for some rounds. An item that others have already sent to this router
-several times needs no flooding by it (counter-based broadcast, Ni and others,
-MobiCom 1999), which keeps a burst of joins from multiplying. Leaves are always
-flooded.
+New items are flooded to a few peers at once and then piggybacked on probes and acks
+for some rounds. A router does not flood an item that it has already received several
+times from others (counter-based broadcast, Ni and others, MobiCom 1999), so that a
+burst of joins does not multiply. Leaves are always flooded.
 """
 
 from math import ceil, log2
@@ -33,14 +32,19 @@
 
 
 def crosses_domains(item: Item) -> bool:
-    """Tell whether an item matters beyond its failure domain."""
+    """Tell whether an item is relevant to other failure domains."""
     if isinstance(item, RouterRecord):
         return item.state != RouterState.SUSPECT
     return True
 
 
 class Rumour:
-    """An item on its way through the fleet."""
+    """An item being disseminated, with its transmission counts.
+
+    `local_floods` and `remote_floods` count floods inside and outside of the failure
+    domain, `duplicates` how often peers sent the item to this router. From
+    `duplicate_limit` duplicates on it is no longer flooded.
+    """
 
     __slots__ = (
         "created_s",
@@ -67,39 +71,39 @@
 
 
 class _Batch(NamedTuple):
-    """Items for one datagram and the urgency of the most urgent one."""
+    """Items for one datagram, with the urgency of the most urgent one."""
 
     items: list[Item]
     urgency: Urgency
 
 
 def group_updates(items: list[Item]) -> News:
-    """Sort items into the fields of a message."""
+    """Return a message with the items grouped by their type."""
     fields: dict[str, list[Item]] = {}
     for item in items:
         fields.setdefault(_FIELDS[type(item)], []).append(item)
     return News(**{name: tuple(values) for name, values in fields.items()})
 
 
-def split_updates(news: News) -> tuple[News, ...]:
-    """Split the records of a message into two messages; nothing when it can't be split.
+def split_updates(updates: News) -> tuple[News, ...]:
+    """Split the records of a message into two messages; return `()` for a single record.
 
-    >>> graves = tuple(Tombstone(name, 1, 1, 1, "a", 0.0) for name in "xy")
-    >>> [half.tombstones[0].target_id for half in split_updates(News(tombstones=graves))]
+    >>> tombstones = tuple(Tombstone(name, 1, 1, 1, "a", 0.0) for name in "xy")
+    >>> [half.tombstones[0].target_id for half in split_updates(News(tombstones=tombstones))]
     ['x', 'y']
     """
-    items = [*news.routers, *news.targets, *news.tombstones]
+    items = [*updates.routers, *updates.targets, *updates.tombstones]
     if len(items) < 2:
         return ()
     middle = len(items) // 2
     first = group_updates(items[:middle])._replace(
-        wanted=news.wanted, repair=news.repair, spills=news.spills
+        wanted=updates.wanted, repair=updates.repair, spills=updates.spills
     )
-    return first, group_updates(items[middle:])._replace(repair=news.repair)
+    return first, group_updates(items[middle:])._replace(repair=updates.repair)
 
 
 def transmissions_limit(routers: int, factor: float) -> int:
-    """Return how often an item is passed on in a group of this many routers.
+    """Return how many times a router sends an item in a group of this many routers.
 
     >>> transmissions_limit(1, 2.0), transmissions_limit(50, 2.0)
     (2, 12)
@@ -108,7 +112,7 @@
 
 
 def _with_current_age(rumour: "Rumour", now_s: float) -> Item:
-    """Return an item with the time it waited here added to its age."""
+    """Return an item with its queueing time added to its age."""
     item = rumour.item
     if isinstance(item, TargetRecord | Tombstone):
         return item._replace(age_s=item.age_s + max(now_s - rumour.created_s, 0.0))
@@ -116,14 +120,14 @@
 
 
 def _key(item: Item) -> tuple[str, str]:
-    """Return what two items about the same thing have in common."""
+    """Return the key that items about the same router or target share."""
     if isinstance(item, RouterRecord):
         return ("router", item.router_id)
     return ("target", item.target_id)
 
 
 class RumourQueue:
-    """The items that this router passes on."""
+    """The items that this router disseminates."""
 
     def __init__(self) -> None:
         self._rumours: dict[tuple[str, str], Rumour] = {}
@@ -132,93 +136,96 @@
         return len(self._rumours)
 
     def _joins(self) -> int:
-        """Return how many joins are on their way."""
+        """Return the number of queued joins."""
         return sum(rumour.urgency == Urgency.JOIN for rumour in self._rumours.values())
 
     def add(self, item: Item, urgency: Urgency, now_s: float, flood: bool = True) -> None:
-        """Pass an item on, in place of an older one about the same thing.
+        """Queue an item, in place of an older one about the same router or target.
 
-        Joins beyond `JOINS_LIMIT` are left to the repair, which sends each
-        record only to those who lack it.
+        Joins beyond `JOINS_LIMIT` are left to anti-entropy, which sends each record only
+        to routers that lack it.
         """
         if urgency == Urgency.JOIN and self._joins() >= JOINS_LIMIT:
             return
         self._rumours[_key(item)] = Rumour(item, urgency, flood, now_s)
         if len(self._rumours) > QUEUE_LIMIT:
-            worst = max(self._rumours, key=lambda key: self._priority(self._rumours[key]))
-            del self._rumours[worst]
+            lowest = max(self._rumours, key=lambda key: self._priority(self._rumours[key]))
+            del self._rumours[lowest]
 
     def count_duplicate(self, item: Item) -> None:
-        """Count that a peer sent an item that is known already."""
+        """Count a duplicate of a queued item, received from a peer."""
         rumour = self._rumours.get(_key(item))
         if rumour is not None:
             rumour.duplicates += 1
 
-    def has_pending_leaves(self, fanout: int, far: bool) -> bool:
-        """Tell whether a leave waits to be flooded."""
-        count = "remote_floods" if far else "local_floods"
+    def has_pending_leaves(self, fanout: int, is_remote: bool) -> bool:
+        """Tell whether a leave still has to be flooded."""
+        counter = "remote_floods" if is_remote else "local_floods"
         return any(
-            rumour.urgency == Urgency.LEAVE and getattr(rumour, count) < fanout
+            rumour.urgency == Urgency.LEAVE and getattr(rumour, counter) < fanout
             for rumour in self._rumours.values()
         )
 
     def has_pending_floods(self, fanout: int) -> bool:
-        """Tell whether an item that the peers lack waits to be flooded."""
+        """Tell whether an item that peers may lack still has to be flooded."""
         return any(
             rumour.local_floods < fanout and rumour.duplicates < rumour.duplicate_limit
             for rumour in self._rumours.values()
         )
 
-    def take_flood(self, limit_bytes: int, fanout: int, far: bool, now_s: float) -> _Batch | None:
-        """Take the items of one flooding datagram, the most urgent first.
+    def take_flood(
+        self, limit_bytes: int, fanout: int, is_remote: bool, now_s: float
+    ) -> _Batch | None:
+        """Return the items of one flooding datagram, most urgent first, and count them.
 
-        Each item is taken `fanout` times, and as often again for other domains.
+        Each item is returned `fanout` times for the local and `fanout` times for remote
+        domains.
         """
         items: list[Item] = []
         urgency = Urgency.ROUTINE
-        count = "remote_floods" if far else "local_floods"
-        waiting = [r for r in self._rumours.values() if getattr(r, count) < fanout]
-        for rumour in sorted(waiting, key=self._priority):
+        counter = "remote_floods" if is_remote else "local_floods"
+        pending = [r for r in self._rumours.values() if getattr(r, counter) < fanout]
+        for rumour in sorted(pending, key=self._priority):
             if rumour.duplicates >= rumour.duplicate_limit:
-                setattr(rumour, count, _UNBOUNDED)
+                setattr(rumour, counter, _UNBOUNDED)
                 continue
             if rumour.size_bytes > limit_bytes:
                 continue
             limit_bytes -= rumour.size_bytes
-            setattr(rumour, count, getattr(rumour, count) + 1)
+            setattr(rumour, counter, getattr(rumour, counter) + 1)
             rumour.sends += 1
             items.append(_with_current_age(rumour, now_s))
             urgency = min(urgency, rumour.urgency)
         return _Batch(items, urgency) if items else None
 
     def take_piggyback(
-        self, limit_bytes: int, max_sends: int, now_s: float, near: bool
+        self, limit_bytes: int, max_sends: int, now_s: float, is_local: bool
     ) -> list[Item]:
-        """Take the items that ride along on a probe or an answer."""
+        """Return the items to piggyback on a probe or an ack, and count them."""
         self._expire(max_sends, now_s)
         items: list[Item] = []
-        room = limit_bytes
+        headroom_bytes = limit_bytes
         for rumour in sorted(self._rumours.values(), key=self._priority):
-            if rumour.size_bytes > room:
+            if rumour.size_bytes > headroom_bytes:
                 continue
-            if not near and not crosses_domains(rumour.item):
+            if not is_local and not crosses_domains(rumour.item):
                 continue
-            room -= rumour.size_bytes
+            headroom_bytes -= rumour.size_bytes
             rumour.sends += 1
             items.append(_with_current_age(rumour, now_s))
         return items
 
     def _expire(self, max_sends: int, now_s: float) -> None:
-        """Drop the items that were sent often enough or are old."""
-        done = [
+        """Remove items that were sent `max_sends` times or are too old."""
+        expired = [
             key
             for key, rumour in self._rumours.items()
             if rumour.sends >= max_sends or now_s - rumour.created_s > LIFETIME_S
         ]
-        for key in done:
+        for key in expired:
             del self._rumours[key]
 
     @staticmethod
     def _priority(rumour: Rumour) -> tuple[int, int, float]:
-        """Return what puts one item before another: urgent, sent least, old."""
+        """Return the sort key of items: most urgent, then least sent, then oldest first."""
         return (rumour.urgency, rumour.sends, rumour.created_s)
--- a/packages/decisions/src/damaskwind/decisions/membership/sizes.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/sizes.py
@@ -1,4 +1,4 @@
-"""Estimate the encoded size of a message from above, without encoding it."""
+"""Estimate upper bounds of the encoded size of messages without encoding them."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
 
 
 def estimate_bytes(value: Any) -> int:
-    """Return at least as many bytes as MessagePack takes for a value.
+    """Return an upper bound of the MessagePack size of a value, in bytes.
 
     >>> estimate_bytes(("a", 1, b"xy", None))
     18
@@ -36,9 +36,10 @@
 
 
 def packed_bytes(size_bytes: int) -> int:
-    """Return about how many bytes records of this size take when compressed.
+    """Return the approximate compressed size of records of this size, in bytes.
 
-    Measured with records of one pool: the first costs most, the rest a sixth.
+    For records of one pool, the first record takes most of the bytes and all others are
+    compressed to about a sixth.
 
     >>> packed_bytes(100), packed_bytes(1200)
     (100, 330)
@@ -47,7 +48,7 @@
 
 
 def unpacked_bytes(limit_bytes: int) -> int:
-    """Return about how many bytes of records fit a limit once compressed.
+    """Return the approximate size of records that fit into a limit once compressed.
 
     >>> unpacked_bytes(100), unpacked_bytes(330)
     (100, 1200)
--- a/packages/decisions/src/damaskwind/decisions/membership/spill_gossip.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/spill_gossip.py
@@ -1,13 +1,13 @@
-"""Pass spill notes on, six bytes each.
+"""Gossip spill notes of six bytes each.
 
-From the highest bit: 28 bits of the chat's digest, 14 bits of the target's key, 6 bits
-of age in half seconds. With 130,000 notes in memory a chat that never spilled is taken
-for one that did once in 2,000 times, and costs a cold prompt then. Of two notes of a
-chat the younger one holds; ages round up, so a copy never looks younger than its
-original, and a chat that moves back is told like any other that moves.
+From the most significant bit: 28 bits of the chat's digest, 14 bits of the target's key,
+6 bits of age in half seconds. With 130,000 notes in memory, a chat that never spilled is
+mistaken for one that did once in 2,000 times, which costs one cold prompt. Of two notes
+of a chat the younger one wins. Ages are rounded up, so a copy never looks younger than
+its original, and a chat that moves back is reported like any other move.
 
-Each note is passed on `max_sends` times at most. Those sent least go first, and of
-these the newest, since fewest peers have them.
+Each note is sent at most `max_sends` times. The least-sent notes go first, and among
+these the newest, since the fewest peers have them.
 """
 
 from collections.abc import Iterable
@@ -30,12 +30,12 @@
 
 
 def note_key(target_id: str) -> int:
-    """Return the 14 bits that stand for a target in a note."""
+    """Return the 14-bit key of a target in a note."""
     return xxhash.xxh32_intdigest(target_id.encode()) & _TARGET_MASK
 
 
 class _Note:
-    """Where a chat went, when, and how often this router said so."""
+    """The target key that a chat moved to, the time, and the number of transmissions."""
 
     __slots__ = ("created_s", "sends", "target")
 
@@ -46,7 +46,7 @@
 
 
 class SpillGossip:
-    """The notes that one router passes on.
+    """The spill notes known to one router, and those pending for gossip.
 
     >>> here, there = SpillGossip(), SpillGossip()
     >>> here.publish([SpillNote("00000a1", "t1")], now_s=5.0)
@@ -59,17 +59,17 @@
         self._pending: dict[int, _Note] = {}
 
     def pending_count(self, max_sends: int) -> int:
-        """Return how many notes were passed on less often than this."""
+        """Return the number of pending notes that were sent fewer than `max_sends` times."""
         return sum(note.sends < max_sends for note in self._pending.values())
 
     def publish(self, notes: Iterable[SpillNote], now_s: float) -> None:
-        """Pass on this router's own notes."""
+        """Queue this router's own notes."""
         for note in notes:
             chat = int(note.chat_short_digest, 16)
             self._store(chat, _Note(note_key(note.target_id), now_s))
 
     def pack(self, limit_bytes: int, max_sends: int, now_s: float) -> bytes:
-        """Return the notes that fit, and count that they were passed on."""
+        """Pack the pending notes that fit, and count the transmissions."""
         self._expire(max_sends, now_s)
         chosen = nsmallest(
             max(limit_bytes // NOTE_BYTES, 0),
@@ -83,9 +83,9 @@
             packed += (chat << 20 | note.target << 6 | age).to_bytes(NOTE_BYTES, "big")
         return bytes(packed)
 
-    def merge(self, packed: bytes, target_of: dict[int, str], now_s: float) -> list[SpillNote]:
-        """Take notes from a peer; return those that are news here."""
-        fresh = []
+    def merge(self, packed: bytes, target_by_key: dict[int, str], now_s: float) -> list[SpillNote]:
+        """Merge notes from a peer; return those that were not known here."""
+        new_notes = []
         for start in range(0, len(packed) - NOTE_BYTES + 1, NOTE_BYTES):
             word = int.from_bytes(packed[start : start + NOTE_BYTES], "big")
             chat, target, age = word >> 20, (word >> 6) & _TARGET_MASK, word & _AGE_LIMIT
@@ -93,19 +93,22 @@
             if age == _AGE_LIMIT or not self._is_newer(chat, target, created_s):
                 continue
             self._store(chat, _Note(target, created_s))
-            target_id = target_of.get(target)
+            target_id = target_by_key.get(target)
             if target_id is not None:
-                fresh.append(SpillNote(f"{chat:0{SHORT_DIGEST_HEX}x}", target_id))
-        return fresh
+                new_notes.append(SpillNote(f"{chat:0{SHORT_DIGEST_HEX}x}", target_id))
+        return new_notes
 
     def forget(self, now_s: float) -> None:
-        """Forget the notes whose copies are no longer on their way."""
-        since_s = now_s - RETENTION_S - 1.0
-        for chat in [chat for chat, note in self._known.items() if note.created_s < since_s]:
+        """Remove notes of which no copies can be in transit any more."""
+        oldest_s = now_s - RETENTION_S - 1.0
+        for chat in [chat for chat, note in self._known.items() if note.created_s < oldest_s]:
             del self._known[chat]
 
     def _is_newer(self, chat: int, target: int, created_s: float) -> bool:
-        """Tell whether a note names another place than the one known, and a later one."""
+        """Tell whether a note names another target than the known note, and is later.
+
+        A duplicate of a pending note counts as a transmission.
+        """
         known = self._known.get(chat)
         if known is None:
             return True
@@ -115,18 +118,18 @@
         return created_s > known.created_s
 
     def _store(self, chat: int, note: _Note) -> None:
-        """Hold a note in place of the chat's former one."""
+        """Store a note in place of the chat's previous one, and queue it."""
         self._known[chat] = self._pending[chat] = note
         if len(self._pending) > QUEUE_LIMIT:
             del self._pending[next(iter(self._pending))]
 
     def _expire(self, max_sends: int, now_s: float) -> None:
-        """Pass on no more what was sent often enough or is old."""
-        since_s = now_s - LIFETIME_S
-        done = [
+        """Remove pending notes that were sent `max_sends` times or are too old."""
+        oldest_s = now_s - LIFETIME_S
+        expired = [
             chat
             for chat, note in self._pending.items()
-            if note.sends >= max_sends or note.created_s < since_s
+            if note.sends >= max_sends or note.created_s < oldest_s
         ]
-        for chat in done:
+        for chat in expired:
             del self._pending[chat]
--- a/packages/decisions/src/damaskwind/decisions/membership/state.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/state.py
@@ -210,10 +210,12 @@
             self.merge_router(router, forward)
         for tombstone in updates.tombstones:
             self.merge_tombstone(tombstone, forward)
-        tombstones = [self.merge_target(record, forward) for record in updates.targets]
-        tombstones = [tombstone for tombstone in tombstones if tombstone is not None]
-        if tombstones:
-            reply(News(tombstones=tuple(tombstones), repair=True))
+        blocking_tombstones = [self.merge_target(record, forward) for record in updates.targets]
+        blocking_tombstones = [
+            tombstone for tombstone in blocking_tombstones if tombstone is not None
+        ]
+        if blocking_tombstones:
+            reply(News(tombstones=tuple(blocking_tombstones), repair=True))
         if updates.wanted:
             records = self.repair.records(updates.wanted, self.now_s)
             if records is not None:
@@ -232,8 +234,8 @@
         """Merge spill notes; emit those that were not known and queue them for gossip."""
         if not packed:
             return
-        target_of = {note_key(target_id): target_id for target_id in self.targets.live}
-        new_notes = self.gossip.spills.merge(packed, target_of, self.now_s)
+        target_by_key = {note_key(target_id): target_id for target_id in self.targets.live}
+        new_notes = self.gossip.spills.merge(packed, target_by_key, self.now_s)
         if new_notes:
             self.events.append(SpillHeard(tuple(new_notes)))
 
--- a/packages/decisions/src/damaskwind/decisions/membership/target_entry.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_entry.py
@@ -1,4 +1,4 @@
-"""A target's record with what one process knows of its freshness, and who has an address."""
+"""Table entries with the freshness of a target's record, and the ownership of addresses."""
 
 from collections.abc import Iterable
 
@@ -9,21 +9,27 @@
 
 __all__ = ["TargetEntry", "contested_addresses", "address_owner", "record_hash"]
 
-# So many heartbeats after another was heard at its address, a silent target has lost it.
+# A target loses its address if it is silent for this many heartbeats before the last report
+# of another target there.
 SUPERSEDED_AFTER_HEARTBEATS = 3.0
 
 
 def record_hash(record: TargetRecord) -> int:
-    """Return a number for what a record says.
+    """Return a hash of a record's contents.
 
-    What a heartbeat changes without news, its number and the cold time, is left out.
+    Sequence and cold time are left out, since every heartbeat changes them.
     """
-    told = record._replace(sequence=0, cold_s=0.0)
-    return xxhash.xxh3_64_intdigest(repr(tuple(told)).encode())
+    content = record._replace(sequence=0, cold_s=0.0)
+    return xxhash.xxh3_64_intdigest(repr(tuple(content)).encode())
 
 
 class TargetEntry:
-    """A record with what this process knows about its freshness."""
+    """A target's record with its freshness as seen by this process.
+
+    `changed_revision` is the table revision of the last change, `content_revision` that of
+    the last change of more than the phase. `gone_at_s` is set if the target went from
+    serving to gone without a leaving phase.
+    """
 
     __slots__ = (
         "changed_revision",
@@ -40,7 +46,6 @@
         self.record = record
         self.last_seen_s = received_s
         self.changed_revision = revision
-        # When more than the phase changed last.
         self.content_revision = revision
         self.first_seen_s = received_s
         self.first_sequence = record.sequence
@@ -49,18 +54,20 @@
 
 
 def contested_addresses(entries: Iterable[TargetEntry]) -> dict[Address, list[TargetEntry]]:
-    """Return the entries, none of them gone, of each address that several have."""
-    at: dict[Address, list[TargetEntry]] = {}
+    """Return the entries that are not gone, for each address shared by several of them."""
+    by_address: dict[Address, list[TargetEntry]] = {}
     for entry in entries:
         if entry.record.phase is not TargetPhase.GONE:
-            at.setdefault(entry.record.address, []).append(entry)
-    return {address: rivals for address, rivals in at.items() if len(rivals) > 1}
+            by_address.setdefault(entry.record.address, []).append(entry)
+    return {
+        address: contenders for address, contenders in by_address.items() if len(contenders) > 1
+    }
 
 
 def address_owner(contenders: list[TargetEntry], heartbeat_s: float) -> TargetEntry:
-    """Return the last to start of those at an address that were heard lately."""
-    oldest_s = (
+    """Return the entry that started last among those seen recently at an address."""
+    oldest_seen_s = (
         max(entry.last_seen_s for entry in contenders) - SUPERSEDED_AFTER_HEARTBEATS * heartbeat_s
     )
-    heard = [entry for entry in contenders if entry.last_seen_s >= oldest_s]
-    return max(heard, key=lambda entry: entry.first_seen_s - entry.first_sequence * heartbeat_s)
+    recent = [entry for entry in contenders if entry.last_seen_s >= oldest_seen_s]
+    return max(recent, key=lambda entry: entry.first_seen_s - entry.first_sequence * heartbeat_s)
--- a/packages/decisions/src/damaskwind/decisions/membership/target_record.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_record.py
@@ -1,4 +1,4 @@
-"""What a target reports of itself, and where it is in its life."""
+"""The record of a target as reported by itself, and its lifecycle phases."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class TargetPhase(IntEnum):
-    """Where a target is in its life; it only moves forward."""
+    """Lifecycle phase of a target incarnation; it only advances."""
 
     SERVING = 0
     LEAVING = 1
@@ -17,14 +17,14 @@
 
 
 class TargetRecord(NamedTuple):
-    """A target as it reported itself.
-
-    `slots` is how many requests it runs at once, `sequence` grows with each
-    report of a life, `born_ms` is the Unix time of its start, in ms; 0 where it
-    tells none. It stays cold for `cold_s` from when it was heard, in a spell that it first
-    told with its report `cold_sequence`; 0 is the one after its start. `clock_steps` counts how
-    often a smaller birth was taken for later, the last time in place of the life born at
-    `superseded_born_ms`.
+    """A target as reported by itself.
+
+    `slots` is the number of requests that it runs concurrently. `sequence` grows with each
+    report of an incarnation. `born_ms` is the Unix time of its start in ms, or 0 if it
+    reports none. The target stays cold for `cold_s` after the record is received, in a cold
+    spell first reported with sequence `cold_sequence`; 0 is the spell after its start.
+    `clock_steps` counts how often an earlier start time was accepted as a later incarnation;
+    the last one replaced the incarnation started at `superseded_born_ms`.
     """
 
     target_id: str
@@ -42,12 +42,12 @@
 
     @property
     def incarnation(self) -> tuple[int, int]:
-        """Return what orders the lives of one target."""
+        """Return the sort key that orders the incarnations of a target."""
         return (self.clock_steps, self.born_ms)
 
 
 class PhaseChange(NamedTuple):
-    """What a life of a known target has come to: a third of the bytes of its record."""
+    """A new phase of a known target's incarnation, in a third of the bytes of its record."""
 
     target_id: str
     phase: TargetPhase
--- a/packages/decisions/src/damaskwind/decisions/membership/target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_table.py
@@ -1,19 +1,19 @@
-"""Who serves: what targets reported, merged from every process that heard them.
-
-A report reaches one control replica; the table of each process is the merge of
-what it heard itself and what others told it. Merging is commutative and
-idempotent, so that order, repetition and delay do no harm: of one target, the
-later life holds; of one life, the phase only moves forward (serving, leaving,
-gone), and within a phase the higher sequence number holds. A life that is
-leaving or gone never comes back. Gone ones are kept as tombstones until
-no late report of them can be under way. See Shapiro et al., "Conflict-free
-Replicated Data Types", SSS 2011.
-
-A target that starts again under its id begins a new life, told by when it was
-born. One that doesn't tell has a single life, and what tells none about a target
-that has told one changes nothing. Clocks may be stepped back between two lives:
-a smaller birth counts as later once the life held has been silent for long,
-and the record then says how often that was so.
+"""A replicated table of targets, merged from their reports at all processes.
+
+A report reaches one control replica. The table of each process merges the reports
+that it received itself with the updates received from others. Merging is commutative
+and idempotent, so reordering, repetition and delay are harmless: the later incarnation
+of a target wins; within an incarnation the phase only advances (serving, leaving, gone),
+and within a phase the higher sequence number wins. An incarnation that is leaving or
+gone never returns. Gone targets are kept as tombstones until no late report of them can
+be in transit. See Shapiro et al., "Conflict-free Replicated Data Types", SSS 2011.
+
+A target that restarts under the same id begins a new incarnation, identified by its
+start time. A target that does not report its start time has a single incarnation, and a
+record without start time changes nothing about a target that has reported one. The
+clock may be stepped back between two incarnations: an earlier start time counts as later
+once the known incarnation has been silent for a long time, and the record then counts
+how often this happened.
 """
 
 from collections.abc import Iterable
@@ -35,23 +35,24 @@
 
 __all__ = ["Changes", "SilentTargets", "TargetTable"]
 
-# Reports come late by seconds; a minute is far beyond any.
+# Reports are delayed by seconds at most; a minute is far above any such delay.
 TOMBSTONE_S = 60.0
-# A target that nobody has heard for so long is forgotten. Far above any cut that
-# it may outlive unheard (tens of seconds), since a forgotten one gets no work.
+# A target without reports for this long is removed. This is far above any partition that
+# a running target may go through (tens of seconds), since a removed target gets no requests.
 FORGET_S = 45.0
-# A life that was silent for so long is over: eight heartbeats, and more than a report
-# is late behind any cut. Then a smaller birth is that of a target whose clock was
-# stepped back, and not a late report.
+# An incarnation that was silent for this long has ended: eight heartbeats, and more than
+# any partition delays a report. After that, an earlier start time means that the target's
+# clock was stepped back, and not that a report is late.
 STALE_INCARNATION_S = 10.0
-# A report that is late by less tells of the same cold spell as the one before.
+# A report that puts the end of a cold spell later by at most this belongs to the same spell.
 COLD_SPELL_TOLERANCE_S = 0.3
 
 
 class Changes(NamedTuple):
-    """What changed in a table, and the revision up to which that is all.
+    """The changes of a table, complete up to `revision`.
 
-    Of targets whose records the listener has, only `phases` are told if no more changed.
+    `phases` holds the targets of which the recipient has the record and only the phase
+    changed.
     """
 
     records: tuple[TargetRecord, ...]
@@ -60,17 +61,20 @@
 
 
 class SilentTargets(NamedTuple):
-    """The living targets not heard since some time, and when the stalest of the others was."""
+    """The targets silent since some time, and the oldest last-seen time of the others.
+
+    Targets that are gone are in neither group.
+    """
 
     target_ids: tuple[str, ...]
     others_seen_s: float
 
 
 class TargetTable:
-    """All targets that one process knows of.
+    """All targets known to one process.
 
-    `revision` grows with each change that others have to hear of. `digest` is the
-    same for tables that say the same, 0 for an empty one.
+    `revision` grows with each change that has to be propagated. Tables with the same
+    contents have the same `digest`; it is 0 for an empty one.
     """
 
     def __init__(self) -> None:
@@ -81,7 +85,7 @@
         self.digest = 0
 
     def merge(self, record: TargetRecord, received_s: float) -> bool:
-        """Merge a record that was heard at `received_s`; tell whether it changed anything.
+        """Merge a record received at `received_s`; tell whether it changed anything.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -117,9 +121,10 @@
         return True
 
     def report(self, record: TargetRecord, now_s: float) -> bool:
-        """Take a target's own report; tell whether it changed anything.
+        """Merge a report sent by a target itself; tell whether it changed anything.
 
-        A report that names another service than the target has is another writer's.
+        A report that names another service than the known one comes from another process
+        with the same target id, and is ignored.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -133,15 +138,15 @@
         entry = self._entries.get(record.target_id)
         if entry is None:
             return self.merge(record, now_s)
-        held = entry.record
-        is_foreign = held.service not in ("", record.service)
-        if is_foreign or record.born_ms == held.superseded_born_ms != 0:
+        known = entry.record
+        is_foreign = known.service not in ("", record.service)
+        if is_foreign or record.born_ms == known.superseded_born_ms != 0:
             return False
-        is_over = now_s - entry.last_seen_s >= STALE_INCARNATION_S
-        if 0 < record.born_ms < held.born_ms and is_over:
-            steps, superseded_born_ms = held.clock_steps + 1, held.born_ms
+        has_ended = now_s - entry.last_seen_s >= STALE_INCARNATION_S
+        if 0 < record.born_ms < known.born_ms and has_ended:
+            steps, superseded_born_ms = known.clock_steps + 1, known.born_ms
         else:
-            steps, superseded_born_ms = held.clock_steps, held.superseded_born_ms
+            steps, superseded_born_ms = known.clock_steps, known.superseded_born_ms
         record = record._replace(
             clock_steps=steps,
             superseded_born_ms=superseded_born_ms,
@@ -152,7 +157,10 @@
         return changed
 
     def _cold_spell_sequence(self, record: TargetRecord, now_s: float) -> int:
-        """Return which cold spell a target's own report tells of: a new one if it ends later."""
+        """Return the first sequence of a report's cold spell: its own if it starts a new one.
+
+        A spell is new if it ends later than the known one.
+        """
         entry = self._entries[record.target_id]
         if record.born_ms != entry.record.born_ms:
             return 0
@@ -163,25 +171,25 @@
         return record.sequence if is_new else entry.record.cold_sequence
 
     def leave(self, target_id: str, now_s: float, now_ms: int = 0) -> bool:
-        """Note that a target said it is gone, known here or not.
+        """Record that a target, known here or not, announced that it is gone.
 
-        That names no life: it ends the one held. Of a target not known here it
-        ends every life that was born before `now_ms`, the Unix time in ms.
+        The announcement names no incarnation: it ends the known one. For an unknown
+        target it ends every incarnation started before `now_ms`, the Unix time in ms.
         """
         entry = self._entries.get(target_id)
         steps, born_ms = entry.record.incarnation if entry else (0, now_ms)
-        nowhere = Address("0.0.0.0", 0)
-        gone = TargetRecord(target_id, "", nowhere, "", TargetPhase.GONE, 0)
+        unknown_address = Address("0.0.0.0", 0)
+        gone = TargetRecord(target_id, "", unknown_address, "", TargetPhase.GONE, 0)
         return self.merge(gone._replace(born_ms=born_ms, clock_steps=steps), now_s)
 
     def mark_seen(self, target_id: str, seen_s: float, born_ms: int = 0) -> None:
-        """Note that somebody heard a life of a target at `received_s`."""
+        """Record that some process received a report of an incarnation at `seen_s`."""
         entry = self._entries.get(target_id)
         if entry is not None and entry.record.born_ms == born_ms:
             entry.last_seen_s = max(entry.last_seen_s, seen_s)
 
     def is_heartbeat(self, record: TargetRecord) -> bool:
-        """Tell whether a report says of a serving target nothing that is not known.
+        """Tell whether a report contains nothing new about a serving target.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -194,40 +202,40 @@
         entry = self._entries.get(record.target_id)
         if entry is None or entry.record.phase is not TargetPhase.SERVING:
             return False
-        held = entry.record
-        return held == record._replace(
-            sequence=held.sequence,
-            cold_s=held.cold_s,
-            clock_steps=held.clock_steps,
-            superseded_born_ms=held.superseded_born_ms,
-            cold_sequence=held.cold_sequence,
+        known = entry.record
+        return known == record._replace(
+            sequence=known.sequence,
+            cold_s=known.cold_s,
+            clock_steps=known.clock_steps,
+            superseded_born_ms=known.superseded_born_ms,
+            cold_sequence=known.cold_sequence,
         )
 
     def incarnation_of(self, target_id: str) -> tuple[int, int] | None:
-        """Return which life of a target is held, if it is known."""
+        """Return the known incarnation of a target, or `None` if it is unknown."""
         entry = self._entries.get(target_id)
         return entry.record.incarnation if entry else None
 
     def phase_of(self, target_id: str) -> TargetPhase | None:
-        """Return the phase of a target, if it is known."""
+        """Return the phase of a target, or `None` if it is unknown."""
         entry = self._entries.get(target_id)
         return entry.record.phase if entry else None
 
     def record_of(self, target_id: str) -> TargetRecord | None:
-        """Return what is known of a target."""
+        """Return the record of a target, or `None` if it is unknown."""
         entry = self._entries.get(target_id)
         return entry.record if entry else None
 
     def last_seen_s(self, target_id: str) -> float:
-        """Return when a target was last heard by anybody."""
+        """Return when any process last received a report of a target; -inf if unknown."""
         entry = self._entries.get(target_id)
         return entry.last_seen_s if entry else float("-inf")
 
     def age_s(self, target_id: str, now_s: float, heartbeat_s: float) -> float:
-        """Return for how long a target has run, by its first report known here.
+        """Return for how long a target has run, estimated from its first known report.
 
-        Later ones reach a process only when they say something new, so that the
-        sequence in its record stands still.
+        Later reports reach a process only if they contain something new, so the
+        sequence in the record does not advance with each heartbeat.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -241,14 +249,14 @@
         return now_s - entry.first_seen_s + entry.first_sequence * heartbeat_s
 
     def is_superseded(self, target_id: str, heartbeat_s: float) -> bool:
-        """Tell whether a later start has the address of a target that did not say it is gone.
+        """Tell whether a target that did not announce its end lost its address to a later one.
 
-        Prevents that a report that a cut held back, and that arrives after its
-        sender has crashed and another start reported from the same address, has
-        requests sent there again. Of several that were heard lately the later start
-        is the one with the shorter life by its first report known here, whichever of
-        them was heard first; one that has been silent for three heartbeats
-        gives way to one that was heard since: it may have ended younger.
+        A partition may hold back a report until its sender has crashed and another target
+        has started and reported from the same address; such a late report must not route
+        requests there again. Among targets seen recently, the one with the shorter run time
+        by its first known report started later, whichever of them was seen first. A target
+        that has been silent for three heartbeats loses the address to one seen after that,
+        since it may have ended at a younger age.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -264,15 +272,15 @@
         if self._contested_revision != self.revision:
             self._contested = contested_addresses(self._entries.values())
             self._contested_revision = self.revision
-        rivals = self._contested.get(entry.record.address)
-        return rivals is not None and address_owner(rivals, heartbeat_s) is not entry
+        contenders = self._contested.get(entry.record.address)
+        return contenders is not None and address_owner(contenders, heartbeat_s) is not entry
 
     def __len__(self) -> int:
-        """Return how many targets are known, those among them that are gone."""
+        """Return the number of known targets, including those that are gone."""
         return len(self._entries)
 
     def changed_since(self, revision: int, limit: int | None = None) -> Changes:
-        """Return the records that changed after a revision, of many the first ones.
+        """Return the records changed after a revision, at most the `limit` oldest changes.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -289,11 +297,13 @@
         if limit is None or len(changed) <= limit:
             return Changes(tuple(entry.record for entry in changed), self.revision)
         changed = nsmallest(limit, changed, key=lambda entry: entry.changed_revision)
-        told = changed[-1].changed_revision if changed else revision
-        return Changes(tuple(entry.record for entry in changed), told)
+        last_revision = changed[-1].changed_revision if changed else revision
+        return Changes(tuple(entry.record for entry in changed), last_revision)
 
     def compact_changes_since(self, revision: int, limit: int) -> Changes:
-        """Return at most `limit` changes after a revision to who knows all up to there.
+        """Return at most `limit` changes for a recipient that knows all up to a revision.
+
+        Targets of which only the phase changed after it are returned as phase changes.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -312,16 +322,16 @@
             for record in changes.records
             if self._entries[record.target_id].content_revision > revision
         ]
-        told = {record.target_id for record in records}
+        described_ids = {record.target_id for record in records}
         phases = [
             PhaseChange(record.target_id, record.phase, record.sequence, record.incarnation)
             for record in changes.records
-            if record.target_id not in told
+            if record.target_id not in described_ids
         ]
         return Changes(tuple(records), changes.revision, tuple(phases))
 
     def expand_phases(self, phases: Iterable[PhaseChange]) -> list[TargetRecord]:
-        """Return the records that changes of phase amount to; of lives not held here none."""
+        """Return the known records with phase changes applied; skip unknown incarnations."""
         records = []
         for change in phases:
             entry = self._entries.get(change.target_id)
@@ -332,7 +342,7 @@
     def with_remaining_cold_time(
         self, records: Iterable[TargetRecord], now_s: float
     ) -> tuple[TargetRecord, ...]:
-        """Return records that are held here with how long their targets stay cold from now on.
+        """Return known records with `cold_s` set to the cold time that remains at `now_s`.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -349,7 +359,7 @@
         return record if record.cold_s == cold_s else record._replace(cold_s=cold_s)
 
     def silent_since(self, since_s: float, now_s: float) -> SilentTargets:
-        """Return which living targets were not heard since a time, and how the others stand.
+        """Return the targets not seen since a time, and how fresh the others are.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -369,8 +379,8 @@
                 others_seen_s = min(others_seen_s, entry.last_seen_s)
         return SilentTargets(tuple(silent), others_seen_s)
 
-    def mark_others_seen(self, silence: SilentTargets) -> None:
-        """Note that somebody heard all living targets but the silent ones.
+    def mark_others_seen(self, silent_targets: SilentTargets) -> None:
+        """Record that some process has seen all targets except the silent ones.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -381,13 +391,13 @@
         >>> table.last_seen_s("t"), table.last_seen_s("u")
         (1.0, 5.0)
         """
-        silent = frozenset(silence.target_ids)
+        silent = frozenset(silent_targets.target_ids)
         for target_id, entry in self._entries.items():
             if target_id not in silent and entry.record.phase is not TargetPhase.GONE:
-                entry.last_seen_s = max(entry.last_seen_s, silence.others_seen_s)
+                entry.last_seen_s = max(entry.last_seen_s, silent_targets.others_seen_s)
 
     def serving(self) -> list[TargetRecord]:
-        """Return the records of all targets that take work."""
+        """Return the records of all targets that accept requests."""
         phase = TargetPhase.SERVING
         return [entry.record for entry in self._entries.values() if entry.record.phase is phase]
 
@@ -397,10 +407,10 @@
         return [entry.record for entry in self._entries.values() if entry.record.phase is not gone]
 
     def departed(self, now_s: float, within_s: float) -> list[TargetRecord]:
-        """Return the records of targets that were seen to go within a time, unannounced.
+        """Return the records of targets that went from serving to gone within a time.
 
-        One that says that it is gone without having been leaving still finishes
-        its work; one that was leaving has done so before.
+        A target that announces that it is gone without a leaving phase before still
+        finishes its requests; one that was leaving has finished them already.
 
         >>> from damaskwind.model.targets import Address
         >>> table = TargetTable()
@@ -414,22 +424,22 @@
         return [entry.record for entry in self._entries.values() if entry.gone_at_s >= oldest_s]
 
     def forget(self, now_s: float) -> list[str]:
-        """Drop tombstones and silent targets that are too old; return their ids."""
-        old = [
+        """Remove tombstones and silent targets that are too old; return their ids."""
+        expired = [
             target_id
             for target_id, entry in self._entries.items()
             if now_s - entry.last_seen_s
             > (TOMBSTONE_S if entry.record.phase is TargetPhase.GONE else FORGET_S)
         ]
-        for target_id in old:
+        for target_id in expired:
             self.digest ^= record_hash(self._entries.pop(target_id).record)
             self._contested_revision = -1
-        return old
+        return expired
 
     def _merge_same_phase(
         self, entry: TargetEntry, record: TargetRecord, received_s: float
     ) -> bool:
-        """Take a newer report of the same phase; it changes something if it says something new."""
+        """Merge a report of the same phase; tell whether more than the heartbeat changed."""
         if record.phase is TargetPhase.GONE:
             return False
         if record.cold_sequence > entry.record.cold_sequence:
@@ -451,7 +461,7 @@
     def _end_unknown_incarnation(
         self, entry: TargetEntry, record: TargetRecord, received_s: float
     ) -> bool:
-        """Take the end of a later life of which nothing else is known here."""
+        """Merge the end of a later incarnation of which nothing else is known here."""
         if entry.record.phase is TargetPhase.SERVING:
             entry.gone_at_s = received_s
         ended = entry.record._replace(
--- a/packages/decisions/src/damaskwind/decisions/membership/tombstones.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tombstones.py
@@ -1,10 +1,10 @@
-"""Tombstones: what is remembered of targets that are gone.
+"""Tombstones of targets that are gone.
 
-A record of the same incarnation does not pass a tombstone, except that a lapse
-yields to a later renewal. A router can hold a live record only for as long as
-its lease or vouching lasts, since ages travel with records and are never reset;
-so a tombstone that outlives the longest lease outlives every record that it
-must stop. `TOMBSTONE_S` is far longer, for VMs whose clock stood still.
+A tombstone rejects records of the same incarnation, except that an expired lease
+yields to a later renewal. A router keeps a live record only until its lease or the
+confirmation of its domain expires, since ages travel with records and are never reset;
+so a tombstone that outlives the longest lease outlives every record that it must
+reject. `TOMBSTONE_S` is far longer, to cover VMs whose clock was stopped.
 """
 
 from typing import NamedTuple
@@ -19,19 +19,19 @@
 
 
 class _StoredTombstone(NamedTuple):
-    """A tombstone and when its target went."""
+    """A tombstone and the time at which its target was gone."""
 
     tombstone: Tombstone
     gone_at_s: float
 
 
 def _order(tombstone: Tombstone) -> tuple[int, int, int]:
-    """Return what makes one tombstone of a target supersede another."""
+    """Return the sort key of a target's tombstones; a greater one supersedes a smaller."""
     return (tombstone.incarnation, tombstone.reason, tombstone.sequence)
 
 
 class TombstoneTable:
-    """The tombstones that one router keeps."""
+    """The tombstones stored by one router."""
 
     def __init__(self) -> None:
         self._tombstones: dict[str, _StoredTombstone] = {}
@@ -41,24 +41,24 @@
         return len(self._tombstones)
 
     def incarnation(self, target_id: str) -> int:
-        """Return the incarnation that ended, or -1."""
-        held = self._tombstones.get(target_id)
-        return held.tombstone.incarnation if held else -1
+        """Return the incarnation of a target's tombstone, or -1 without one."""
+        stored = self._tombstones.get(target_id)
+        return stored.tombstone.incarnation if stored else -1
 
     def blocks(self, record: TargetRecord) -> bool:
-        """Tell whether a tombstone stops a live record."""
-        held = self._tombstones.get(record.target_id)
-        if held is None or record.incarnation > held.tombstone.incarnation:
+        """Tell whether a tombstone rejects a live record."""
+        stored = self._tombstones.get(record.target_id)
+        if stored is None or record.incarnation > stored.tombstone.incarnation:
             return False
-        if record.incarnation < held.tombstone.incarnation:
+        if record.incarnation < stored.tombstone.incarnation:
             return True
-        lapsed = held.tombstone.reason == GoneReason.LAPSED
-        return not (lapsed and record.renewed_sequence > held.tombstone.sequence)
+        is_lapsed = stored.tombstone.reason == GoneReason.LAPSED
+        return not (is_lapsed and record.renewed_sequence > stored.tombstone.sequence)
 
     def put(self, tombstone: Tombstone, now_s: float) -> bool:
-        """Keep a tombstone; tell whether it was news."""
-        held = self._tombstones.get(tombstone.target_id)
-        if held is not None and _order(held.tombstone) >= _order(tombstone):
+        """Store a tombstone; tell whether it is newer than the known one."""
+        stored = self._tombstones.get(tombstone.target_id)
+        if stored is not None and _order(stored.tombstone) >= _order(tombstone):
             return False
         if tombstone.age_s >= TOMBSTONE_S:
             return False
@@ -71,16 +71,16 @@
         return True
 
     def drop(self, target_id: str) -> None:
-        """Forget a tombstone, since its target is back."""
+        """Remove a tombstone, as when its target has returned."""
         if self._tombstones.pop(target_id, None) is not None:
             self._by_key.pop(target_key(target_id), None)
 
     def get(self, target_id: str, now_s: float) -> Tombstone | None:
-        """Return the tombstone of a target, with its age."""
-        held = self._tombstones.get(target_id)
-        if held is None:
+        """Return the tombstone of a target with its current age."""
+        stored = self._tombstones.get(target_id)
+        if stored is None:
             return None
-        return held.tombstone._replace(age_s=max(now_s - held.gone_at_s, 0.0))
+        return stored.tombstone._replace(age_s=max(now_s - stored.gone_at_s, 0.0))
 
     def by_key(self, key: int, now_s: float) -> Tombstone | None:
         """Return the tombstone whose target has this key."""
@@ -88,9 +88,11 @@
         return self.get(target_id, now_s) if target_id is not None else None
 
     def expire(self, now_s: float) -> None:
-        """Drop the tombstones that have served their time."""
-        old = [
-            name for name, held in self._tombstones.items() if now_s - held.gone_at_s > TOMBSTONE_S
+        """Remove tombstones older than `TOMBSTONE_S`."""
+        expired = [
+            name
+            for name, stored in self._tombstones.items()
+            if now_s - stored.gone_at_s > TOMBSTONE_S
         ]
-        for name in old:
+        for name in expired:
             self.drop(name)
