--- a/packages/control/src/damaskwind/control/replica/joining.py
+++ b/packages/control/src/damaskwind/control/replica/joining.py
@@ -102,7 +102,7 @@
             await asyncio.sleep(LEFT_OUT_S / 4)
             if replica.is_leader:
                 led_s = read_clock()
-            silent_s = read_clock() - max(led_s, replica.core.leader_heard_s)
+            silent_s = read_clock() - max(led_s, replica.core.leader_seen_s)
             if not replica.has_log or silent_s < LEFT_OUT_S:
                 continue
             members = replica.core.membership.voters + replica.core.membership.learners
--- a/packages/control/src/damaskwind/control/replica/replica.py
+++ b/packages/control/src/damaskwind/control/replica/replica.py
@@ -42,7 +42,7 @@
     WritesDurable,
     WriteState,
 )
-from damaskwind.decisions.replication.log import first_log, recover_log
+from damaskwind.decisions.replication.log import initial_log, recover_log
 from damaskwind.decisions.replication.messages import (
     AppendRequest,
     Envelope,
@@ -162,7 +162,7 @@
 
         Only for a journal that holds nothing; the other replicas join.
         """
-        state, entries = first_log((self.member,))
+        state, entries = initial_log((self.member,))
         writes: list[JournalWrite] = [WriteState(0, state), AppendEntries(0, entries)]
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(None, journal.write, writes)
--- a/packages/control/src/damaskwind/control/replica/tests/test_joining.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_joining.py
@@ -23,7 +23,7 @@
 
     def setUp(self):
         members = Membership((Member("a", "a1"), Member("b", "b1")))
-        core = SimpleNamespace(leader_heard_s=read_clock() - 60.0, membership=members)
+        core = SimpleNamespace(leader_seen_s=read_clock() - 60.0, membership=members)
         addresses = SimpleNamespace(address_of=lambda replica_id: None)
         self.replica = SimpleNamespace(
             member=members.voters[0],
--- a/packages/decisions/src/damaskwind/decisions/replication/core.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/core.py
@@ -35,8 +35,8 @@
 from damaskwind.decisions.replication.leadership import holds_lease
 from damaskwind.decisions.replication.leading import (
     check_quorum,
+    commit_and_respond,
     on_append_response,
-    settle_leader,
     start_leading,
     stop_leading,
     tick_leader,
@@ -96,7 +96,7 @@
 
 
 def _on_tick(replica: Replica, event: Tick) -> None:
-    if replica.leading is None:
+    if replica.leadership is None:
         tick_election(replica)
         return
     repair_membership(replica)
@@ -109,18 +109,18 @@
     if envelope.recipient != replica.member or envelope.sender == replica.member:
         return
     message = envelope.message
-    if isinstance(message, _RESPONSES) and not _is_known(replica, envelope.sender):
+    if isinstance(message, _RESPONSES) and not _is_member(replica, envelope.sender):
         return
-    _MESSAGES[type(message)](replica, envelope.sender, message)
+    _MESSAGE_HANDLERS[type(message)](replica, envelope.sender, message)
 
 
-def _is_known(replica: Replica, member: Member) -> bool:
+def _is_member(replica: Replica, member: Member) -> bool:
     membership = replica.log.membership
     return member in membership.voters or member in membership.learners
 
 
 def _on_durable(replica: Replica, event: WritesDurable) -> None:
-    replica.outbox.durable(event.write_id)
+    replica.outbox.mark_durable(event.write_id)
 
 
 def _on_snapshot_taken(replica: Replica, event: SnapshotTaken) -> None:
@@ -130,7 +130,7 @@
 
 _RESPONSES = (PreVoteResponse, VoteResponse, AppendResponse)
 
-_MESSAGES: dict[type, Callable[[Replica, Member, Any], None]] = {
+_MESSAGE_HANDLERS: dict[type, Callable[[Replica, Member, Any], None]] = {
     PreVoteRequest: on_pre_vote_request,
     PreVoteResponse: on_pre_vote_response,
     VoteRequest: on_vote_request,
@@ -140,7 +140,7 @@
     SnapshotRequest: on_snapshot_request,
 }
 
-_INPUTS: dict[type, Callable[[Replica, Any], None]] = {
+_INPUT_HANDLERS: dict[type, Callable[[Replica, Any], None]] = {
     Tick: _on_tick,
     Received: _on_received,
     Propose: on_propose,
@@ -178,9 +178,9 @@
         replica = self._replica
         replica.now_s = max(replica.now_s, now_s)
         check_quorum(replica)
-        _INPUTS[type(event)](replica, event)
+        _INPUT_HANDLERS[type(event)](replica, event)
         count_votes(replica)
-        settle_leader(replica)
+        commit_and_respond(replica)
         apply_committed(replica)
         return replica.outbox.drain()
 
@@ -218,9 +218,9 @@
         return self._replica.leader
 
     @property
-    def leader_heard_s(self) -> float:
+    def leader_seen_s(self) -> float:
         """Return when a leader was last heard, or since when this replica was silent."""
-        return self._replica.leader_heard_s
+        return self._replica.leader_seen_s
 
     @property
     def membership(self) -> Membership:
--- a/packages/decisions/src/damaskwind/decisions/replication/election.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/election.py
@@ -18,16 +18,16 @@
 from damaskwind.decisions.replication.replica import (
     Replica,
     adopt_term,
+    defer_campaign,
     enter_term,
-    heard_leader,
-    hold_back,
-    rearm,
-    rearm_campaign,
+    has_recent_leader,
+    reset_campaign_timer,
+    reset_election_timer,
 )
 
 __all__ = [
     "count_votes",
-    "may_vote_again",
+    "can_vote_in_term",
     "on_pre_vote_request",
     "on_pre_vote_response",
     "on_vote_request",
@@ -42,7 +42,7 @@
     """Start a campaign when no leader has been heard for long."""
     if replica.now_s < replica.election_due_s:
         return
-    rearm_campaign(replica)
+    reset_campaign_timer(replica)
     replica.leader = None
     if replica.may_campaign():
         replica.role.feed("election_due")
@@ -62,7 +62,7 @@
     term = replica.state.term + 1
     enter_term(replica, term, voted_for=replica.member)
     replica.votes = set()
-    rearm_campaign(replica)
+    reset_campaign_timer(replica)
     request = VoteRequest(term, replica.log.last_index, replica.log.last_term)
     for voter in replica.log.membership.voters:
         if voter != replica.member:
@@ -85,11 +85,11 @@
     """Answer whether the vote would be given; only an own campaign waits for its outcome."""
     granted = (
         request.term > replica.state.term
-        and not _is_led(replica)
+        and not _has_leader(replica)
         and _is_log_up_to_date(replica, request.last_index, request.last_term)
     )
     if granted:
-        hold_back(replica)
+        defer_campaign(replica)
     response = PreVoteResponse(replica.state.term, request.term, granted)
     replica.outbox.send_after_state(replica.envelope(sender, response))
 
@@ -106,26 +106,26 @@
 
 def on_vote_request(replica: Replica, sender: Member, request: VoteRequest) -> None:
     """Give the vote at most once a term, and none while a leader is heard."""
-    if request.term > replica.state.term and not _is_led(replica):
+    if request.term > replica.state.term and not _has_leader(replica):
         granted = _is_log_up_to_date(replica, request.last_index, request.last_term)
         adopt_term(replica, request.term, sender if granted else None)
     else:
-        granted = may_vote_again(replica, sender, request)
+        granted = can_vote_in_term(replica, sender, request)
         if granted and replica.state.voted_for is None:
             replica.state = PersistentState(request.term, sender)
             replica.outbox.write_state(replica.state)
     if granted:
-        rearm(replica)
+        reset_election_timer(replica)
     response = VoteResponse(replica.state.term, granted)
     replica.outbox.send_after_state(replica.envelope(sender, response))
 
 
-def may_vote_again(replica: Replica, sender: Member, request: VoteRequest) -> bool:
+def can_vote_in_term(replica: Replica, sender: Member, request: VoteRequest) -> bool:
     """Tell whether the vote of the present term is still free, or already the sender's."""
     return (
         request.term == replica.state.term
         and replica.state.voted_for in (None, sender)
-        and not _is_led(replica)
+        and not _has_leader(replica)
         and _is_log_up_to_date(replica, request.last_index, request.last_term)
     )
 
@@ -140,9 +140,9 @@
         replica.votes.add(sender)
 
 
-def _is_led(replica: Replica) -> bool:
+def _has_leader(replica: Replica) -> bool:
     """Tell whether this replica leads (its quorum is checked) or hears a leader."""
-    return replica.role.state == "leader" or heard_leader(replica)
+    return replica.role.state == "leader" or has_recent_leader(replica)
 
 
 def _is_log_up_to_date(replica: Replica, last_index: int, last_term: int) -> bool:
--- a/packages/decisions/src/damaskwind/decisions/replication/events.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/events.py
@@ -28,7 +28,7 @@
     "InstallSnapshot",
     "Output",
     "ProposalOutcome",
-    "PeerAnswer",
+    "PeerResponse",
     "Propose",
     "ProposeMembership",
     "ReadReady",
@@ -179,7 +179,7 @@
     term: int
 
 
-class PeerAnswer(NamedTuple):
+class PeerResponse(NamedTuple):
     """When a leader last heard a peer, and how many of its rounds the peer has not answered."""
 
     replica_id: str
@@ -197,7 +197,7 @@
     term: int
     cause: str = ""
     quorum_age_s: float = 0.0
-    answers: tuple[PeerAnswer, ...] = ()
+    answers: tuple[PeerResponse, ...] = ()
 
 
 Output = (
--- a/packages/decisions/src/damaskwind/decisions/replication/following.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/following.py
@@ -9,7 +9,7 @@
     Member,
     SnapshotRequest,
 )
-from damaskwind.decisions.replication.replica import Replica, adopt_term, note_leader
+from damaskwind.decisions.replication.replica import Replica, adopt_term, follow_leader
 
 __all__ = ["on_append_request", "on_snapshot_request"]
 
@@ -22,22 +22,22 @@
     if not _is_well_formed(request):
         return
     if not _follow(replica, sender, request.term):
-        _answer(replica, sender, NO_ROUND, False, 0)
+        _respond(replica, sender, NO_ROUND, False, 0)
         return
     if not _matches(replica, request):
         retry_after = _last_possible_match(replica, request.previous_index)
-        _answer(replica, sender, request.round_number, False, retry_after)
+        _respond(replica, sender, request.round_number, False, retry_after)
         return
     _append_missing(replica, request.entries)
     match_index = max(request.previous_index + len(request.entries), replica.log.snapshot.index)
     replica.commit_index = max(replica.commit_index, min(request.commit_index, match_index))
-    _answer(replica, sender, request.round_number, True, match_index)
+    _respond(replica, sender, request.round_number, True, match_index)
 
 
 def on_snapshot_request(replica: Replica, sender: Member, request: SnapshotRequest) -> None:
     """Install a snapshot that is ahead of everything known to be committed."""
     if not _follow(replica, sender, request.term):
-        _answer(replica, sender, NO_ROUND, False, 0)
+        _respond(replica, sender, NO_ROUND, False, 0)
         return
     snapshot = request.snapshot
     if snapshot.index > replica.commit_index:
@@ -46,7 +46,7 @@
         replica.outbox.install(snapshot, request.data, keep_suffix, replica.commit_index)
         replica.commit_index = snapshot.index
         replica.applied_index = snapshot.index
-    _answer(replica, sender, request.round_number, True, replica.commit_index)
+    _respond(replica, sender, request.round_number, True, replica.commit_index)
 
 
 def _follow(replica: Replica, sender: Member, term: int) -> bool:
@@ -57,7 +57,7 @@
         adopt_term(replica, term)
     if replica.role.state == "leader" or replica.leader not in (None, sender):
         raise LogError(f"two leaders in term {term}: {replica.leader} and {sender}")
-    note_leader(replica, sender)
+    follow_leader(replica, sender)
     return True
 
 
@@ -71,7 +71,7 @@
     return True
 
 
-def _answer(
+def _respond(
     replica: Replica, leader: Member, round_number: int, accepted: bool, match_index: int
 ) -> None:
     response = AppendResponse(replica.state.term, round_number, accepted, match_index)
--- a/packages/decisions/src/damaskwind/decisions/replication/leadership.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/leadership.py
@@ -16,9 +16,9 @@
     "Leadership",
     "PendingRead",
     "Progress",
-    "forget_old_rounds",
+    "discard_old_rounds",
     "holds_lease",
-    "note_answer",
+    "record_response",
     "quorum_round",
     "quorum_sent_s",
 ]
@@ -31,7 +31,7 @@
         self.next_index = next_index
         self.match_index = 0
         self.answered_round = 0
-        self.heard_s = float("-inf")
+        self.last_response_s = float("-inf")
         self.snapshot_sent_s = float("-inf")
         self.is_probing = True
 
@@ -59,12 +59,12 @@
         self.reads: list[PendingRead] = []
 
 
-def note_answer(
+def record_response(
     leadership: Leadership, progress: Progress, round_number: int, now_s: float
 ) -> None:
     """Note that a peer answered a round of this term."""
     progress.answered_round = max(progress.answered_round, round_number)
-    progress.heard_s = now_s
+    progress.last_response_s = now_s
 
 
 def quorum_round(replica: Replica, leadership: Leadership) -> int:
@@ -85,7 +85,7 @@
     return leadership.round_sent_s.get(newest, leadership.started_s)
 
 
-def forget_old_rounds(replica: Replica, leadership: Leadership) -> None:
+def discard_old_rounds(replica: Replica, leadership: Leadership) -> None:
     """Drop the send times that are too old to vouch for anything.
 
     Younger ones stay even when a majority has answered a later round: a change
@@ -99,7 +99,7 @@
 
 def holds_lease(replica: Replica, now_s: float) -> bool:
     """Tell whether no other leader can have been elected yet, by the clocks."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None or replica.commit_index < leadership.first_index:
         return False
     if quorum_round(replica, leadership) == 0:
--- a/packages/decisions/src/damaskwind/decisions/replication/leading.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/leading.py
@@ -2,7 +2,7 @@
 
 from damaskwind.decisions.replication.events import (
     BecameLeader,
-    PeerAnswer,
+    PeerResponse,
     ProposalOutcome,
     ReadReady,
     ReadRefused,
@@ -13,10 +13,10 @@
     Leadership,
     PendingRead,
     Progress,
-    forget_old_rounds,
-    note_answer,
+    discard_old_rounds,
     quorum_round,
     quorum_sent_s,
+    record_response,
 )
 from damaskwind.decisions.replication.membership import majority_value
 from damaskwind.decisions.replication.messages import (
@@ -29,16 +29,21 @@
     RefusalReason,
     SnapshotRequest,
 )
-from damaskwind.decisions.replication.replica import Replica, adopt_term, apply_committed, rearm
+from damaskwind.decisions.replication.replica import (
+    Replica,
+    adopt_term,
+    apply_committed,
+    reset_election_timer,
+)
 
 __all__ = [
     "add_read",
     "append_entry",
     "check_quorum",
-    "is_of_own_term",
+    "is_from_current_term",
     "on_append_response",
     "quorum_match",
-    "settle_leader",
+    "commit_and_respond",
     "start_leading",
     "stop_leading",
     "tick_leader",
@@ -49,21 +54,21 @@
     """Begin a term with an entry of its own, which commits all before it."""
     replica.leader = replica.member
     first_index = replica.log.last_index + 1
-    replica.leading = Leadership(replica.state.term, first_index, replica.now_s)
+    replica.leadership = Leadership(replica.state.term, first_index, replica.now_s)
     replica.outbox.emit(BecameLeader(replica.state.term))
     append_entry(replica, EntryKind.NOOP, b"")
-    begin_round(replica, replica.leading)
+    begin_round(replica, replica.leadership)
 
 
 def stop_leading(replica: Replica) -> None:
     """Tell all who wait that this replica can't answer for them any more."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None:
         return
-    stepped_down = _describe_end(replica, leadership)
-    replica.leading = None
+    stepped_down = _describe_step_down(replica, leadership)
+    replica.leadership = None
     replica.leader = None
-    rearm(replica)
+    reset_election_timer(replica)
     for read in leadership.reads:
         refused = ReadRefused(read.read_id, RefusalReason.STEPPED_DOWN, None)
         replica.outbox.emit(refused)
@@ -72,16 +77,16 @@
     replica.outbox.emit(stepped_down)
 
 
-def _describe_end(replica: Replica, leadership: Leadership) -> SteppedDown:
+def _describe_step_down(replica: Replica, leadership: Leadership) -> SteppedDown:
     """Say why this replica stops leading, and what it had heard from whom."""
     quorum_age_s = replica.now_s - quorum_sent_s(replica, leadership)
     cause = "higher-term" if replica.is_voter() else "removed"
     if quorum_age_s >= replica.timing.election_timeout_min_s:
         cause = "quorum-lost"
     answers = (
-        PeerAnswer(
+        PeerResponse(
             peer.replica_id,
-            round(replica.now_s - max(progress.heard_s, leadership.started_s), 3),
+            round(replica.now_s - max(progress.last_response_s, leadership.started_s), 3),
             leadership.round_number - progress.answered_round,
         )
         for peer, progress in leadership.peers.items()
@@ -93,7 +98,7 @@
     replica: Replica, kind: EntryKind, payload: bytes, proposal_id: str | None = None
 ) -> None:
     """Append an entry of the present term and send it to the peers."""
-    leadership = replica.leading
+    leadership = replica.leadership
     assert leadership is not None
     entry = LogEntry(replica.log.last_index + 1, leadership.term, kind, payload)
     replica.log.append((entry,))
@@ -117,7 +122,7 @@
 
 def begin_round(replica: Replica, leadership: Leadership) -> None:
     """Send a round to every peer, with the entries it lacks."""
-    forget_old_rounds(replica, leadership)
+    discard_old_rounds(replica, leadership)
     leadership.round_number += 1
     leadership.round_sent_s[leadership.round_number] = replica.now_s
     leadership.heartbeat_due_s = replica.now_s + replica.timing.heartbeat_s
@@ -166,20 +171,20 @@
     if response.term > replica.state.term:
         adopt_term(replica, response.term)
         return
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None or response.term != leadership.term:
         return
     progress = leadership.peers.get(sender)
     if progress is None:
         return
-    note_answer(leadership, progress, response.round_number, replica.now_s)
+    record_response(leadership, progress, response.round_number, replica.now_s)
     if response.accepted:
-        _advance(replica, leadership, sender, progress, response.match_index)
+        _on_match(replica, leadership, sender, progress, response.match_index)
     else:
-        _retreat(replica, leadership, sender, progress, response.match_index)
+        _on_mismatch(replica, leadership, sender, progress, response.match_index)
 
 
-def _advance(
+def _on_match(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress, match_index: int
 ) -> None:
     """The peer holds all up to `match_index` durably."""
@@ -192,7 +197,7 @@
         send_entries(replica, leadership, peer, progress)
 
 
-def _retreat(
+def _on_mismatch(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress, retry_after: int
 ) -> None:
     """The peer's log does not reach or conflicts: try again further back."""
@@ -206,7 +211,7 @@
 
 def check_quorum(replica: Replica) -> None:
     """Step down when no majority has answered a round sent recently."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None:
         return
     silent_s = replica.now_s - quorum_sent_s(replica, leadership)
@@ -216,18 +221,18 @@
 
 def tick_leader(replica: Replica) -> None:
     """Begin a round when a heartbeat is due."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is not None and replica.now_s >= leadership.heartbeat_due_s:
         begin_round(replica, leadership)
 
 
-def settle_leader(replica: Replica) -> None:
+def commit_and_respond(replica: Replica) -> None:
     """Commit what a majority holds, then answer whom that allows to answer."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None:
         return
     commit_index = quorum_match(replica, leadership)
-    if commit_index > replica.commit_index and is_of_own_term(replica, commit_index):
+    if commit_index > replica.commit_index and is_from_current_term(replica, commit_index):
         replica.commit_index = commit_index
     apply_committed(replica)
     _report_committed(replica, leadership)
@@ -237,7 +242,7 @@
         replica.role.feed("removed")
 
 
-def is_of_own_term(replica: Replica, index: int) -> bool:
+def is_from_current_term(replica: Replica, index: int) -> bool:
     """Tell whether the entry is of the leader's own term.
 
     An entry of an earlier term that a majority holds may still be overwritten
--- a/packages/decisions/src/damaskwind/decisions/replication/log.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/log.py
@@ -20,7 +20,7 @@
 )
 from damaskwind.model.exception import DamaskwindError
 
-__all__ = ["LogError", "ReplicatedLog", "first_log", "recover_log"]
+__all__ = ["LogError", "ReplicatedLog", "initial_log", "recover_log"]
 
 
 class LogError(DamaskwindError):
@@ -119,7 +119,7 @@
         self.append(entries)
 
 
-def first_log(voters: Sequence[Member]) -> tuple[PersistentState, tuple[LogEntry, ...]]:
+def initial_log(voters: Sequence[Member]) -> tuple[PersistentState, tuple[LogEntry, ...]]:
     """Return state and log of a new cluster, the same for each of its voters.
 
     Exactly one act of an operator creates a cluster; every replica that comes
--- a/packages/decisions/src/damaskwind/decisions/replication/outbox.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/outbox.py
@@ -22,8 +22,8 @@
     def __init__(self, durable_index: int) -> None:
         self.durable_index = durable_index
         self._outputs: list[Output] = []
-        self._held: list[tuple[int, Send]] = []
-        self._appended: list[tuple[int, int]] = []
+        self._pending_sends: list[tuple[int, Send]] = []
+        self._pending_appends: list[tuple[int, int]] = []
         self._last_write_id = 0
         self._state_write_id = 0
         self._durable_write_id = 0
@@ -45,9 +45,9 @@
         """Send once everything written so far is durable."""
         self._send_after(self._last_write_id, envelope)
 
-    def drop_held(self) -> None:
+    def discard_pending_sends(self) -> None:
         """Forget the sends of an earlier term: nobody waits for them."""
-        self._held.clear()
+        self._pending_sends.clear()
 
     def write_state(self, state: PersistentState) -> None:
         """Write the term and the vote."""
@@ -57,41 +57,47 @@
     def append(self, entries: tuple[LogEntry, ...]) -> None:
         """Write entries to the end of the log."""
         write_id = self._next_write_id()
-        self._appended.append((write_id, entries[-1].index))
+        self._pending_appends.append((write_id, entries[-1].index))
         self.emit(AppendEntries(write_id, entries))
 
     def truncate_from(self, index: int) -> None:
         """Remove the entry at `index` and those after it."""
         self.emit(TruncateFrom(self._next_write_id(), index))
-        self._clip(index - 1)
+        self._limit_durable_index(index - 1)
 
     def install(
         self, snapshot: Snapshot, data: bytes, keep_suffix: bool, commit_index: int
     ) -> None:
         """Write a snapshot; before it only `commit_index` is surely the leader's log."""
         if not keep_suffix:
-            self._clip(commit_index)
+            self._limit_durable_index(commit_index)
         write_id = self._next_write_id()
-        self._appended.append((write_id, snapshot.index))
+        self._pending_appends.append((write_id, snapshot.index))
         self.emit(InstallSnapshot(write_id, snapshot, data, keep_suffix))
 
-    def durable(self, write_id: int) -> None:
+    def mark_durable(self, write_id: int) -> None:
         """Note that `write_id` and all writes before it are durable."""
         self._durable_write_id = max(self._durable_write_id, write_id)
-        done = [index for at, index in self._appended if at <= self._durable_write_id]
-        self._appended = [pair for pair in self._appended if pair[0] > self._durable_write_id]
+        done = [index for at, index in self._pending_appends if at <= self._durable_write_id]
+        self._pending_appends = [
+            pair for pair in self._pending_appends if pair[0] > self._durable_write_id
+        ]
         self.durable_index = max([self.durable_index, *done])
-        ready = [send for after, send in self._held if after <= self._durable_write_id]
-        self._held = [pair for pair in self._held if pair[0] > self._durable_write_id]
+        ready = [send for after, send in self._pending_sends if after <= self._durable_write_id]
+        self._pending_sends = [
+            pair for pair in self._pending_sends if pair[0] > self._durable_write_id
+        ]
         self._outputs.extend(ready)
 
     def is_state_durable(self) -> bool:
         """Tell whether the newest term and vote are durable."""
         return self._state_write_id <= self._durable_write_id
 
-    def _clip(self, last_index: int) -> None:
+    def _limit_durable_index(self, last_index: int) -> None:
         self.durable_index = min(self.durable_index, last_index)
-        self._appended = [(at, min(index, last_index)) for at, index in self._appended]
+        self._pending_appends = [
+            (at, min(index, last_index)) for at, index in self._pending_appends
+        ]
 
     def _next_write_id(self) -> int:
         self._last_write_id += 1
@@ -101,4 +107,4 @@
         if write_id <= self._durable_write_id:
             self.emit(Send(envelope))
         else:
-            self._held.append((write_id, Send(envelope)))
+            self._pending_sends.append((write_id, Send(envelope)))
--- a/packages/decisions/src/damaskwind/decisions/replication/replica.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/replica.py
@@ -23,11 +23,11 @@
     "adopt_term",
     "apply_committed",
     "enter_term",
-    "heard_leader",
-    "hold_back",
-    "note_leader",
-    "rearm",
-    "rearm_campaign",
+    "has_recent_leader",
+    "defer_campaign",
+    "follow_leader",
+    "reset_election_timer",
+    "reset_campaign_timer",
 ]
 
 
@@ -61,14 +61,14 @@
         self.commit_index = log.snapshot.index
         self.applied_index = log.snapshot.index
         self.leader: Member | None = None
-        self.leader_heard_s = now_s if silent_since_s is None else min(silent_since_s, now_s)
+        self.leader_seen_s = now_s if silent_since_s is None else min(silent_since_s, now_s)
         self.election_due_s = self._first_campaign_s()
         self.votes: set[Member] = set()
-        self.leading: Leadership | None = None
+        self.leadership: Leadership | None = None
 
     def _first_campaign_s(self) -> float:
         """Return when to campaign after a start: promises are over, the others may be up."""
-        free_s = self.leader_heard_s + self.timing.election_timeout_min_s
+        free_s = self.leader_seen_s + self.timing.election_timeout_min_s
         return max(self.now_s, free_s) + self.random.uniform(0.0, self.timing.first_campaign_s)
 
     def envelope(self, recipient: Member, message: Message) -> Envelope:
@@ -89,37 +89,37 @@
         return any(self.member in membership.voters for membership in memberships)
 
 
-def rearm(replica: Replica) -> None:
+def reset_election_timer(replica: Replica) -> None:
     """Start the election timer anew, for a random time."""
     timing = replica.timing
     wait_s = replica.random.uniform(timing.election_timeout_min_s, timing.election_timeout_max_s)
     replica.election_due_s = replica.now_s + wait_s
 
 
-def rearm_campaign(replica: Replica) -> None:
+def reset_campaign_timer(replica: Replica) -> None:
     """Start the election timer anew for a campaign that is not won soon."""
     timing = replica.timing
     wait_s = replica.random.uniform(timing.campaign_min_s, timing.campaign_max_s)
     replica.election_due_s = replica.now_s + wait_s
 
 
-def hold_back(replica: Replica) -> None:
+def defer_campaign(replica: Replica) -> None:
     """Leave a replica that campaigns the time of a round; it asks again later than that."""
     soonest_s = replica.now_s + replica.timing.campaign_min_s
     replica.election_due_s = max(replica.election_due_s, soonest_s)
 
 
-def note_leader(replica: Replica, leader: Member) -> None:
+def follow_leader(replica: Replica, leader: Member) -> None:
     """Follow `leader`, which has just been heard in the present term."""
     replica.leader = leader
-    replica.leader_heard_s = replica.now_s
+    replica.leader_seen_s = replica.now_s
     replica.role.feed("leader_seen")
-    rearm(replica)
+    reset_election_timer(replica)
 
 
-def heard_leader(replica: Replica) -> bool:
+def has_recent_leader(replica: Replica) -> bool:
     """Tell whether a leader was heard so recently that no vote may be given."""
-    silent_s = replica.now_s - replica.leader_heard_s
+    silent_s = replica.now_s - replica.leader_seen_s
     return silent_s < replica.timing.election_timeout_min_s
 
 
@@ -127,7 +127,7 @@
     """Move to a higher term and write it; answers of the old term are dropped."""
     replica.leader = None
     replica.state = PersistentState(term, voted_for)
-    replica.outbox.drop_held()
+    replica.outbox.discard_pending_sends()
     replica.outbox.write_state(replica.state)
 
 
--- a/packages/decisions/src/damaskwind/decisions/replication/requests.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/requests.py
@@ -30,7 +30,7 @@
 
 def on_propose(replica: Replica, request: Propose) -> None:
     """Append a command if this replica leads."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None:
         _refuse(replica, request.proposal_id, RefusalReason.NOT_LEADER)
         return
@@ -42,7 +42,7 @@
 
 def on_membership(replica: Replica, request: ProposeMembership) -> None:
     """Append a change of members if it makes sense and none is under way."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None:
         _refuse(replica, request.proposal_id, RefusalReason.NOT_LEADER)
         return
@@ -55,7 +55,7 @@
 
 def on_read(replica: Replica, request: ReadRequest) -> None:
     """Answer under the lease if that suffices, else ask a majority first."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None:
         refused = ReadRefused(request.read_id, RefusalReason.NOT_LEADER, replica.leader)
         replica.outbox.emit(refused)
@@ -69,7 +69,7 @@
 
 def repair_membership(replica: Replica) -> None:
     """Bring a learner in that has caught up, or a lost voter out, one step at a time."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None or not _may_change(replica, leadership):
         return
 
@@ -95,13 +95,13 @@
     if voter == replica.member:
         return 0.0
     progress = leadership.peers.get(voter)
-    heard_s = progress.heard_s if progress else leadership.started_s
-    return replica.now_s - max(heard_s, leadership.started_s)
+    last_response_s = progress.last_response_s if progress else leadership.started_s
+    return replica.now_s - max(last_response_s, leadership.started_s)
 
 
 def is_caught_up(replica: Replica, progress: Progress) -> bool:
     """Tell whether a learner holds all that is committed and answers."""
-    silent_s = replica.now_s - progress.heard_s
+    silent_s = replica.now_s - progress.last_response_s
     is_answering = silent_s < replica.timing.election_timeout_min_s
     return is_answering and progress.match_index >= replica.commit_index
 
@@ -123,7 +123,7 @@
 
 
 def _append_change(replica: Replica, change: MembershipChange, proposal_id: str | None) -> bool:
-    leadership = replica.leading
+    leadership = replica.leadership
     assert leadership is not None
     if change.kind is ChangeKind.PROMOTE:
         progress = leadership.peers.get(change.member)
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/cluster.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/cluster.py
@@ -34,7 +34,7 @@
     WritesDurable,
     WriteState,
 )
-from damaskwind.decisions.replication.log import first_log
+from damaskwind.decisions.replication.log import initial_log
 from damaskwind.decisions.replication.membership import is_majority
 from damaskwind.decisions.replication.messages import (
     ChangeKind,
@@ -48,7 +48,7 @@
 )
 from damaskwind.decisions.replication.tests.disk import Disk
 from damaskwind.decisions.replication.tests.invariants import (
-    check_leader,
+    check_commit,
     check_lease,
     check_promotion,
 )
@@ -57,10 +57,10 @@
 
 __all__ = ["Cluster"]
 
-TICK_S = 0.1
-JOIN_S = 0.7
-SETTLE_S = 60.0
-RATES = (0.96, 1.0, 1.05, 1.0, 0.97)
+TICK_INTERVAL_S = 0.1
+JOIN_INTERVAL_S = 0.7
+RECOVERY_LIMIT_S = 60.0
+CLOCK_RATES = (0.96, 1.0, 1.05, 1.0, 0.97)
 
 
 class Cluster:
@@ -93,14 +93,14 @@
             )
         self.syncs = syncs
         self.new_identity = new_identity
-        self.clocks_are_sound = True
+        self.clocks_are_trusted = True
         self.now_s = 0.0
         self._numbers = count(1)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._reads: dict[str, tuple[int, bool]] = {}
         self.nodes: dict[str, Node] = {}
         members = [Member(name, f"{name}1") for name in "abcdefgh"[:size]]
-        state, entries = first_log(members[:voters])
+        state, entries = initial_log(members[:voters])
         for member in members[:voters]:
             self._add_node(member, Disk(state, entries))
         for member in members[voters:] if voters is not None else ():
@@ -143,7 +143,7 @@
         node = self.nodes[name]
         if node.core is not None:
             node.core = None
-            node.life += 1
+            node.incarnation += 1
             node.crashed_s = self.clock_s(node)
             node.disk.crash(self.random)
 
@@ -175,7 +175,7 @@
     def jump_clock(self, name: str, by_s: float) -> None:
         """Let a clock jump; no lease can be trusted from then on."""
         self.nodes[name].offset_s += by_s
-        self.clocks_are_sound = False
+        self.clocks_are_trusted = False
 
     def take_snapshot(self, name: str) -> None:
         """Let a node save its applied state and drop its log."""
@@ -198,12 +198,12 @@
         leaders = [node for node in self.running() if node.core.role == "leader"]
         return max(leaders, key=lambda node: node.core.term, default=None)
 
-    def has_sound_leader(self) -> bool:
+    def has_leader_with_lease(self) -> bool:
         """Tell whether a leader runs that a majority has lately answered."""
         leader = self.leader()
         return leader is not None and leader.core.holds_lease(self.clock_s(leader))
 
-    def calm(self, limit_s: float = 6.0) -> None:
+    def stabilize(self, limit_s: float = 6.0) -> None:
         """Mend the network, start all nodes and wait for a leader."""
         self.heal()
         for name, node in self.nodes.items():
@@ -211,7 +211,7 @@
             node.paused_until_s = self.now_s
             node.sync_s = SYNC_S
         end_s = self.now_s + limit_s
-        while self.now_s < end_s and not self.has_sound_leader():
+        while self.now_s < end_s and not self.has_leader_with_lease():
             self.run(0.1)
 
     def await_repair(self, name: str, limit_s: float = 12.0) -> bool:
@@ -228,10 +228,10 @@
         """Return the nodes that run."""
         return [node for node in self.nodes.values() if node.core is not None]
 
-    def settle(self) -> None:
+    def check_recovery(self) -> None:
         """Mend everything; a majority must then confirm, and see all it confirmed."""
-        self.calm()
-        end_s = self.now_s + SETTLE_S
+        self.stabilize()
+        end_s = self.now_s + RECOVERY_LIMIT_S
         while self.now_s < end_s:
             self.run(0.5)
             leader = self.leader()
@@ -253,7 +253,7 @@
         commit_index = node.core.commit_index
         members = node.core.membership
         outputs = node.core.step(event, self.clock_s(node))
-        check_leader(self, node, commit_index)
+        check_commit(self, node, commit_index)
         for output in outputs:
             check_promotion(self, node, members, commit_index, output)
             self._carry_out(node, output)
@@ -267,7 +267,7 @@
         return self.now_s < node.paused_until_s
 
     def _add_node(self, member: Member, disk: Disk) -> None:
-        rate = RATES[len(self.nodes) % len(RATES)]
+        rate = CLOCK_RATES[len(self.nodes) % len(CLOCK_RATES)]
         node = self.nodes[member.replica_id] = Node(member, disk, rate)
         self._boot(node)
 
@@ -286,25 +286,25 @@
         )
         disk.entries = list(log.entries(log.snapshot.index + 1, log.last_index))
         node.applied = msgspec.msgpack.decode(disk.data, type=list[LogEntry]) if disk.data else []
-        self._tick(node, node.life)
-        self._ask_to_join(node, node.life)
+        self._tick(node, node.incarnation)
+        self._ask_to_join(node, node.incarnation)
 
     def _at(self, delay_s: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.now_s + delay_s, next(self._numbers), action))
 
-    def _tick(self, node: Node, life: int) -> None:
-        if node.life != life:
+    def _tick(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation:
             return
-        self._at(TICK_S, partial(self._tick, node, life))
+        self._at(TICK_INTERVAL_S, partial(self._tick, node, incarnation))
         if not self.is_paused(node):
             self.feed(node, Tick())
         if node.core is not None:
             check_lease(self, node)
 
-    def _ask_to_join(self, node: Node, life: int) -> None:
-        if node.life != life or node.core is None:
+    def _ask_to_join(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation or node.core is None:
             return
-        self._at(JOIN_S, partial(self._ask_to_join, node, life))
+        self._at(JOIN_INTERVAL_S, partial(self._ask_to_join, node, incarnation))
         members = node.core.membership
         if node.member not in (*members.voters, *members.learners):
             change = MembershipChange(ChangeKind.ADD_LEARNER, node.member)
@@ -322,12 +322,12 @@
             return
         self.feed(node, Received(envelope))
 
-    def _sync(self, node: Node, life: int, write_id: int) -> None:
-        if node.life != life:
+    def _sync(self, node: Node, incarnation: int, write_id: int) -> None:
+        if node.incarnation != incarnation:
             return
         if self.is_paused(node):
             wait_s = node.paused_until_s - self.now_s
-            self._at(wait_s, partial(self._sync, node, life, write_id))
+            self._at(wait_s, partial(self._sync, node, incarnation, write_id))
             return
         if self.syncs or self.random.random() < 0.2:
             node.disk.sync(write_id)
@@ -336,7 +336,7 @@
     # Outputs.
 
     def _carry_out(self, node: Node, output: Output) -> None:
-        handler = _OUTPUTS.get(type(output))
+        handler = _OUTPUT_HANDLERS.get(type(output))
         if handler is not None:
             handler(self, node, output)
 
@@ -353,12 +353,12 @@
     def _write(self, node: Node, output: AppendEntries | WriteState | TruncateFrom) -> None:
         node.disk.write(output)
         delay_s = self.random.uniform(0.001, node.sync_s)
-        self._at(delay_s, partial(self._sync, node, node.life, output.write_id))
+        self._at(delay_s, partial(self._sync, node, node.incarnation, output.write_id))
 
     def _install(self, node: Node, output: InstallSnapshot) -> None:
         node.applied = msgspec.msgpack.decode(output.data, type=list[LogEntry])
         for entry in node.applied:
-            self.oracle.applied(entry)
+            self.oracle.check_applied(entry)
         self._write(node, output)
 
     def _apply(self, node: Node, output: Apply) -> None:
@@ -366,23 +366,23 @@
             expected = node.applied[-1].index + 1 if node.applied else 1
             if entry.index != expected:
                 raise InvariantError(f"{node.member} applied {entry} in place of {expected}")
-            self.oracle.applied(entry)
+            self.oracle.check_applied(entry)
             node.applied.append(entry)
 
     def _outcome(self, node: Node, output: ProposalOutcome) -> None:
         if output.outcome is Outcome.COMMITTED:
-            self.oracle.committed(output.proposal_id, output.index)
+            self.oracle.check_committed(output.proposal_id, output.index)
         elif output.outcome is Outcome.REFUSED:
-            self.oracle.refuse(output.proposal_id)
+            self.oracle.record_refusal(output.proposal_id)
 
     def _read_ready(self, node: Node, output: ReadReady) -> None:
         visible_index, by_lease = self._reads[output.read_id]
-        if by_lease and not self.clocks_are_sound:
+        if by_lease and not self.clocks_are_trusted:
             return
-        self.oracle.read(output.read_id, output.index, visible_index)
+        self.oracle.check_read(output.read_id, output.index, visible_index)
 
     def _became_leader(self, node: Node, output: BecameLeader) -> None:
-        self.oracle.elected(output.term, node.member)
+        self.oracle.check_elected(output.term, node.member)
         for other in self.running():
             check_lease(self, other)
 
@@ -393,7 +393,7 @@
         return bool(known) and all(is_majority(voters, alive) for voters in known)
 
 
-_OUTPUTS: dict[type, Callable] = {
+_OUTPUT_HANDLERS: dict[type, Callable] = {
     Send: Cluster._send,
     SendSnapshot: Cluster._send_snapshot,
     WriteState: Cluster._write,
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/histories.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/histories.py
@@ -46,7 +46,7 @@
 class LogHistory(RuleBasedStateMachine):
     """One history: orders to a cluster, then mend everything and check."""
 
-    made = 0
+    run_count = 0
     first_failed: int | None = None
     cluster_arguments: dict[str, bool] = {}
 
@@ -62,18 +62,18 @@
         self.patience = patience
         self.leaderless_steps = 0
         self.cluster = Cluster(seed, size, **type(self).cluster_arguments)
-        self.cluster.calm()
+        self.cluster.stabilize()
 
     @invariant()
     def mend_when_stuck(self) -> None:
         """Mend a cluster that has long been without a leader: little happens in it."""
-        if self.cluster.has_sound_leader():
+        if self.cluster.has_leader_with_lease():
             self.leaderless_steps = 0
             return
         self.leaderless_steps += 1
         if self.leaderless_steps > self.patience:
             self.leaderless_steps = 0
-            self.cluster.calm()
+            self.cluster.stabilize()
 
     def name(self, node: int) -> str:
         """Return a node's name; the lowest number means the leader, if there is one."""
@@ -234,21 +234,21 @@
 
     def teardown(self) -> None:
         """Mend everything and check that nothing confirmed is lost."""
-        LogHistory.made += 1
+        LogHistory.run_count += 1
         failure = sys.exc_info()[1]
         if isinstance(failure, FAILURES):
-            self.note_failure()
+            self.record_failure()
         elif hasattr(self, "cluster"):
             try:
-                self.cluster.settle()
+                self.cluster.check_recovery()
             except FAILURES:
-                self.note_failure()
+                self.record_failure()
                 raise
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Keep which history failed first; those after it only shrink it."""
         if LogHistory.first_failed is None:
-            LogHistory.first_failed = LogHistory.made
+            LogHistory.first_failed = LogHistory.run_count
 
 
 class WideLogHistory(LogHistory):
@@ -266,7 +266,7 @@
         self.patience = patience
         self.leaderless_steps = 0
         self.cluster = Cluster(seed, size, voters=5, **type(self).cluster_arguments)
-        self.cluster.calm()
+        self.cluster.stabilize()
         self.cluster.run(2.0)
 
 
@@ -336,18 +336,20 @@
 ) -> FuzzResult:
     """Run histories until the time or the count is used up, or one fails."""
     started_s = time.monotonic()
-    LogHistory.made = 0
+    LogHistory.run_count = 0
     LogHistory.first_failed = None
     batch = 0
     failure = None
     with seeded(bug):
-        while time.monotonic() - started_s < seconds and LogHistory.made < histories:
+        while time.monotonic() - started_s < seconds and LogHistory.run_count < histories:
             try:
-                run_batch(seed + batch, min(BATCH, histories - LogHistory.made), history=history)
+                run_batch(
+                    seed + batch, min(BATCH, histories - LogHistory.run_count), history=history
+                )
             except Exception as error:
                 notes = "\n".join(getattr(error, "__notes__", ()))
                 failure = f"{type(error).__name__}: {error}\n{notes}"
                 break
             batch += 1
     duration_s = time.monotonic() - started_s
-    return FuzzResult(LogHistory.made, duration_s, LogHistory.first_failed, failure)
+    return FuzzResult(LogHistory.run_count, duration_s, LogHistory.first_failed, failure)
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/invariants.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/invariants.py
@@ -8,7 +8,7 @@
 from damaskwind.decisions.replication.tests.machines import Node
 from damaskwind.decisions.replication.tests.oracle import InvariantError, Oracle
 
-__all__ = ["Machines", "check_leader", "check_lease", "check_promotion"]
+__all__ = ["Machines", "check_commit", "check_lease", "check_promotion"]
 
 
 class Machines(Protocol):
@@ -17,13 +17,13 @@
     nodes: dict[str, Node]
     oracle: Oracle
     timing: Timing
-    clocks_are_sound: bool
+    clocks_are_trusted: bool
 
     def clock_s(self, node: Node) -> float:
         """Return what a node's clock shows."""
 
 
-def check_leader(machines: Machines, node: Node, commit_before: int) -> None:
+def check_commit(machines: Machines, node: Node, commit_before: int) -> None:
     """Check that a majority of the voters has synced what a leader commits."""
     index = node.core.commit_index
     if node.core.role != "leader" or index == commit_before:
@@ -36,12 +36,12 @@
 
 def check_lease(machines: Machines, node: Node) -> None:
     """Check that while a lease is held, a majority of the voters gives no vote."""
-    if not machines.clocks_are_sound or not node.core.holds_lease(machines.clock_s(node)):
+    if not machines.clocks_are_trusted or not node.core.holds_lease(machines.clock_s(node)):
         return
     if node.core.term < max(machines.oracle.leaders, default=0):
         raise InvariantError(f"{node.member} holds a lease, but a later leader was elected")
     voters = node.core.membership.voters
-    bound = [voter for voter in voters if _gives_no_vote(machines, voter)]
+    bound = [voter for voter in voters if _withholds_vote(machines, voter)]
     if not is_majority(voters, bound):
         raise InvariantError(f"{node.member} holds a lease, but only {bound} keep it")
 
@@ -75,10 +75,10 @@
     return any(entry.index == index and entry.term == term for entry in entries)
 
 
-def _gives_no_vote(machines: Machines, member: Member) -> bool:
+def _withholds_vote(machines: Machines, member: Member) -> bool:
     """Tell whether a member is gone, down, leading, or heard a leader lately."""
     node = machines.nodes[member.replica_id]
     if node.member != member or node.core is None or node.core.role == "leader":
         return True
-    silent_s = machines.clock_s(node) - node.core.leader_heard_s
+    silent_s = machines.clock_s(node) - node.core.leader_seen_s
     return silent_s < machines.timing.election_timeout_min_s
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/machines.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/machines.py
@@ -43,7 +43,7 @@
         self.disk = disk
         self.rate = rate
         self.offset_s = 0.0
-        self.life = 0
+        self.incarnation = 0
         self.crashed_s: float | None = None
         self.core: ReplicaCore | None = None
         self.applied: list[LogEntry] = []
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/oracle.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/oracle.py
@@ -20,7 +20,7 @@
         self.leaders: dict[int, Member] = {}
         self.visible_index = 0
 
-    def applied(self, entry: LogEntry) -> None:
+    def check_applied(self, entry: LogEntry) -> None:
         """Check an applied entry against the one sequence, or extend it."""
         if entry.index <= len(self.sequence):
             if self.sequence[entry.index - 1] != entry:
@@ -37,7 +37,7 @@
             raise InvariantError(f"refused but applied: {entry}")
         self.payloads.add(entry.payload)
 
-    def committed(self, proposal_id: str, index: int) -> None:
+    def check_committed(self, proposal_id: str, index: int) -> None:
         """Check that a confirmed proposal stands in the sequence, and keep it."""
         if index > len(self.sequence):
             raise InvariantError(f"confirmed before it was applied: {proposal_id}")
@@ -47,18 +47,18 @@
         self.confirmed[proposal_id] = index
         self.visible_index = max(self.visible_index, index)
 
-    def refuse(self, proposal_id: str) -> None:
+    def record_refusal(self, proposal_id: str) -> None:
         """Keep that the proposer was told that nothing was changed."""
         self.refused.add(proposal_id)
         if proposal_id.encode() in self.payloads:
             raise InvariantError(f"refused but applied: {proposal_id}")
 
-    def elected(self, term: int, member: Member) -> None:
+    def check_elected(self, term: int, member: Member) -> None:
         """Check that a term has one leader."""
         if self.leaders.setdefault(term, member) != member:
             raise InvariantError(f"term {term} has two leaders: {self.leaders[term]}, {member}")
 
-    def read(self, read_id: str, index: int, visible_index: int) -> None:
+    def check_read(self, read_id: str, index: int, visible_index: int) -> None:
         """Check that a read sees all that was visible when it was asked."""
         if index < visible_index:
             raise InvariantError(f"read {read_id} saw {index}, but {visible_index} was visible")
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/seeded_bugs.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/seeded_bugs.py
@@ -9,7 +9,7 @@
 
 from damaskwind.decisions.replication import election, leading, requests
 from damaskwind.decisions.replication.events import Send
-from damaskwind.decisions.replication.leadership import Leadership, Progress, note_answer
+from damaskwind.decisions.replication.leadership import Leadership, Progress, record_response
 from damaskwind.decisions.replication.membership import majority_value
 from damaskwind.decisions.replication.messages import Envelope, Member, VoteRequest
 from damaskwind.decisions.replication.outbox import Outbox
@@ -21,22 +21,22 @@
 def vote_twice() -> AbstractContextManager:
     """Give a second vote in the same term."""
 
-    def may_vote_again(replica: Replica, sender: Member, request: VoteRequest) -> bool:
+    def can_vote_in_term(replica: Replica, sender: Member, request: VoteRequest) -> bool:
         mine = (replica.log.last_term, replica.log.last_index)
         is_in_term = request.term == replica.state.term and replica.role.state != "leader"
         return is_in_term and (request.last_term, request.last_index) >= mine
 
-    return mock.patch.object(election, "may_vote_again", may_vote_again)
+    return mock.patch.object(election, "can_vote_in_term", can_vote_in_term)
 
 
 def lease_from_receive_time() -> AbstractContextManager:
     """Count the lease from when an answer came in."""
 
     def note(leadership: Leadership, progress: Progress, number: int, now_s: float) -> None:
-        note_answer(leadership, progress, number, now_s)
+        record_response(leadership, progress, number, now_s)
         leadership.round_sent_s[number] = now_s
 
-    return mock.patch.object(leading, "note_answer", note)
+    return mock.patch.object(leading, "record_response", note)
 
 
 def count_learner() -> AbstractContextManager:
@@ -78,12 +78,12 @@
 
 def commit_old_term() -> AbstractContextManager:
     """Commit entries of an earlier term by counting."""
-    return mock.patch.object(leading, "is_of_own_term", lambda replica, index: True)
+    return mock.patch.object(leading, "is_from_current_term", lambda replica, index: True)
 
 
 def vote_while_led() -> AbstractContextManager:
     """Give votes although a leader is heard."""
-    return mock.patch.object(election, "heard_leader", lambda replica: False)
+    return mock.patch.object(election, "has_recent_leader", lambda replica: False)
 
 
 def change_unsettled() -> AbstractContextManager:
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_cluster.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_cluster.py
@@ -3,7 +3,7 @@
 from unittest import TestCase
 
 from damaskwind.decisions.replication.messages import Member
-from damaskwind.decisions.replication.tests.cluster import TICK_S, Cluster
+from damaskwind.decisions.replication.tests.cluster import TICK_INTERVAL_S, Cluster
 
 
 class ClusterTest(TestCase):
@@ -11,7 +11,7 @@
 
     def setUp(self) -> None:
         self.cluster = Cluster(seed=3)
-        self.cluster.calm()
+        self.cluster.stabilize()
         self.first = self.cluster.leader().member.replica_id
 
     def isolate(self, name: str) -> None:
@@ -22,7 +22,9 @@
     def test_isolated_leader_stops_in_time_and_another_takes_over(self) -> None:
         node = self.cluster.nodes[self.first]
         self.isolate(self.first)
-        self.cluster.run((self.cluster.timing.election_timeout_min_s + 2 * TICK_S) / node.rate)
+        self.cluster.run(
+            (self.cluster.timing.election_timeout_min_s + 2 * TICK_INTERVAL_S) / node.rate
+        )
         self.assertEqual(node.core.role, "follower")
         self.assertFalse(node.core.holds_lease(self.cluster.clock_s(node)))
         lost = self.cluster.propose(self.first)
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_core.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_core.py
@@ -20,7 +20,7 @@
     WritesDurable,
     WriteState,
 )
-from damaskwind.decisions.replication.log import ReplicatedLog, first_log
+from damaskwind.decisions.replication.log import ReplicatedLog, initial_log
 from damaskwind.decisions.replication.messages import (
     AppendRequest,
     AppendResponse,
@@ -47,7 +47,7 @@
 
 def make_core(voters: tuple[Member, ...] = (A, B, C)) -> ReplicaCore:
     """Make replica a of a new cluster at time 0."""
-    state, entries = first_log(voters)
+    state, entries = initial_log(voters)
     return ReplicaCore(A, state, ReplicatedLog(Snapshot(), entries), Timing(), Random(1), 0.0)
 
 
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_cut_domain.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_cut_domain.py
@@ -49,10 +49,10 @@
     def test_as_many_vote_during_the_cut_as_before(self) -> None:
         for seed in range(SEEDS):
             cluster = Cluster(seed, 6, voters=VOTERS)
-            cluster.calm()
+            cluster.stabilize()
             cluster.run(4.0)
             cut_off(cluster, "ab")
             cluster.run(CUT_S)
             voters = cluster.leader().core.membership.voters
             self.assertEqual(len(voters), VOTERS, seed)
-            cluster.settle()
+            cluster.check_recovery()
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_histories.py
@@ -22,16 +22,16 @@
     """The same histories every time."""
 
     def setUp(self) -> None:
-        LogHistory.made = 0
+        LogHistory.run_count = 0
         LogHistory.first_failed = None
 
     def test_no_history_breaks_an_invariant(self) -> None:
         run_batch(None, HISTORIES)
-        self.assertGreaterEqual(LogHistory.made, HISTORIES)
+        self.assertGreaterEqual(LogHistory.run_count, HISTORIES)
 
     def test_no_history_of_six_or_eight_replicas_breaks_one(self) -> None:
         run_batch(None, HISTORIES, history=WideLogHistory)
-        self.assertGreaterEqual(LogHistory.made, HISTORIES)
+        self.assertGreaterEqual(LogHistory.run_count, HISTORIES)
 
     def test_bugs_put_in_on_purpose_are_found(self) -> None:
         for bug in QUICK_BUGS:
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_invariants.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_invariants.py
@@ -15,7 +15,7 @@
 
     def setUp(self):
         self.cluster = Cluster(3)
-        self.cluster.calm()
+        self.cluster.stabilize()
         self.cluster.add()
         learner = self.cluster.nodes["d"].member
         voters = self.cluster.leader().core.membership.voters
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_regressions.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_regressions.py
@@ -21,7 +21,7 @@
             cluster.crash(name)
         removal = encode_membership(Membership((Member("a", "a1"),)))
         cluster.nodes["b"].disk.entries.append(LogEntry(2, 1, EntryKind.MEMBERSHIP, removal))
-        cluster.settle()
+        cluster.check_recovery()
         leader = cluster.leader()
         self.assertIsNotNone(leader)
         self.assertEqual(leader.member, Member("a", "a1"))
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_restart.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_restart.py
@@ -12,7 +12,7 @@
 def seconds_to_leader(seed):
     """Stop all replicas of a calm cluster, start them, and return the time to a leader."""
     cluster = Cluster(seed)
-    cluster.calm()
+    cluster.stabilize()
     cluster.run(2.0)
     for name in cluster.nodes:
         cluster.crash(name)
@@ -20,7 +20,7 @@
     for name in cluster.nodes:
         cluster.start(name)
     started_s = cluster.now_s
-    while not cluster.has_sound_leader() and cluster.now_s < started_s + 10.0:
+    while not cluster.has_leader_with_lease() and cluster.now_s < started_s + 10.0:
         cluster.run(0.02)
     return cluster.now_s - started_s
 
@@ -33,14 +33,14 @@
 
     def test_replica_that_was_down_briefly_keeps_its_promise(self):
         cluster = Cluster(1)
-        cluster.calm()
+        cluster.stabilize()
         cluster.run(2.0)
         leader = cluster.leader()
         for name in cluster.nodes:
             if name != leader.member.replica_id:
                 cluster.crash(name)
                 cluster.start(name)
-        self.assertTrue(cluster.has_sound_leader())
+        self.assertTrue(cluster.has_leader_with_lease())
         cluster.crash(leader.member.replica_id)
         crashed_s = cluster.now_s
         while cluster.leader() is None:
