--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -57,7 +57,7 @@
         handle = holder.order if isinstance(message, Order) else holder.write
         reply = handle(message, 0.0)
         size_bytes += len(encode_claim_message(message)) + len(encode_claim_message(reply))
-        pending += proposer.take_reply(holder_id, message.ballot, reply).messages
+        pending += proposer.handle_reply(holder_id, message.ballot, reply).messages
     return size_bytes
 
 
--- a/packages/control/src/damaskwind/control/claims/catch_up.py
+++ b/packages/control/src/damaskwind/control/claims/catch_up.py
@@ -43,7 +43,7 @@
             reply = await _read_one(holder, holder_id, address, signer)
             if reply is not None and reply.rejection == Rejection.NONE:
                 read.add(holder_id)
-                holder.take_catch_up(reply, clock())
+                holder.merge_catch_up(reply, clock())
         if not holder.is_voting(clock()):
             await asyncio.sleep(pause_s)
     logger.info("claim holder votes", holder=holder.holder_id, records=len(holder))
--- a/packages/control/src/damaskwind/control/fleet/calls.py
+++ b/packages/control/src/damaskwind/control/fleet/calls.py
@@ -18,7 +18,7 @@
     PublishOutcome,
     publish_command,
 )
-from damaskwind.decisions.following.reading_places import ReadingPlaces
+from damaskwind.decisions.following.read_redirection import ReadRedirector
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.decisions.routing.checks import configuration_mistakes
 from damaskwind.model.exception import ConfigurationError
@@ -86,14 +86,14 @@
         board: NewsBoard,
         decode: Callable[[bytes], TrafficConfiguration],
         bears_a_loss: Callable[[], bool],
-        reading_places: ReadingPlaces,
+        read_redirector: ReadRedirector,
     ) -> None:
         self._access = access
         self._machine = machine
         self._board = board
         self._decode = decode
         self._bears_a_loss = bears_a_loss
-        self._reading_places = reading_places
+        self._read_redirector = read_redirector
         self.tallies = Tallies()
 
     async def publish(self, document: bytes) -> PublishResult:
@@ -177,10 +177,10 @@
     def _send_on(self, read: ConfigurationRead) -> ConfigurationRead:
         """Name a router that gives a document which this VM's link is too narrow for."""
         places = self._board.passing_places()
-        place = self._reading_places.choose(len(read.document), places)
+        place = self._read_redirector.choose(len(read.document), places)
         if place is None:
             return read
-        url = read_place(place.host, self._reading_places.port, read.version)
+        url = read_place(place.host, self._read_redirector.port, read.version)
         self.tallies.count("reads", outcome=ReadOutcome.SENT_ON)
         logger.info(
             "read sent on",
@@ -246,7 +246,7 @@
         if host is None:
             return None
         self.tallies.count("targets_sent_on")
-        return Address(host, self._reading_places.port)
+        return Address(host, self._read_redirector.port)
 
     async def leave(self, target_id: str) -> None:
         """Take a target's word that it takes no more work."""
--- a/packages/control/src/damaskwind/control/fleet/news_board.py
+++ b/packages/control/src/damaskwind/control/fleet/news_board.py
@@ -10,7 +10,7 @@
 
 from damaskwind.control.fleet.heard_targets import HeardTargets
 from damaskwind.decisions.fatal_requests.suspicion import Suspicion, SuspicionTable
-from damaskwind.decisions.following.reading_places import PassingPlace
+from damaskwind.decisions.following.read_redirection import RelayEndpoint
 from damaskwind.decisions.load.held_sums import HeldSum, HeldSums
 from damaskwind.decisions.membership.report_places import ReportPlaces
 from damaskwind.decisions.membership.target_record import TargetRecord
@@ -64,7 +64,7 @@
     revision: int
     asked_s: float
     heard_told_s: float
-    passes_on: PassingPlace
+    passes_on: RelayEndpoint
     told_digest: int
     agreed_s: float
     lacks: bool
@@ -227,7 +227,7 @@
         self._forget_silent(read_clock())
         return len(self._routers)
 
-    def passing_places(self) -> list[PassingPlace]:
+    def passing_places(self) -> list[RelayEndpoint]:
         """Return where routers that ask here pass documents on, the last to ask first."""
         self._forget_silent(read_clock())
         places = (item.passes_on for item in reversed(self._subscriptions.values()))
--- a/packages/control/src/damaskwind/control/fleet/news_site.py
+++ b/packages/control/src/damaskwind/control/fleet/news_site.py
@@ -4,7 +4,7 @@
 
 from damaskwind.control.fleet.document_shelf import DocumentShelf
 from damaskwind.control.fleet.news_board import NewsBoard
-from damaskwind.decisions.following.document_holders import PASSING_PART, DocumentHolders
+from damaskwind.decisions.following.document_holders import RELAY_LINK_SHARE, DocumentHolders
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.decisions.pacing.bulk_pace import BulkPace
 from damaskwind.model.exception import MessageError
@@ -170,12 +170,12 @@
         # leader's lease have to find room between the documents.
         wait_s = self._pace.wait_s(size_bytes, read_clock())
         sent_s = read_clock() + wait_s + size_bytes / self._document_bytes_per_s
-        self._holders.note(self._shelf.version, request.host, sent_s)
+        self._holders.record(self._shelf.version, request.host, sent_s)
         if wait_s:
             await asyncio.sleep(wait_s)
         document = self._shelf.newest_for(request.held_version)
         body = encode(document)
-        self._holders.note(document.version, request.host, read_clock())
+        self._holders.record(document.version, request.host, read_clock())
         self._tallies.count("documents", sent="here")
         self._tallies.count("sent_bytes", len(body), kind="documents")
         self._tallies.observe("document_wait", wait_s)
@@ -186,5 +186,5 @@
         now_s = read_clock()
         if not host or self._pace.line_s(now_s) < PASS_ON_AFTER_S:
             return ()
-        send_s = size_bytes / (self._board.link_rate(host) * PASSING_PART)
+        send_s = size_bytes / (self._board.link_rate(host) * RELAY_LINK_SHARE)
         return self._holders.choose(self._shelf.version, host, send_s, now_s)
--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -31,7 +31,7 @@
 from damaskwind.control.storage.files import FileSystem
 from damaskwind.decisions.admission.service_tally import ServiceCount
 from damaskwind.decisions.fatal_requests.suspicion import MOST_REQUESTS, Standing
-from damaskwind.decisions.following.reading_places import ReadingPlaces
+from damaskwind.decisions.following.read_redirection import ReadRedirector
 from damaskwind.decisions.load.held_sums import HeldCount
 from damaskwind.decisions.membership.target_record import TargetRecord
 from damaskwind.model.evacuations import Evacuations
@@ -110,7 +110,7 @@
             self.board,
             decode,
             self._bears_a_loss,
-            ReadingPlaces(settings.link_bytes_per_s, settings.news_port, self._random),
+            ReadRedirector(settings.link_bytes_per_s, settings.news_port, self._random),
         )
         self.evacuation_calls = EvacuationCalls(
             self._access,
--- a/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
@@ -13,7 +13,7 @@
 from damaskwind.control.fleet.news_board import NewsBoard
 from damaskwind.control.operator_api.ports import CommitOutcome, CommitVerdict
 from damaskwind.control.state.published_configuration import PublishedConfiguration, publish_command
-from damaskwind.decisions.following.reading_places import PassingPlace, ReadingPlaces
+from damaskwind.decisions.following.read_redirection import ReadRedirector, RelayEndpoint
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.model.exception import ConfigurationError
 from damaskwind.model.targets import Address
@@ -66,7 +66,7 @@
             self.board,
             decode,
             lambda: self.bears_a_loss,
-            ReadingPlaces(100.0, 8101, Random(1)),
+            ReadRedirector(100.0, 8101, Random(1)),
         )
 
     async def status(self, document):
@@ -113,7 +113,7 @@
     @asyncio_test
     async def test_large_document_is_read_at_a_router_with_a_wider_link(self):
         for node, rate in (("narrow", 50.0), ("wide", 1000.0)):
-            place = PassingPlace(f"{node}.example", rate)
+            place = RelayEndpoint(f"{node}.example", rate)
             request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, passes_on=place)
             await self.board.wait_for_news(request)
         await self.calls.publish(b"1")
--- a/packages/decisions/src/damaskwind/decisions/claims/holder.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/holder.py
@@ -39,7 +39,7 @@
 
 __all__ = ["ClaimHolder", "HolderPolicy", "majority_of"]
 
-EXPIRY_SCAN = 64
+EXPIRY_SCAN_ENTRIES = 64
 
 
 class HolderPolicy(NamedTuple):
@@ -68,10 +68,10 @@
 class _Entry:
     """What a holder knows of one key."""
 
-    __slots__ = ("accepted", "born_s", "outcome", "promised")
+    __slots__ = ("accepted", "created_s", "outcome", "promised")
 
-    def __init__(self, born_s: float) -> None:
-        self.born_s = born_s
+    def __init__(self, created_s: float) -> None:
+        self.created_s = created_s
         self.promised: Ballot | None = None
         self.accepted: Accepted | None = None
         self.outcome: Outcome | None = None
@@ -83,7 +83,7 @@
     `incarnation` must be greater than in any earlier run of this holder.
     `is_first_start` says that no earlier run ever voted, so that being empty is
     right; it needs a durable mark. Otherwise the holder starts to vote after
-    `take_catch_up` has heard enough others, or once `ttl_s` has passed, when
+    `merge_catch_up` has heard enough others, or once `ttl_s` has passed, when
     everything that it may have forgotten has expired.
     """
 
@@ -103,7 +103,7 @@
         self.started_s = now_s
         self._voting = is_first_start
         self._is_stopped = False
-        self._read_from: set[str] = set()
+        self._caught_up_from: set[str] = set()
         self._incarnations = {holder_id: incarnation}
         self._entries: dict[str, _Entry] = {}
         self._answers_bytes = 0
@@ -119,7 +119,7 @@
             self._voting = True
         return self._voting
 
-    def catch_up_needed(self) -> int:
+    def catch_up_quorum(self) -> int:
         """Return how many other holders must be read before voting."""
         count = len(self.holder_ids)
         return count - majority_of(count) + 1
@@ -130,7 +130,7 @@
             return OrderReply(Rejection.NOT_VOTING, self.incarnation)
         entry = self._find(message.key, now_s)
         if entry is None:
-            if not self._has_room(now_s):
+            if not self._has_capacity(now_s):
                 return OrderReply(Rejection.FULL, self.incarnation)
             entry = self._entries[message.key] = _Entry(now_s)
         if entry.promised is not None and message.ballot <= entry.promised:
@@ -142,14 +142,14 @@
             entry.promised,
             entry.accepted,
             entry.outcome,
-            self._known(),
+            self._known_incarnations(),
         )
 
     def write(self, message: Write, now_s: float) -> WriteReply:
         """Second phase: accept the value under the very ballot promised."""
         if not self.is_voting(now_s):
             return WriteReply(Rejection.NOT_VOTING, self.incarnation)
-        if not self._promises_hold(message.promises):
+        if not self._are_promises_current(message.promises):
             return WriteReply(Rejection.STALE_INCARNATION, self.incarnation)
         entry = self._find(message.key, now_s)
         if entry is None or entry.promised != message.ballot:
@@ -168,16 +168,16 @@
             return RecordReply(Rejection.NOT_VOTING, self.incarnation)
         entry = self._find(message.key, now_s)
         if entry is None:
-            if not self._has_room(now_s):
+            if not self._has_capacity(now_s):
                 return RecordReply(Rejection.FULL, self.incarnation)
             entry = self._entries[message.key] = _Entry(now_s)
         if message.outcome.verdict != Verdict.NOT_RUN:
-            self._learn(entry, message.accepted)
+            self._adopt_accepted(entry, message.accepted)
         if entry.accepted is None or entry.accepted.value != message.accepted.value:
-            self._void_promise(entry, message.accepted.value.request_id)
+            self._invalidate_promise(entry, message.accepted.value.request_id)
             return RecordReply(Rejection.UNKNOWN, self.incarnation)
         if entry.outcome is None:
-            self._keep_outcome(entry, message.outcome)
+            self._store_outcome(entry, message.outcome)
         return RecordReply(Rejection.NONE, self.incarnation)
 
     def read_all(self, message: CatchUpRead, now_s: float) -> CatchUpReply:
@@ -188,22 +188,26 @@
         """
         if not self.is_voting(now_s):
             return CatchUpReply(Rejection.NOT_VOTING, self.holder_id, self.incarnation)
-        self._hear_of(Promise(message.holder_id, message.incarnation))
+        self._record_incarnation(Promise(message.holder_id, message.incarnation))
         return CatchUpReply(
-            Rejection.NONE, self.holder_id, self.incarnation, self._known(), self._records(now_s)
+            Rejection.NONE,
+            self.holder_id,
+            self.incarnation,
+            self._known_incarnations(),
+            self._live_records(now_s),
         )
 
-    def take_catch_up(self, reply: CatchUpReply, now_s: float) -> bool:
+    def merge_catch_up(self, reply: CatchUpReply, now_s: float) -> bool:
         """Take over another holder's records; return whether voting may start."""
         is_other = reply.holder_id in self.holder_ids and reply.holder_id != self.holder_id
         if reply.rejection != Rejection.NONE or not is_other or self._voting:
             return self.is_voting(now_s)
         for promise in reply.incarnations:
-            self._hear_of(promise)
+            self._record_incarnation(promise)
         for record in reply.records:
-            self._take_record(record, now_s)
-        self._read_from.add(reply.holder_id)
-        if len(self._read_from) >= self.catch_up_needed():
+            self._merge_record(record, now_s)
+        self._caught_up_from.add(reply.holder_id)
+        if len(self._caught_up_from) >= self.catch_up_quorum():
             self._voting = True
         return self._voting
 
@@ -216,7 +220,7 @@
             self._is_stopped = True
             return None
         self._is_stopped = True
-        return HolderMemory(self.holder_ids, self._known(), self._records(now_s))
+        return HolderMemory(self.holder_ids, self._known_incarnations(), self._live_records(now_s))
 
     def resume(self, memory: HolderMemory, now_s: float) -> bool:
         """Go on from what was kept at a clean stop; tell whether voting may start.
@@ -227,36 +231,36 @@
         if memory.holder_ids != self.holder_ids or self._entries:
             return self.is_voting(now_s)
         for promise in memory.incarnations:
-            self._hear_of(promise)
+            self._record_incarnation(promise)
         for record in memory.records:
-            self._take_record(record, now_s)
+            self._merge_record(record, now_s)
         self._voting = True
         return True
 
-    def _records(self, now_s: float) -> tuple[ClaimRecord, ...]:
+    def _live_records(self, now_s: float) -> tuple[ClaimRecord, ...]:
         """Return all records whose life is not over."""
         return tuple(
-            ClaimRecord(key, now_s - entry.born_s, entry.promised, entry.accepted, entry.outcome)
+            ClaimRecord(key, now_s - entry.created_s, entry.promised, entry.accepted, entry.outcome)
             for key, entry in self._entries.items()
-            if not self._is_over(entry, now_s)
+            if not self._is_expired(entry, now_s)
         )
 
-    def _take_record(self, record: ClaimRecord, now_s: float) -> None:
+    def _merge_record(self, record: ClaimRecord, now_s: float) -> None:
         """Take over one key: the higher promise, the higher ballot, the outcome."""
         entry = self._entries.setdefault(record.key, _Entry(now_s - record.age_s))
-        entry.born_s = min(entry.born_s, now_s - record.age_s)
+        entry.created_s = min(entry.created_s, now_s - record.age_s)
         self._raise_promise(entry, record.promised)
         if record.accepted is None:
             return
-        self._learn(entry, record.accepted)
+        self._adopt_accepted(entry, record.accepted)
         if record.outcome is not None and entry.accepted.value == record.accepted.value:
-            self._keep_outcome(entry, record.outcome)
+            self._store_outcome(entry, record.outcome)
 
-    def _known(self) -> tuple[Promise, ...]:
+    def _known_incarnations(self) -> tuple[Promise, ...]:
         """Return the newest incarnations heard of."""
         return tuple(Promise(*item) for item in self._incarnations.items())
 
-    def _promises_hold(self, promises: tuple[Promise, ...]) -> bool:
+    def _are_promises_current(self, promises: tuple[Promise, ...]) -> bool:
         """Tell whether no promise is of a forgotten incarnation, and ours is there."""
         if Promise(self.holder_id, self.incarnation) not in promises:
             return False
@@ -265,7 +269,7 @@
             for promise in promises
         )
 
-    def _hear_of(self, promise: Promise) -> None:
+    def _record_incarnation(self, promise: Promise) -> None:
         """Remember the newest incarnation of a holder."""
         known = self._incarnations.get(promise.holder_id, promise.incarnation)
         self._incarnations[promise.holder_id] = max(known, promise.incarnation)
@@ -273,10 +277,10 @@
     def _accept(self, entry: _Entry, accepted: Accepted) -> None:
         """Replace the accepted value, and with it the outcome of another one."""
         if entry.accepted is not None and entry.accepted.value != accepted.value:
-            self._drop_outcome(entry)
+            self._release_outcome(entry)
         entry.accepted = accepted
 
-    def _learn(self, entry: _Entry, accepted: Accepted) -> None:
+    def _adopt_accepted(self, entry: _Entry, accepted: Accepted) -> None:
         """Take a value heard of when its ballot is above that of ours.
 
         A value taken binds like a promise of its ballot.
@@ -290,7 +294,7 @@
         if ballot is not None and (entry.promised is None or entry.promised < ballot):
             entry.promised = ballot
 
-    def _void_promise(self, entry: _Entry, request_id: str) -> None:
+    def _invalidate_promise(self, entry: _Entry, request_id: str) -> None:
         """Raise the promise above a request that gave up, so that no late write of it counts."""
         if entry.promised is not None and entry.promised.request_id == request_id:
             entry.promised = Ballot(entry.promised.counter + 1, "")
@@ -298,38 +302,38 @@
     def _find(self, key: str, now_s: float) -> _Entry | None:
         """Return a key's entry, forgetting it when its life is over."""
         entry = self._entries.get(key)
-        if entry is not None and self._is_over(entry, now_s):
-            self._forget(key)
+        if entry is not None and self._is_expired(entry, now_s):
+            self._remove_entry(key)
             return None
         return entry
 
-    def _is_over(self, entry: _Entry, now_s: float) -> bool:
+    def _is_expired(self, entry: _Entry, now_s: float) -> bool:
         """Tell whether an entry's life is over."""
-        return now_s - entry.born_s >= self.policy.ttl_s
+        return now_s - entry.created_s >= self.policy.ttl_s
 
-    def _has_room(self, now_s: float) -> bool:
+    def _has_capacity(self, now_s: float) -> bool:
         """Forget a few expired entries and tell whether a new one fits.
 
         Entries stand roughly in the order of their age, so the first few tell;
         live ones are never forgotten to make room.
         """
-        oldest = [key for key, _ in zip(self._entries, range(EXPIRY_SCAN), strict=False)]
+        oldest = [key for key, _ in zip(self._entries, range(EXPIRY_SCAN_ENTRIES), strict=False)]
         for key in oldest:
-            if self._is_over(self._entries[key], now_s):
-                self._forget(key)
+            if self._is_expired(self._entries[key], now_s):
+                self._remove_entry(key)
         return len(self._entries) < self.policy.max_records
 
-    def _forget(self, key: str) -> None:
+    def _remove_entry(self, key: str) -> None:
         """Drop an entry and the bytes it holds."""
-        self._drop_outcome(self._entries.pop(key))
+        self._release_outcome(self._entries.pop(key))
 
-    def _drop_outcome(self, entry: _Entry) -> None:
+    def _release_outcome(self, entry: _Entry) -> None:
         """Drop an entry's outcome and give its bytes back."""
         if entry.outcome is not None and entry.outcome.answer is not None:
             self._answers_bytes -= len(entry.outcome.answer.body)
         entry.outcome = None
 
-    def _keep_outcome(self, entry: _Entry, outcome: Outcome) -> None:
+    def _store_outcome(self, entry: _Entry, outcome: Outcome) -> None:
         """Keep an outcome, its answer's body only within the bounds."""
         if entry.outcome is not None:
             return
--- a/packages/decisions/src/damaskwind/decisions/claims/proposer.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/proposer.py
@@ -69,7 +69,7 @@
 class ClaimProposer:
     """Run rounds for one claim until it is decided or given up.
 
-    Start a round with `start_round`, feed replies to `take_reply` (`None` for a
+    Start a round with `start_round`, feed replies to `handle_reply` (`None` for a
     holder that failed to answer), and when `phase` is `FAILED` start another
     after a pause.
     """
@@ -82,13 +82,13 @@
         self.was_full = False
         self._majority = majority_of(len(self.holder_ids))
         self._counter = 0
-        self._start_counts()
+        self._reset_replies()
 
-    def _start_counts(self) -> None:
+    def _reset_replies(self) -> None:
         """Forget the replies of the phase before."""
         self._promised: dict[str, _Promised] = {}
         self._incarnations: dict[str, int] = {}
-        self._written: set[str] = set()
+        self._acceptors: set[str] = set()
         self._failed: set[str] = set()
         self._proposal: Accepted | None = None
 
@@ -96,24 +96,24 @@
         """Start a round with a ballot above every one heard of."""
         self._counter += 1
         self.ballot = Ballot(self._counter, self.value.request_id)
-        self._start_counts()
+        self._reset_replies()
         self.phase = Phase.ORDERING
         order = Order(self.key, self.ballot)
         return Step(tuple((holder_id, order) for holder_id in self.holder_ids))
 
-    def take_reply(
+    def handle_reply(
         self, holder_id: str, ballot: Ballot, reply: OrderReply | WriteReply | None
     ) -> Step:
         """Take the reply to a message sent under `ballot`."""
         if ballot != self.ballot or self.phase in (Phase.FAILED, Phase.DECIDED):
             return Step()
         if reply is None or reply.rejection != Rejection.NONE:
-            return self._take_failure(holder_id, reply)
+            return self._count_failure(holder_id, reply)
         if isinstance(reply, OrderReply):
-            return self._take_promise(holder_id, reply)
-        return self._take_written(holder_id, reply)
+            return self._count_promise(holder_id, reply)
+        return self._count_acceptance(holder_id, reply)
 
-    def _take_failure(self, holder_id: str, reply: OrderReply | WriteReply | None) -> Step:
+    def _count_failure(self, holder_id: str, reply: OrderReply | WriteReply | None) -> Step:
         """Count a holder out; the round fails when no majority is left.
 
         While writing, the late failures of holders that were not written to say
@@ -130,39 +130,39 @@
             self.phase = Phase.FAILED
         return Step()
 
-    def _take_promise(self, holder_id: str, reply: OrderReply) -> Step:
+    def _count_promise(self, holder_id: str, reply: OrderReply) -> Step:
         """Count a promise; with a majority choose the value and write it."""
         if self.phase != Phase.ORDERING:
             return Step()
         promise = Promise(holder_id, reply.incarnation)
         self._promised[holder_id] = _Promised(promise, reply.accepted, reply.outcome)
-        for heard in (promise, *reply.incarnations):
-            newest = max(heard.incarnation, self._incarnations.get(heard.holder_id, 0))
-            self._incarnations[heard.holder_id] = newest
-        self._drop_forgotten()
+        for seen in (promise, *reply.incarnations):
+            newest = max(seen.incarnation, self._incarnations.get(seen.holder_id, 0))
+            self._incarnations[seen.holder_id] = newest
+        self._drop_stale_promises()
         if len(self._promised) < self._majority:
             return Step()
-        return self._choose()
+        return self._choose_value()
 
-    def _drop_forgotten(self) -> None:
+    def _drop_stale_promises(self) -> None:
         """Drop promises of incarnations that another holder knows to be over."""
         for holder_id, item in list(self._promised.items()):
             if item.promise.incarnation < self._incarnations[holder_id]:
                 del self._promised[holder_id]
-                self._take_failure(holder_id, None)
+                self._count_failure(holder_id, None)
 
-    def _choose(self) -> Step:
+    def _choose_value(self) -> Step:
         """Choose the value of the highest ballot, or our own when there is none."""
         found = [item for item in self._promised.values() if item.accepted is not None]
         highest = max(found, key=lambda item: item.accepted.ballot, default=None)
         value = self.value
         if highest is not None:
             value = highest.accepted.value
-            ended = self._outcome_of(value)
-            if ended is not None and ended.verdict == Verdict.NOT_RUN:
+            recorded_outcome = self._outcome_of(value)
+            if recorded_outcome is not None and recorded_outcome.verdict == Verdict.NOT_RUN:
                 value = self.value
-            elif ended is not None:
-                return self._decide(highest.accepted, ended)
+            elif recorded_outcome is not None:
+                return self._decide(highest.accepted, recorded_outcome)
         return self._write(value)
 
     def _outcome_of(self, value: ClaimValue) -> Outcome | None:
@@ -181,26 +181,30 @@
         message = Write(self.key, self.ballot, value, promises)
         return Step(tuple((holder_id, message) for holder_id in self._promised))
 
-    def _take_written(self, holder_id: str, reply: WriteReply) -> Step:
+    def _count_acceptance(self, holder_id: str, reply: WriteReply) -> Step:
         """Count an acceptance; a majority of them decides."""
         promised = self._promised.get(holder_id)
         if promised is None or promised.promise.incarnation != reply.incarnation:
-            return self._take_failure(holder_id, None)
-        self._written.add(holder_id)
-        if len(self._written) < self._majority:
+            return self._count_failure(holder_id, None)
+        self._acceptors.add(holder_id)
+        if len(self._acceptors) < self._majority:
             return Step()
         return self._decide(self._proposal, None)
 
-    def _decide(self, accepted: Accepted, ended: Outcome | None) -> Step:
+    def _decide(self, accepted: Accepted, recorded_outcome: Outcome | None) -> Step:
         """End with what the decided value means for our request."""
         self.phase = Phase.DECIDED
         if accepted.value.request_id == self.value.request_id:
             return Step(outcome=ClaimOutcome(ClaimKind.GRANTED, accepted))
         if accepted.value.request_digest != self.value.request_digest:
             return Step(outcome=_mismatch(accepted))
-        if ended is not None and ended.answer is not None and ended.answer.complete:
-            return Step(outcome=ClaimOutcome(ClaimKind.DONE, accepted, ended.answer))
-        return Step(outcome=_in_use(accepted, ended))
+        if (
+            recorded_outcome is not None
+            and recorded_outcome.answer is not None
+            and recorded_outcome.answer.complete
+        ):
+            return Step(outcome=ClaimOutcome(ClaimKind.DONE, accepted, recorded_outcome.answer))
+        return Step(outcome=_in_use(accepted, recorded_outcome))
 
 
 def _mismatch(accepted: Accepted) -> ClaimOutcome:
@@ -210,11 +214,11 @@
     return ClaimOutcome(ClaimKind.MISMATCH, accepted, refusal=refusal)
 
 
-def _in_use(accepted: Accepted, ended: Outcome | None) -> ClaimOutcome:
+def _in_use(accepted: Accepted, recorded_outcome: Outcome | None) -> ClaimOutcome:
     """Refuse a key whose first request has no answer to give, or not yet."""
-    verdict = ended.verdict if ended else Verdict.MAY_HAVE_RUN
+    verdict = recorded_outcome.verdict if recorded_outcome else Verdict.MAY_HAVE_RUN
     detail = f"the key belongs to request {accepted.value.request_id}"
-    answer: StoredAnswer | None = ended.answer if ended else None
-    retry_after_s = None if ended else IN_USE_RETRY_AFTER_S
+    answer: StoredAnswer | None = recorded_outcome.answer if recorded_outcome else None
+    retry_after_s = None if recorded_outcome else IN_USE_RETRY_AFTER_S
     refusal = Refusal(Reason.KEY_IN_USE, verdict, detail, retry_after_s)
     return ClaimOutcome(ClaimKind.IN_USE, accepted, answer, refusal)
--- a/packages/decisions/src/damaskwind/decisions/claims/tests/histories.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/histories.py
@@ -28,7 +28,7 @@
 
 KEY = "key"
 STEPS = 160
-CALLS = {Order: "order", Write: "write", Record: "record", CatchUpRead: "read_all"}
+HOLDER_METHODS = {Order: "order", Write: "write", Record: "record", CatchUpRead: "read_all"}
 CATCH_UP = (CatchUpRead, CatchUpReply)
 
 
@@ -53,8 +53,8 @@
         self.holders = {name: self.make_holder(name, 1, True) for name in self.holder_ids}
         self.requests: dict[str, ClaimProposer] = {}
         self.network: list[Envelope] = []
-        self.catch_ups = 0
-        self.may_be_over = False
+        self.catch_up_count = 0
+        self.may_be_finished = False
         self.ran: list[str] = []
         self.kinds: list[ClaimKind] = []
         for number in range(self.random.randint(2, 4)):
@@ -68,7 +68,7 @@
         self.crash_after_write_share = self.random.choice((0.0, 0.3))
         self.give_up_share = self.random.choice((0.0, 0.1, 0.3))
         self.clean_stop_share = self.random.choice((0.0, 0.0, 0.3, 0.8))
-        self.kept: dict[str, HolderMemory] = {}
+        self.saved_memory: dict[str, HolderMemory] = {}
         self.slow_links: dict[tuple[str, str, type], bool] = {}
 
     def make_holder(self, name: str, incarnation: int, first: bool) -> ClaimHolder:
@@ -80,13 +80,13 @@
         """Run until nothing can change any more: who decided takes no reply."""
         for _ in range(STEPS):
             self.step()
-            if self.may_be_over and self.is_over():
+            if self.may_be_finished and self.is_finished():
                 break
         return self
 
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Tell whether every request is decided."""
-        self.may_be_over = False
+        self.may_be_finished = False
         return all(item.phase == Phase.DECIDED for item in self.requests.values())
 
     def step(self) -> None:
@@ -94,7 +94,7 @@
         if draw < self.restart_share:
             self.restart(self.random.choice(self.holder_ids))
         elif draw < 0.12:
-            self.ask_catch_up()
+            self.request_catch_up()
         elif draw < 0.17 or not self.network:
             self.start_or_give_up()
         else:
@@ -108,20 +108,20 @@
         if self.random.random() < self.clean_stop_share:
             memory = old.stop(0.0)
             if memory is not None:
-                self.kept[name] = memory
+                self.saved_memory[name] = memory
                 holder.resume(memory, 0.0)
-        elif self.loads_stale_file and name in self.kept:
-            holder.resume(self.kept[name], 0.0)
-        self.ask_catch_up()
+        elif self.loads_stale_file and name in self.saved_memory:
+            holder.resume(self.saved_memory[name], 0.0)
+        self.request_catch_up()
 
-    def ask_catch_up(self) -> None:
+    def request_catch_up(self) -> None:
         """Let a holder that does not vote ask all others."""
         silent = [name for name in self.holder_ids if not self.holders[name].is_voting(0.0)]
         for name in silent:
             read = CatchUpRead(name, self.holders[name].incarnation)
             others = (other for other in self.holder_ids if other != name)
             self.network += [Envelope(name, other, read) for other in others]
-            self.catch_ups += len(self.holder_ids) - 1
+            self.catch_up_count += len(self.holder_ids) - 1
 
     def start_or_give_up(self) -> None:
         live = [name for name, item in self.requests.items() if item.phase != Phase.DECIDED]
@@ -132,7 +132,7 @@
             self.idle = [other for other in self.idle if other != name]
             self.send(name, self.requests[name].start_round())
         else:
-            self.end(name, Verdict.NOT_RUN)
+            self.record_outcome(name, Verdict.NOT_RUN)
 
     def send(self, name: str, step: Any) -> None:
         for holder_id, message in step.messages:
@@ -140,22 +140,22 @@
 
     def deliver(self) -> None:
         """Deliver one message; leave a duplicate behind now and then, or drop it."""
-        index = self.pick()
+        index = self.pick_message()
         draw = self.random.random()
         duplicate = draw < self.duplicate_share
         envelope = self.network[index] if duplicate else self.network.pop(index)
         if not duplicate and type(envelope.message) in CATCH_UP:
-            self.catch_ups -= 1
+            self.catch_up_count -= 1
         if draw > 1.0 - self.drop_share:
             return
         if envelope.destination in self.holders:
-            self.at_holder(envelope)
+            self.deliver_to_holder(envelope)
         elif envelope.destination in self.requests:
-            self.at_request(envelope)
+            self.deliver_to_request(envelope)
 
-    def pick(self) -> int:
+    def pick_message(self) -> int:
         """Pick a message: a catch-up in haste, seldom one of a link that is slow here."""
-        if self.catch_ups and self.random.random() < self.catch_up_share:
+        if self.catch_up_count and self.random.random() < self.catch_up_share:
             for index, envelope in enumerate(self.network):
                 if type(envelope.message) in CATCH_UP:
                     return index
@@ -169,46 +169,46 @@
                 break
         return index
 
-    def at_holder(self, envelope: Envelope) -> None:
+    def deliver_to_holder(self, envelope: Envelope) -> None:
         holder = self.holders[envelope.destination]
         message = envelope.message
         if isinstance(message, CatchUpReply):
             if envelope.ballot == holder.incarnation:
-                holder.take_catch_up(message, 0.0)
+                holder.merge_catch_up(message, 0.0)
             return
-        reply = getattr(holder, CALLS[type(message)])(message, 0.0)
-        tie = message.incarnation if isinstance(message, CatchUpRead) else envelope.ballot
-        self.network.append(Envelope(envelope.destination, envelope.source, reply, tie))
-        self.catch_ups += type(reply) is CatchUpReply
+        reply = getattr(holder, HOLDER_METHODS[type(message)])(message, 0.0)
+        round_tag = message.incarnation if isinstance(message, CatchUpRead) else envelope.ballot
+        self.network.append(Envelope(envelope.destination, envelope.source, reply, round_tag))
+        self.catch_up_count += type(reply) is CatchUpReply
         if isinstance(message, Write) and self.random.random() < self.crash_after_write_share:
             self.restart(envelope.destination)
 
-    def at_request(self, envelope: Envelope) -> None:
+    def deliver_to_request(self, envelope: Envelope) -> None:
         request = self.requests[envelope.destination]
         if envelope.ballot is None:
             return
-        step = request.take_reply(envelope.source, envelope.ballot, envelope.message)
+        step = request.handle_reply(envelope.source, envelope.ballot, envelope.message)
         self.send(envelope.destination, step)
         if step.outcome is None:
             return
-        self.may_be_over = True
+        self.may_be_finished = True
         self.kinds.append(step.outcome.kind)
         if step.outcome.kind == ClaimKind.GRANTED:
-            self.run_or_refuse(envelope.destination)
+            self.run_granted(envelope.destination)
 
-    def run_or_refuse(self, name: str) -> None:
+    def run_granted(self, name: str) -> None:
         """Run a granted request, or find no target for it."""
         verdict = self.random.choice((Verdict.RAN, Verdict.RAN, Verdict.NOT_RUN))
         if verdict == Verdict.RAN:
             self.ran.append(name)
         if self.random.random() < 0.6:
-            self.end(name, verdict)
+            self.record_outcome(name, verdict)
 
-    def end(self, name: str, verdict: Verdict) -> None:
+    def record_outcome(self, name: str, verdict: Verdict) -> None:
         """Record a request's outcome; one that gave up takes no reply from then on."""
         request = self.requests[name]
         request.phase = Phase.DECIDED
-        self.may_be_over = True
+        self.may_be_finished = True
         record = Record(KEY, Accepted(request.ballot, request.value), Outcome(verdict))
         self.network += [Envelope(name, holder_id, record) for holder_id in self.holder_ids]
 
--- a/packages/decisions/src/damaskwind/decisions/claims/tests/seeded_faults.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/seeded_faults.py
@@ -9,7 +9,7 @@
 class IgnoresIncarnations(ClaimHolder):
     """Counts promises of incarnations that were forgotten."""
 
-    def _promises_hold(self, promises):
+    def _are_promises_current(self, promises):
         return True
 
 
@@ -23,7 +23,7 @@
 class CatchesUpFromOne(ClaimHolder):
     """Reads too few others."""
 
-    def catch_up_needed(self):
+    def catch_up_quorum(self):
         return 1
 
 
--- a/packages/decisions/src/damaskwind/decisions/claims/tests/test_holder.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/test_holder.py
@@ -61,7 +61,7 @@
         if holder is not None:
             handle = holder.order if isinstance(message, Order) else holder.write
             reply = handle(message, now_s)
-        step = proposer.take_reply(holder_id, message.ballot, reply)
+        step = proposer.handle_reply(holder_id, message.ballot, reply)
         pending += step.messages
         if step.outcome:
             return step.outcome
@@ -75,21 +75,21 @@
         late = make("h0", 2, first=False)
         self.assertEqual(late.order(Order("k", Ballot(9, "x")), 0.0).rejection, "not_voting")
         read = CatchUpRead("h0", 2)
-        self.assertFalse(late.take_catch_up(others[0].read_all(read, 0.0), 0.0))
-        self.assertFalse(late.take_catch_up(others[0].read_all(read, 0.0), 0.0))
-        self.assertTrue(late.take_catch_up(others[1].read_all(read, 0.0), 0.0))
+        self.assertFalse(late.merge_catch_up(others[0].read_all(read, 0.0), 0.0))
+        self.assertFalse(late.merge_catch_up(others[0].read_all(read, 0.0), 0.0))
+        self.assertTrue(late.merge_catch_up(others[1].read_all(read, 0.0), 0.0))
         self.assertEqual(late.order(Order("k", Ballot(9, "x")), 0.0).accepted.value, VALUE)
 
     def test_reads_needed(self):
         for count, needed in ((1, 1), (3, 2), (5, 3)):
             ids = tuple(f"h{number}" for number in range(count))
-            self.assertEqual(make(ids=ids).catch_up_needed(), needed)
+            self.assertEqual(make(ids=ids).catch_up_quorum(), needed)
 
     def test_two_that_lost_everything_wait_for_the_life_of_claims(self):
         one, two = make("h0", 2, False, 50.0), make("h1", 2, False, 50.0)
         reply = two.read_all(CatchUpRead("h0", 2), 60.0)
         self.assertEqual(reply.rejection, Rejection.NOT_VOTING)
-        self.assertFalse(one.take_catch_up(reply, 60.0))
+        self.assertFalse(one.merge_catch_up(reply, 60.0))
         self.assertFalse(one.is_voting(149.9))
         self.assertTrue(one.is_voting(150.0))
 
@@ -97,7 +97,7 @@
         other, late = make("h1"), make("h0", 2, first=False)
         other.order(Order("k", Ballot(5, "p")), 0.0)
         for holder in (other, make("h2")):
-            late.take_catch_up(holder.read_all(CatchUpRead("h0", 2), 0.0), 0.0)
+            late.merge_catch_up(holder.read_all(CatchUpRead("h0", 2), 0.0), 0.0)
         self.assertEqual(late.order(Order("k", Ballot(4, "q")), 0.0).rejection, "stale_ballot")
 
     def test_accepted_value_learned_binds_like_a_promise(self):
@@ -196,10 +196,10 @@
         order = proposer.start_round().messages[0][1]
         first = self.holders["h0"].order(order, 0.0)
         self.holders["h1"].read_all(CatchUpRead("h0", 2), 0.0)
-        proposer.take_reply("h0", order.ballot, first)
-        step = proposer.take_reply("h1", order.ballot, self.holders["h1"].order(order, 0.0))
+        proposer.handle_reply("h0", order.ballot, first)
+        step = proposer.handle_reply("h1", order.ballot, self.holders["h1"].order(order, 0.0))
         self.assertEqual(step.messages, ())
-        step = proposer.take_reply("h2", order.ballot, self.holders["h2"].order(order, 0.0))
+        step = proposer.handle_reply("h2", order.ballot, self.holders["h2"].order(order, 0.0))
         self.assertEqual({name for name, _ in step.messages}, {"h1", "h2"})
 
 
--- a/packages/decisions/src/damaskwind/decisions/following/document_holders.py
+++ b/packages/decisions/src/damaskwind/decisions/following/document_holders.py
@@ -8,21 +8,21 @@
 platforms", Beaumont, Marchal and Robert, HiPC 2005).
 
 >>> holders = DocumentHolders()
->>> holders.note(7, "10.1.0.1", has_at_s=0.1)
->>> [holders.choose(7, f"10.2.0.{asker}", send_s=0.2, now_s=0.0) for asker in (1, 2, 3)]
+>>> holders.record(7, "10.1.0.1", has_at_s=0.1)
+>>> [holders.choose(7, f"10.2.0.{requester}", send_s=0.2, now_s=0.0) for requester in (1, 2, 3)]
 [('10.1.0.1',), ('10.1.0.1', '10.2.0.1'), ('10.2.0.1', '10.1.0.1')]
 >>> holders.choose(6, "10.9.0.9", send_s=0.2, now_s=0.0)
 ()
 """
 
-__all__ = ["LONGEST_S", "PASSING_PART", "DocumentHolders"]
+__all__ = ["MAX_RELAY_DELAY_S", "RELAY_LINK_SHARE", "DocumentHolders"]
 
 # The second is for one that has ended meanwhile or can't be reached from there.
-NAMED = 2
+MAX_HOLDERS = 2
 # A router that would have the document later than this is not sent on.
-LONGEST_S = 1.2
+MAX_RELAY_DELAY_S = 1.2
 # What documents may take of a router's link; the rest is for answers to callers.
-PASSING_PART = 0.3
+RELAY_LINK_SHARE = 0.3
 
 
 class DocumentHolders:
@@ -32,7 +32,7 @@
         self._version = 0
         self._free_s: dict[str, float] = {}
 
-    def note(self, version: int, host: str, has_at_s: float) -> None:
+    def record(self, version: int, host: str, has_at_s: float) -> None:
         """Note when a router has a version; those with an older one hold nothing."""
         if version > self._version:
             self._version = version
@@ -40,22 +40,22 @@
         if version == self._version and host:
             self._free_s.setdefault(host, has_at_s)
 
-    def choose(self, version: int, asker: str, send_s: float, now_s: float) -> tuple[str, ...]:
+    def choose(self, version: int, requester: str, send_s: float, now_s: float) -> tuple[str, ...]:
         """Return up to two routers that have a version or will soon, or none.
 
         `send_s` is what sending it takes a router.
         """
         if version != self._version:
             return ()
-        others = sorted((free_s, host) for host, free_s in self._free_s.items() if host != asker)[
-            :NAMED
-        ]
+        others = sorted(
+            (free_s, host) for host, free_s in self._free_s.items() if host != requester
+        )[:MAX_HOLDERS]
         if not others:
             return ()
         free_s, first = others[0]
         has_at_s = max(free_s, now_s) + send_s
-        if has_at_s - now_s > LONGEST_S:
+        if has_at_s - now_s > MAX_RELAY_DELAY_S:
             return ()
         self._free_s[first] = has_at_s
-        self._free_s.setdefault(asker, has_at_s)
+        self._free_s.setdefault(requester, has_at_s)
         return tuple(host for _, host in others)
--- a/packages/decisions/src/damaskwind/decisions/following/tests/test_document_holders.py
+++ b/packages/decisions/src/damaskwind/decisions/following/tests/test_document_holders.py
@@ -2,7 +2,7 @@
 
 from unittest import TestCase
 
-from damaskwind.decisions.following.document_holders import LONGEST_S, DocumentHolders
+from damaskwind.decisions.following.document_holders import MAX_RELAY_DELAY_S, DocumentHolders
 
 SEND_S = 0.167
 
@@ -16,25 +16,25 @@
         5.4 s of 3.0 s allowed.
         """
         holders = DocumentHolders()
-        holders.note(2, "first-0", 0.1)
-        holders.note(2, "first-1", 0.2)
+        holders.record(2, "first-0", 0.1)
+        holders.record(2, "first-1", 0.2)
         times_s = {"first-0": 0.1, "first-1": 0.2}
         free_s = dict(times_s)
         for number in range(45):
-            asker = f"router-{number}"
-            named = holders.choose(2, asker, SEND_S, 0.0)
+            requester = f"router-{number}"
+            named = holders.choose(2, requester, SEND_S, 0.0)
             begun_s = max(free_s[named[0]], times_s[named[0]])
-            free_s[named[0]] = free_s[asker] = times_s[asker] = begun_s + SEND_S
-        self.assertLess(max(times_s.values()), LONGEST_S)
+            free_s[named[0]] = free_s[requester] = times_s[requester] = begun_s + SEND_S
+        self.assertLess(max(times_s.values()), MAX_RELAY_DELAY_S)
 
     def test_who_would_have_it_late_is_not_sent_on(self):
         holders = DocumentHolders()
-        holders.note(2, "first", 1.1)
+        holders.record(2, "first", 1.1)
         self.assertEqual(holders.choose(2, "router", SEND_S, 0.0), ())
 
     def test_a_newer_version_has_holders_of_its_own(self):
         holders = DocumentHolders()
-        holders.note(2, "first", 0.0)
-        holders.note(3, "second", 0.0)
-        holders.note(2, "third", 0.0)
+        holders.record(2, "first", 0.0)
+        holders.record(3, "second", 0.0)
+        holders.record(2, "third", 0.0)
         self.assertEqual(holders.choose(3, "router", SEND_S, 0.0), ("second",))
--- a/packages/decisions/src/damaskwind/decisions/following/tests/test_document_sources.py
+++ b/packages/decisions/src/damaskwind/decisions/following/tests/test_document_sources.py
@@ -7,8 +7,8 @@
 from twisted.trial.unittest import TestCase
 
 from damaskwind.decisions.following.document_sources import (
-    FAILED_S,
-    PATIENCE_S,
+    FAILURE_COOLDOWN_S,
+    SOURCE_WAIT_S,
     DocumentSources,
 )
 
@@ -19,7 +19,7 @@
     """Return the sources of a router to which all replicas told a version at time 0."""
     sources = DocumentSources(node_id)
     for host in hosts:
-        sources.hear(host, version, True, host == leader, 0.0)
+        sources.record_version(host, version, True, host == leader, 0.0)
     return sources
 
 
@@ -34,7 +34,7 @@
         chosen = Counter()
         for number in range(60):
             sources = heard(f"front-{number}", leader="c")
-            sources.place = number
+            sources.router_index = number
             chosen[sources.choose(6, 6, 0.0)] += 1
         self.assertEqual(chosen, dict.fromkeys("abdef", 12))
 
@@ -42,23 +42,23 @@
         chosen = Counter()
         for number in range(60):
             sources = heard(f"front-{number}", leader="c")
-            sources.place = number
-            sources.lose("d")
+            sources.router_index = number
+            sources.remove("d")
             chosen[sources.choose(6, 6, 0.0)] += 1
         self.assertEqual(chosen, dict.fromkeys("abef", 15))
 
     def test_one_that_failed_is_asked_last_for_a_while(self):
         sources = heard("r")
         first = sources.choose(6, 6, 0.0)
-        sources.fail(first, 0.0)
+        sources.record_failure(first, 0.0)
         self.assertNotEqual(sources.choose(6, 6, 0.1), first)
-        self.assertEqual(sources.choose(6, 6, FAILED_S + 0.1), first)
+        self.assertEqual(sources.choose(6, 6, FAILURE_COOLDOWN_S + 0.1), first)
 
     def test_leader_is_asked_when_the_others_stay_silent(self):
         sources = heard("r", version=6)
-        sources.hear("a", 7, True, True, 1.0)
+        sources.record_version("a", 7, True, True, 1.0)
         self.assertIsNone(sources.choose(6, 6, 1.0))
-        self.assertEqual(sources.choose(6, 6, 1.0 + PATIENCE_S), "a")
+        self.assertEqual(sources.choose(6, 6, 1.0 + SOURCE_WAIT_S), "a")
 
     def test_leader_alone_is_asked_at_once(self):
         self.assertEqual(heard("r", hosts=("a",)).choose(6, 1, 0.0), "a")
@@ -67,7 +67,7 @@
     def test_newer_version_is_always_fetched_in_the_end(self, told):
         sources = DocumentSources("r")
         for number, (host, version) in enumerate(told):
-            sources.hear(host, version, True, host == "a", number / 1000)
+            sources.record_version(host, version, True, host == "a", number / 1000)
         newest = dict(told)
         host = sources.choose(4, 6, 100.0)
         self.assertEqual(host is not None, max(newest.values()) > 4)
--- a/packages/decisions/src/damaskwind/decisions/following/tests/test_reading_places.py
+++ b/packages/decisions/src/damaskwind/decisions/following/tests/test_read_redirection.py
@@ -3,25 +3,29 @@
 import unittest
 from random import Random
 
-from damaskwind.decisions.following.reading_places import HERE_S, PassingPlace, ReadingPlaces
+from damaskwind.decisions.following.read_redirection import (
+    LOCAL_READ_S,
+    ReadRedirector,
+    RelayEndpoint,
+)
 
 LINK_BYTES_PER_S = 375_000.0
 LARGE_BYTES = 450_000
 
 
 def routers(count, link_bytes_per_s=2 * LINK_BYTES_PER_S):
-    return [PassingPlace(f"10.0.0.{number}", link_bytes_per_s) for number in range(count)]
+    return [RelayEndpoint(f"10.0.0.{number}", link_bytes_per_s) for number in range(count)]
 
 
-class ReadingPlacesTest(unittest.TestCase):
+class ReadRedirectorTest(unittest.TestCase):
     def setUp(self):
-        self.places = ReadingPlaces(LINK_BYTES_PER_S, 8101, Random(1))
+        self.places = ReadRedirector(LINK_BYTES_PER_S, 8101, Random(1))
 
     def chosen(self, places):
         return {self.places.choose(LARGE_BYTES, places).host for _ in range(200)}
 
     def test_small_document_is_read_here(self):
-        size_bytes = int(LINK_BYTES_PER_S * HERE_S)
+        size_bytes = int(LINK_BYTES_PER_S * LOCAL_READ_S)
         self.assertIsNone(self.places.choose(size_bytes, routers(8)))
         self.assertIsNotNone(self.places.choose(size_bytes + 1, routers(8)))
 
@@ -38,5 +42,5 @@
         self.assertEqual(self.chosen(routers(1)), {"10.0.0.0"})
 
     def test_link_of_unknown_rate_reads_here(self):
-        places = ReadingPlaces(float("inf"), 8101, Random(1))
+        places = ReadRedirector(float("inf"), 8101, Random(1))
         self.assertIsNone(places.choose(LARGE_BYTES, routers(8)))
--- a/packages/router/src/damaskwind/router/claims/client.py
+++ b/packages/router/src/damaskwind/router/claims/client.py
@@ -136,7 +136,7 @@
         step = proposer.start_round()
         while step.outcome is None and proposer.phase != Phase.FAILED:
             self._send(step, replies)
-            step = proposer.take_reply(*await replies.get())
+            step = proposer.handle_reply(*await replies.get())
         return step.outcome
 
     def _send(self, step: Step, replies: asyncio.Queue) -> None:
--- a/packages/router/src/damaskwind/router/forwarding/document_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/document_relay.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from damaskwind.decisions.following.document_holders import LONGEST_S, PASSING_PART
+from damaskwind.decisions.following.document_holders import MAX_RELAY_DELAY_S, RELAY_LINK_SHARE
 from damaskwind.decisions.pacing.bulk_pace import BulkPace
 from damaskwind.model.exception import MessageError
 from damaskwind.runtime.clock import read_clock
@@ -25,7 +25,7 @@
 __all__ = ["DocumentRelay", "WholeDocument"]
 
 # A replica names a router that will have the document, in this time at the latest.
-WAIT_S = LONGEST_S
+WAIT_S = MAX_RELAY_DELAY_S
 LOOK_S = 0.02
 
 
@@ -56,7 +56,7 @@
     ) -> None:
         self._newest_for = newest_for
         self._whole = whole
-        self._pace = BulkPace(link_bytes_per_s * PASSING_PART, read_clock())
+        self._pace = BulkPace(link_bytes_per_s * RELAY_LINK_SHARE, read_clock())
         self._server = HttpServer(self._handle, ServerLimits())
         self.passed_on = 0
         # What else comes to this address, by its path, and heartbeats in the platform's words.
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -17,7 +17,7 @@
 from damaskwind.decisions.cold_targets.cold_spells import ColdTerms
 from damaskwind.decisions.cold_targets.router_count import MostRouters
 from damaskwind.decisions.following.document_sources import DocumentSources
-from damaskwind.decisions.following.reading_places import PassingPlace
+from damaskwind.decisions.following.read_redirection import RelayEndpoint
 from damaskwind.decisions.limits.slices import rendezvous_order
 from damaskwind.decisions.load.held_sums import HeldCount, HeldSum
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
@@ -150,7 +150,7 @@
                 Address(host, self._news_port),
                 self,
                 self._random,
-                passes_on=PassingPlace(self._own_host, self._link_bytes_per_s),
+                passes_on=RelayEndpoint(self._own_host, self._link_bytes_per_s),
             )
             self._links[host] = link
             self.suspicions.follow(host)
@@ -248,7 +248,7 @@
             content = self._unpack(document)
         except FETCH_ERRORS as error:
             self._wants_whole = isinstance(error, MessageError)
-            self.sources.fail(host, read_clock())
+            self.sources.record_failure(host, read_clock())
             logger.warning("document not fetched", host=host, why=repr(error))
             return False
         self._wants_whole = False
@@ -258,14 +258,14 @@
         if self.known_version() > held_version:
             self._received = document
             return True
-        self.sources.fail(host, read_clock())
+        self.sources.record_failure(host, read_clock())
         return False
 
     def take_news(self, host: str, news: News) -> None:
         """Merge what a replica knows."""
         now_s = read_clock()
-        self.sources.hear(host, news.version, news.is_current, news.leads, now_s)
-        self.sources.place = news.place
+        self.sources.record_version(host, news.version, news.is_current, news.leads, now_s)
+        self.sources.router_index = news.place
         if news.version > self.known_version():
             self._has_news.set()
         self._take_evacuations(host, news.evacuations)
@@ -405,5 +405,5 @@
 
     def lost(self, host: str) -> None:
         """Wait no longer for its version; what it told of targets stays believed."""
-        self.sources.lose(host)
+        self.sources.remove(host)
         self._has_news.set()
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
@@ -7,7 +7,7 @@
 
 from twisted.trial.unittest import TestCase
 
-from damaskwind.decisions.following.document_sources import UNSURE_AFTER_S
+from damaskwind.decisions.following.document_sources import INITIAL_WAIT_S
 from damaskwind.model.exception import ConfigurationError
 from damaskwind.router.forwarding import fleet_view
 from damaskwind.router.forwarding.fleet_view import PAUSE_S, FleetView
@@ -52,13 +52,13 @@
     def test_version_of_a_replica_that_is_lost_again_is_not_waited_for(self):
         self.assertFalse(self.hear("a", 9))
         self.view.lost("a")
-        self.now_s += UNSURE_AFTER_S + 0.01
+        self.now_s += INITIAL_WAIT_S + 0.01
         self.assertTrue(self.hear("b", 7))
 
     def test_newest_heard_is_taken_after_a_while_when_one_is_silent(self):
         self.assertFalse(self.hear("a", 7))
         self.assertFalse(self.hear("b", 9))
-        self.now_s += UNSURE_AFTER_S + 0.01
+        self.now_s += INITIAL_WAIT_S + 0.01
         self.assertFalse(self.hear("a", 7))
         self.assertTrue(self.hear("b", 9))
 
@@ -81,7 +81,7 @@
         with patch.object(fleet_view.DocumentFetcher, "fetch", count):
             view.start()
             for host in "abc":
-                view.sources.hear(host, 7, True, False, 0.0)
+                view.sources.record_version(host, 7, True, False, 0.0)
             view._has_news.set()
             await asyncio.sleep(duration_s)
             await view.stop()
--- a/packages/wire/src/damaskwind/wire/news.py
+++ b/packages/wire/src/damaskwind/wire/news.py
@@ -12,7 +12,7 @@
 
 from damaskwind.decisions.admission.service_tally import ServiceCount
 from damaskwind.decisions.fatal_requests.suspicion import Suspicion
-from damaskwind.decisions.following.reading_places import NOWHERE, PassingPlace
+from damaskwind.decisions.following.read_redirection import NO_RELAY, RelayEndpoint
 from damaskwind.decisions.load.held_sums import HeldCount, HeldSum
 from damaskwind.decisions.membership.target_record import PhaseChange, TargetRecord
 from damaskwind.model.evacuations import Evacuations
@@ -95,7 +95,7 @@
     wait_s: float
     table_digest: int = 0
     held: tuple[HeldCount, ...] = ()
-    passes_on: PassingPlace = NOWHERE
+    passes_on: RelayEndpoint = NO_RELAY
     is_first: bool = True
     heard: tuple[Heard, ...] = ()
     records: tuple[TargetRecord, ...] = ()
--- a/packages/wire/src/damaskwind/wire/news_link.py
+++ b/packages/wire/src/damaskwind/wire/news_link.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from damaskwind.decisions.admission.service_tally import ServiceCount
-from damaskwind.decisions.following.reading_places import NOWHERE, PassingPlace
+from damaskwind.decisions.following.read_redirection import NO_RELAY, RelayEndpoint
 from damaskwind.decisions.load.held_sums import HeldCount
 from damaskwind.decisions.membership.target_record import TargetRecord
 from damaskwind.model.exception import MessageError
@@ -109,7 +109,7 @@
         random: Random,
         timing: NewsTiming = DEFAULT_TIMING,
         clock: Callable[[], float] = read_clock,
-        passes_on: PassingPlace = NOWHERE,
+        passes_on: RelayEndpoint = NO_RELAY,
     ) -> None:
         self.address = address
         self.last_heard_s = float("-inf")
