--- a/packages/decisions/src/damaskwind/decisions/replication/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/__init__.py
@@ -1,1 +1,1 @@
-"""The pure core of the replicated log: roles, votes, replication, membership."""
+"""Core of the replicated log, without I/O: roles, votes, replication, membership."""
--- a/packages/decisions/src/damaskwind/decisions/replication/core.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/core.py
@@ -1,8 +1,9 @@
-"""Drive one replica of the log: inputs in, outputs out.
+"""Core of one replica of the log: a state machine from inputs to outputs.
 
 A consensus log after Raft (Ongaro and Ousterhout, "In Search of an
 Understandable Consensus Algorithm", USENIX ATC 2014) with pre-vote, check
-quorum and a lease that counts from send times. The role chart is `role.toml`.
+quorum and a lease that counts from send times. `role.toml` defines the state chart
+of the roles.
 """
 
 from collections.abc import Callable
@@ -71,27 +72,27 @@
 
 
 class _RoleActions:
-    """The actions that the role chart names."""
+    """The actions named in the state chart `role.toml`."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
         self.elections_started = 0
 
     def start_pre_vote(self) -> None:
-        """Begin a campaign."""
+        """Start a campaign with a pre-vote."""
         start_pre_vote(self._replica)
 
     def start_vote(self) -> None:
-        """Take a new term."""
+        """Start an election in a new term."""
         self.elections_started += 1
         start_vote(self._replica)
 
     def start_leading(self) -> None:
-        """Take up leading."""
+        """Become the leader."""
         start_leading(self._replica)
 
     def stop_leading(self) -> None:
-        """Give up leading."""
+        """Step down as the leader."""
         stop_leading(self._replica)
 
 
@@ -104,7 +105,7 @@
 
 
 def _on_received(replica: Replica, event: Received) -> None:
-    """Drop what is for another identity or is an answer from a stranger."""
+    """Handle a message unless it is for another identity or a response of a non-member."""
     envelope = event.envelope
     if envelope.recipient != replica.member or envelope.sender == replica.member:
         return
@@ -152,11 +153,11 @@
 
 
 class ReplicaCore:
-    """One replica: feed `step` and carry out what it returns, in order.
+    """The core of one replica; its outputs must be executed in order.
 
-    `now_s` is this machine's monotonic clock; a step back is taken as no step.
-    `silent_since_s` is a time on it after which this replica has surely answered
-    no leader; by default its start.
+    `now_s` is the time of this machine's monotonic clock; a value below an earlier
+    one is replaced by the earlier one. `silent_since_s` is a time on this clock after
+    which this replica certainly sent no response to a leader; the default is its start.
     """
 
     def __init__(
@@ -174,7 +175,7 @@
         self._replica.role = start_machine(load_chart(ROLE_CHART), self._actions)
 
     def step(self, event: Input, now_s: float) -> list[Output]:
-        """Take one input and return what has to be done, in order."""
+        """Process one input and return the outputs to be executed, in order."""
         replica = self._replica
         replica.now_s = max(replica.now_s, now_s)
         check_quorum(replica)
@@ -185,26 +186,26 @@
         return replica.outbox.drain()
 
     def holds_lease(self, now_s: float) -> bool:
-        """Tell whether this replica leads and its clock still vouches for it."""
+        """Return whether this replica leads and its lease is still valid at `now_s`."""
         return holds_lease(self._replica, max(now_s, self._replica.now_s))
 
     def snapshot_at(self, index: int) -> Snapshot:
-        """Return the head of a snapshot of the state applied up to `index`."""
+        """Return the metadata of a snapshot of the state applied up to `index`."""
         return self._replica.log.snapshot_at(index)
 
     @property
     def member(self) -> Member:
-        """Return who this replica is."""
+        """Return the member that this replica is."""
         return self._replica.member
 
     @property
     def role(self) -> str:
-        """Return the state of the role chart."""
+        """Return the current role, a state of the state chart."""
         return self._replica.role.state
 
     @property
     def term(self) -> int:
-        """Return the present term."""
+        """Return the current term."""
         return self._replica.state.term
 
     @property
@@ -214,17 +215,17 @@
 
     @property
     def leader(self) -> Member | None:
-        """Return the leader this replica follows, itself included."""
+        """Return the known leader, which may be this replica, or None."""
         return self._replica.leader
 
     @property
     def leader_seen_s(self) -> float:
-        """Return when a leader was last heard, or since when this replica was silent."""
+        """Return when a leader was last seen, initially `silent_since_s`."""
         return self._replica.leader_seen_s
 
     @property
     def membership(self) -> Membership:
-        """Return the newest membership known, committed or not."""
+        """Return the newest membership in the log, committed or not."""
         return self._replica.log.membership
 
     @property
@@ -234,7 +235,7 @@
 
     @property
     def applied_index(self) -> int:
-        """Return the last index handed out to be applied."""
+        """Return the last index that was emitted to be applied."""
         return self._replica.applied_index
 
     @property
--- a/packages/decisions/src/damaskwind/decisions/replication/election.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/election.py
@@ -1,9 +1,10 @@
-"""Elect a leader: pre-vote, vote, and the rules by which a vote is given.
+"""Leader election: pre-vote, vote, and the rules for granting a vote.
 
-Pre-vote and the refusal to vote while a leader is heard keep a replica that
-returns from a partition from disturbing anybody (Ongaro 2014, sections 4.2.3
-and 9.6). They also carry the lease: a majority that answered a leader gives no
-vote until the shortest election timeout has passed.
+A replica refuses to vote while it receives messages from a leader. Together with the
+pre-vote this keeps a replica that returns from a partition from disrupting the
+cluster (Ongaro 2014, sections 4.2.3 and 9.6). The leader's lease relies on the same
+rule: a majority that responded to a leader grants no vote until the shortest election
+timeout has passed.
 """
 
 from damaskwind.decisions.replication.membership import is_majority
@@ -39,7 +40,7 @@
 
 
 def tick_election(replica: Replica) -> None:
-    """Start a campaign when no leader has been heard for long."""
+    """Start a campaign if the election timer has expired."""
     if replica.now_s < replica.election_due_s:
         return
     reset_campaign_timer(replica)
@@ -49,7 +50,7 @@
 
 
 def start_pre_vote(replica: Replica) -> None:
-    """Ask the voters whether they would vote for this replica."""
+    """Ask the voters whether they would vote for this replica in the next term."""
     replica.votes = {replica.member}
     request = PreVoteRequest(replica.state.term + 1, replica.log.last_index, replica.log.last_term)
     for voter in replica.log.membership.voters:
@@ -58,7 +59,7 @@
 
 
 def start_vote(replica: Replica) -> None:
-    """Vote for itself in a new term and ask the others, once that is durable."""
+    """Vote for itself in a new term and ask for the other votes once that is durable."""
     term = replica.state.term + 1
     enter_term(replica, term, voted_for=replica.member)
     replica.votes = set()
@@ -70,7 +71,10 @@
 
 
 def count_votes(replica: Replica) -> None:
-    """Move on when a majority has answered yes; its own vote counts once durable."""
+    """Advance the role if a majority granted its votes.
+
+    The replica's own vote counts only once it is durable.
+    """
     votes = set(replica.votes)
     if replica.role.state == "candidate" and replica.outbox.is_state_durable():
         votes.add(replica.member)
@@ -82,7 +86,7 @@
 
 
 def on_pre_vote_request(replica: Replica, sender: Member, request: PreVoteRequest) -> None:
-    """Answer whether the vote would be given; only an own campaign waits for its outcome."""
+    """Answer whether the vote would be granted; if so, defer an own campaign."""
     granted = (
         request.term > replica.state.term
         and not _has_leader(replica)
@@ -95,7 +99,7 @@
 
 
 def on_pre_vote_response(replica: Replica, sender: Member, response: PreVoteResponse) -> None:
-    """Note a pre-vote for the term that this replica asked about."""
+    """Record a pre-vote granted for the term that this replica campaigns for."""
     if response.term > replica.state.term:
         adopt_term(replica, response.term)
         return
@@ -105,7 +109,7 @@
 
 
 def on_vote_request(replica: Replica, sender: Member, request: VoteRequest) -> None:
-    """Give the vote at most once a term, and none while a leader is heard."""
+    """Grant at most one vote per term, and none while there is a recent leader."""
     if request.term > replica.state.term and not _has_leader(replica):
         granted = _is_log_up_to_date(replica, request.last_index, request.last_term)
         adopt_term(replica, request.term, sender if granted else None)
@@ -121,7 +125,10 @@
 
 
 def can_vote_in_term(replica: Replica, sender: Member, request: VoteRequest) -> bool:
-    """Tell whether the vote of the present term is still free, or already the sender's."""
+    """Return whether the vote of the current term may be granted to `sender`.
+
+    The vote must still be free, or granted to the same sender earlier.
+    """
     return (
         request.term == replica.state.term
         and replica.state.voted_for in (None, sender)
@@ -131,7 +138,7 @@
 
 
 def on_vote_response(replica: Replica, sender: Member, response: VoteResponse) -> None:
-    """Note a vote for this replica in the present term."""
+    """Record a vote granted to this replica in the current term."""
     if response.term > replica.state.term:
         adopt_term(replica, response.term)
         return
@@ -141,10 +148,13 @@
 
 
 def _has_leader(replica: Replica) -> bool:
-    """Tell whether this replica leads (its quorum is checked) or hears a leader."""
+    """Return whether this replica leads or has recently seen a leader.
+
+    A leader always counts: it steps down by itself when it loses its quorum.
+    """
     return replica.role.state == "leader" or has_recent_leader(replica)
 
 
 def _is_log_up_to_date(replica: Replica, last_index: int, last_term: int) -> bool:
-    mine = (replica.log.last_term, replica.log.last_index)
-    return (last_term, last_index) >= mine
+    own = (replica.log.last_term, replica.log.last_index)
+    return (last_term, last_index) >= own
--- a/packages/decisions/src/damaskwind/decisions/replication/events.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/events.py
@@ -1,10 +1,10 @@
-"""What goes into the core of a replica, and what comes out to be carried out, in order.
+"""Inputs and outputs of the core of a replica.
 
-Nothing here does any work. The shell around the core turns network calls, disk
-completions and timer ticks into inputs, and carries outputs out in the order in
-which they were given. Durable outputs carry a `write_id` that only grows; the
-shell answers `WritesDurable(write_id)` once that write and all before it are
-synced. Sends that depend on a write come out only after that answer.
+Plain data without behaviour. The shell around the core turns network calls, disk
+completions and timer ticks into inputs, and executes the outputs in the order in
+which the core returned them. Each write has a `write_id`; ids increase. The shell
+feeds `WritesDurable(write_id)` once that write and all earlier ones are synced. The
+core emits a send that depends on a write only after this input.
 """
 
 from typing import NamedTuple
@@ -47,11 +47,11 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed. Feed a few times per heartbeat."""
+    """Time has passed. Feed this input a few times per heartbeat period."""
 
 
 class Received(NamedTuple):
-    """An authenticated message came in."""
+    """An authenticated message was received."""
 
     envelope: Envelope
 
@@ -64,7 +64,7 @@
 
 
 class ProposeMembership(NamedTuple):
-    """Change the members by one."""
+    """Change the membership by one member."""
 
     proposal_id: str
     change: MembershipChange
@@ -73,8 +73,9 @@
 class ReadRequest(NamedTuple):
     """Ask for an index at which a read is linearizable.
 
-    With `lease_suffices` a valid lease answers at once; that is only as good
-    as the machines' clocks. Otherwise a majority is asked.
+    With `lease_suffices` a leader with a valid lease answers at once, which is safe
+    only while the clocks drift within the configured ratio. Otherwise the leader
+    waits for a majority to confirm it.
     """
 
     read_id: str
@@ -82,13 +83,13 @@
 
 
 class WritesDurable(NamedTuple):
-    """The write with this id and all before it are synced."""
+    """The write with this id and all earlier writes are synced."""
 
     write_id: int
 
 
 class SnapshotTaken(NamedTuple):
-    """A snapshot of the applied state at `index` is durable; drop the log up to it."""
+    """A snapshot of the applied state at `index` is durable; compact the log up to it."""
 
     index: int
 
@@ -103,7 +104,7 @@
 
 
 class SendSnapshot(NamedTuple):
-    """Send the newest durable snapshot: the shell fills in `snapshot` and `data`."""
+    """Send the newest durable snapshot; the shell fills in `snapshot` and `data`."""
 
     envelope: Envelope
 
@@ -116,7 +117,7 @@
 
 
 class AppendEntries(NamedTuple):
-    """Add these entries to the end of the durable log."""
+    """Append these entries to the durable log."""
 
     write_id: int
     entries: tuple[LogEntry, ...]
@@ -132,8 +133,8 @@
 class InstallSnapshot(NamedTuple):
     """Make a received snapshot durable and load it into the state machine.
 
-    Afterwards the durable log holds the entries after the snapshot when
-    `keep_suffix` is set, and none otherwise.
+    If `keep_suffix` is set, the durable log keeps its entries after the snapshot;
+    otherwise it is empty afterwards.
     """
 
     write_id: int
@@ -149,14 +150,14 @@
 
 
 class ReadReady(NamedTuple):
-    """The state applied up to `index` is current for this read."""
+    """The state applied up to `index` is recent enough for this read."""
 
     read_id: str
     index: int
 
 
 class ReadRefused(NamedTuple):
-    """This replica can't vouch for being current."""
+    """This replica cannot guarantee a linearizable read."""
 
     read_id: str
     reason: RefusalReason
@@ -164,7 +165,7 @@
 
 
 class ProposalOutcome(NamedTuple):
-    """How a proposal ended; `index` is its place in the log, 0 when refused."""
+    """The result of a proposal; `index` is its index in the log, 0 if it was refused."""
 
     proposal_id: str
     outcome: Outcome
@@ -174,13 +175,13 @@
 
 
 class BecameLeader(NamedTuple):
-    """This replica leads in `term`."""
+    """This replica became the leader of `term`."""
 
     term: int
 
 
 class PeerResponse(NamedTuple):
-    """When a leader last heard a peer, and how many of its rounds the peer has not answered."""
+    """The age of a peer's last response to a leader, and the number of unanswered rounds."""
 
     replica_id: str
     age_s: float
@@ -188,10 +189,10 @@
 
 
 class SteppedDown(NamedTuple):
-    """This replica no longer leads; `term` is the one it led in.
+    """This replica no longer leads; `term` is the term in which it led.
 
-    `cause` is `quorum-lost`, `higher-term` or `removed`; `quorum_age_s` is the age of
-    the newest round that a majority answered, counted from when it was sent.
+    `cause` is `quorum-lost`, `higher-term` or `removed`. `quorum_age_s` is the time
+    since the newest round that a majority answered was sent.
     """
 
     term: int
--- a/packages/decisions/src/damaskwind/decisions/replication/following.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/following.py
@@ -1,4 +1,4 @@
-"""Follow a leader: take its entries and snapshots, and answer once durable."""
+"""Follower role: store the leader's entries and snapshots, and respond once durable."""
 
 from damaskwind.decisions.replication.log import LogError
 from damaskwind.decisions.replication.messages import (
@@ -15,9 +15,9 @@
 
 
 def on_append_request(replica: Replica, sender: Member, request: AppendRequest) -> None:
-    """Append the leader's entries where the logs match, else say where to try.
+    """Append the leader's entries if the logs match, else respond with a retry index.
 
-    A malformed request is dropped: it changes nothing and gets no answer.
+    A malformed request is ignored: it changes no state and gets no response.
     """
     if not _is_well_formed(request):
         return
@@ -35,7 +35,7 @@
 
 
 def on_snapshot_request(replica: Replica, sender: Member, request: SnapshotRequest) -> None:
-    """Install a snapshot that is ahead of everything known to be committed."""
+    """Install a snapshot if it is ahead of the commit index."""
     if not _follow(replica, sender, request.term):
         _respond(replica, sender, NO_ROUND, False, 0)
         return
@@ -50,7 +50,7 @@
 
 
 def _follow(replica: Replica, sender: Member, term: int) -> bool:
-    """Follow the leader of `term` unless a later term is known."""
+    """Follow the leader of `term`, or return False if this replica is in a later term."""
     if term < replica.state.term:
         return False
     if term > replica.state.term:
@@ -62,7 +62,7 @@
 
 
 def _is_well_formed(request: AppendRequest) -> bool:
-    """Tell whether the entries follow one another and could be this leader's."""
+    """Return whether the entries are consecutive and no term exceeds the leader's."""
     previous = (request.previous_index, request.previous_term)
     for entry in request.entries:
         if entry.index != previous[0] + 1 or not previous[1] <= entry.term <= request.term:
@@ -79,9 +79,9 @@
 
 
 def _matches(replica: Replica, request: AppendRequest) -> bool:
-    """Tell whether the log agrees with the leader's just before the entries.
+    """Return whether the log matches the leader's at the index before the entries.
 
-    What a snapshot covers is committed, so it agrees with every leader's log.
+    Everything that a snapshot covers is committed and matches every leader's log.
     """
     if request.previous_index < replica.log.snapshot.index:
         return True
@@ -89,9 +89,9 @@
 
 
 def _last_possible_match(replica: Replica, previous_index: int) -> int:
-    """Return the last index before `previous_index` that may agree.
+    """Return the last index up to `previous_index` at which the logs may match.
 
-    A whole term of conflicting entries is skipped at once.
+    All entries of a conflicting term are skipped at once.
     """
     conflicting = replica.log.term_at(previous_index)
     if conflicting is None:
@@ -103,7 +103,7 @@
 
 
 def _append_missing(replica: Replica, entries: tuple[LogEntry, ...]) -> None:
-    """Append what the log lacks, truncating where it conflicts."""
+    """Append the entries that the log lacks, after truncating it at the first conflict."""
     log = replica.log
     missing = [
         entry
@@ -114,7 +114,7 @@
         return
     first = missing[0].index
     if first <= replica.commit_index:
-        raise LogError(f"the leader contradicts the committed entry {first}")
+        raise LogError(f"entry {first} of the leader conflicts with a committed entry")
     if first <= log.last_index:
         log.truncate_from(first)
         replica.outbox.truncate_from(first)
--- a/packages/decisions/src/damaskwind/decisions/replication/leadership.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/leadership.py
@@ -1,9 +1,9 @@
-"""What a leader keeps: progress of its peers, rounds, its lease, open requests.
+"""State of a leader: progress of its peers, rounds, lease and pending requests.
 
-Each round of appends has a number and a send time. The lease counts from the
-send time of the newest round that a majority answered, never from the time at
-which an answer came in: an answer that was long under way proves little (Gray
-and Cheriton, "Leases", SOSP 1989).
+Each round of appends has a number and a send time. The lease counts from the send
+time of the newest round that a majority answered, never from the time at which a
+response arrived: a response may have been delayed in the network for longer than the
+lease (Gray and Cheriton, "Leases", SOSP 1989).
 """
 
 from typing import NamedTuple
@@ -25,7 +25,11 @@
 
 
 class Progress:
-    """How far one peer is. While `is_probing`, entries go out once a round."""
+    """Replication progress of a peer.
+
+    While `is_probing`, the index at which the logs match is not known yet, and entries
+    are sent only once per round.
+    """
 
     def __init__(self, next_index: int) -> None:
         self.next_index = next_index
@@ -37,7 +41,7 @@
 
 
 class PendingRead(NamedTuple):
-    """A read that waits for its round to be answered and its index applied."""
+    """A read that waits until a majority answers its round and its index is applied."""
 
     read_id: str
     round_number: int
@@ -45,7 +49,7 @@
 
 
 class Leadership:
-    """The state of one term of leading, from `first_index`, its own first entry."""
+    """State of a leader during its term; `first_index` is its first entry in the term."""
 
     def __init__(self, term: int, first_index: int, now_s: float) -> None:
         self.term = term
@@ -62,7 +66,7 @@
 def record_response(
     leadership: Leadership, progress: Progress, round_number: int, now_s: float
 ) -> None:
-    """Note that a peer answered a round of this term."""
+    """Record that a peer answered a round of this term."""
     progress.answered_round = max(progress.answered_round, round_number)
     progress.last_response_s = now_s
 
@@ -86,10 +90,10 @@
 
 
 def discard_old_rounds(replica: Replica, leadership: Leadership) -> None:
-    """Drop the send times that are too old to vouch for anything.
+    """Drop the send times of rounds that are too old to support a lease.
 
-    Younger ones stay even when a majority has answered a later round: a change
-    of members may make an earlier round the newest that counts.
+    Newer ones are kept even if a majority has answered a later round: after a
+    membership change an earlier round may be the newest that a majority answered.
     """
     oldest_s = replica.now_s - 2 * replica.timing.election_timeout_min_s
     sent_s = leadership.round_sent_s
@@ -98,7 +102,10 @@
 
 
 def holds_lease(replica: Replica, now_s: float) -> bool:
-    """Tell whether no other leader can have been elected yet, by the clocks."""
+    """Return whether the lease is valid: no other leader can have been elected yet.
+
+    This holds as long as the clocks drift by at most `drift_ratio`.
+    """
     leadership = replica.leadership
     if leadership is None or replica.commit_index < leadership.first_index:
         return False
--- a/packages/decisions/src/damaskwind/decisions/replication/leading.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/leading.py
@@ -1,4 +1,4 @@
-"""Lead: replicate, commit, keep checking the quorum, and answer requests."""
+"""Leader role: replicate and commit entries, check the quorum and answer requests."""
 
 from damaskwind.decisions.replication.events import (
     BecameLeader,
@@ -51,7 +51,10 @@
 
 
 def start_leading(replica: Replica) -> None:
-    """Begin a term with an entry of its own, which commits all before it."""
+    """Become the leader and append a no-op entry of the new term.
+
+    Committing this entry commits all entries before it.
+    """
     replica.leader = replica.member
     first_index = replica.log.last_index + 1
     replica.leadership = Leadership(replica.state.term, first_index, replica.now_s)
@@ -61,7 +64,10 @@
 
 
 def stop_leading(replica: Replica) -> None:
-    """Tell all who wait that this replica can't answer for them any more."""
+    """Step down, and end all pending reads and proposals.
+
+    Reads are refused. The outcome of proposals is unknown, as they may still commit.
+    """
     leadership = replica.leadership
     if leadership is None:
         return
@@ -78,7 +84,7 @@
 
 
 def _describe_step_down(replica: Replica, leadership: Leadership) -> SteppedDown:
-    """Say why this replica stops leading, and what it had heard from whom."""
+    """Return why this replica steps down and when each peer last responded."""
     quorum_age_s = replica.now_s - quorum_sent_s(replica, leadership)
     cause = "higher-term" if replica.is_voter() else "removed"
     if quorum_age_s >= replica.timing.election_timeout_min_s:
@@ -97,7 +103,7 @@
 def append_entry(
     replica: Replica, kind: EntryKind, payload: bytes, proposal_id: str | None = None
 ) -> None:
-    """Append an entry of the present term and send it to the peers."""
+    """Append an entry of the current term and send it to the peers."""
     leadership = replica.leadership
     assert leadership is not None
     entry = LogEntry(replica.log.last_index + 1, leadership.term, kind, payload)
@@ -112,7 +118,7 @@
 
 
 def refresh_peers(replica: Replica, leadership: Leadership) -> None:
-    """Keep the progress of just those who are members now."""
+    """Update the tracked peers to the current membership, keeping their progress."""
     voters, learners = replica.log.membership
     members = [member for member in (*voters, *learners) if member != replica.member]
     next_index = replica.log.last_index + 1
@@ -121,7 +127,7 @@
 
 
 def begin_round(replica: Replica, leadership: Leadership) -> None:
-    """Send a round to every peer, with the entries it lacks."""
+    """Start a new round: send every peer the entries it lacks."""
     discard_old_rounds(replica, leadership)
     leadership.round_number += 1
     leadership.round_sent_s[leadership.round_number] = replica.now_s
@@ -133,7 +139,7 @@
 def send_entries(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress
 ) -> None:
-    """Send a peer its next entries, or a snapshot when they are gone."""
+    """Send a peer its next entries, preceded by a snapshot if those were compacted."""
     log = replica.log
     if progress.next_index <= log.snapshot.index:
         send_snapshot(replica, leadership, peer, progress)
@@ -157,7 +163,10 @@
 def send_snapshot(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress
 ) -> None:
-    """Send the newest snapshot, but not again before it can have arrived."""
+    """Send the newest snapshot, at most once per minimum election timeout.
+
+    The limit gives a snapshot time to arrive before it is sent again.
+    """
     if replica.now_s < progress.snapshot_sent_s + replica.timing.election_timeout_min_s:
         return
     progress.snapshot_sent_s = replica.now_s
@@ -167,7 +176,7 @@
 
 
 def on_append_response(replica: Replica, sender: Member, response: AppendResponse) -> None:
-    """Note how far a peer is, and send it what it lacks."""
+    """Update the progress of a peer and send it the entries it lacks."""
     if response.term > replica.state.term:
         adopt_term(replica, response.term)
         return
@@ -187,7 +196,7 @@
 def _on_match(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress, match_index: int
 ) -> None:
-    """The peer holds all up to `match_index` durably."""
+    """Record that the peer has stored the log durably up to `match_index`."""
     progress.match_index = max(progress.match_index, match_index)
     progress.next_index = max(progress.next_index, progress.match_index + 1)
     was_probing, progress.is_probing = progress.is_probing, False
@@ -200,7 +209,7 @@
 def _on_mismatch(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress, retry_after: int
 ) -> None:
-    """The peer's log does not reach or conflicts: try again further back."""
+    """Retry from an earlier index: the peer's log is too short or conflicts."""
     next_index = max(progress.match_index, retry_after) + 1
     if progress.is_probing and next_index >= progress.next_index:
         return
@@ -210,7 +219,7 @@
 
 
 def check_quorum(replica: Replica) -> None:
-    """Step down when no majority has answered a round sent recently."""
+    """Step down if no majority has answered a recent round."""
     leadership = replica.leadership
     if leadership is None:
         return
@@ -220,14 +229,17 @@
 
 
 def tick_leader(replica: Replica) -> None:
-    """Begin a round when a heartbeat is due."""
+    """Start a round if a heartbeat is due."""
     leadership = replica.leadership
     if leadership is not None and replica.now_s >= leadership.heartbeat_due_s:
         begin_round(replica, leadership)
 
 
 def commit_and_respond(replica: Replica) -> None:
-    """Commit what a majority holds, then answer whom that allows to answer."""
+    """Commit entries stored by a majority, then answer the proposals and reads that allows.
+
+    A leader that is no longer a voter steps down once that change is committed.
+    """
     leadership = replica.leadership
     if leadership is None:
         return
@@ -243,16 +255,16 @@
 
 
 def is_from_current_term(replica: Replica, index: int) -> bool:
-    """Tell whether the entry is of the leader's own term.
+    """Return whether the entry at `index` is of the leader's current term.
 
-    An entry of an earlier term that a majority holds may still be overwritten
-    by a leader of a term in between (the Raft paper's figure 8).
+    An entry of an earlier term that a majority has stored may still be overwritten
+    by a leader of a term in between (figure 8 of the Raft paper).
     """
     return replica.log.term_at(index) == replica.state.term
 
 
 def quorum_match(replica: Replica, leadership: Leadership) -> int:
-    """Return the last index that a majority of voters holds durably."""
+    """Return the last index that a majority of voters has stored durably."""
 
     def match_index(voter: Member) -> int:
         if voter == replica.member:
@@ -271,7 +283,7 @@
 
 
 def _answer_reads(replica: Replica, leadership: Leadership) -> None:
-    """Answer reads whose round a majority answered; begin the next round if any wait."""
+    """Answer reads whose round a majority answered; start a round if others still wait."""
     answered = quorum_round(replica, leadership)
     waiting = []
     for read in leadership.reads:
@@ -286,6 +298,6 @@
 
 
 def add_read(replica: Replica, leadership: Leadership, read_id: str) -> None:
-    """Queue a read for the next round to be sent."""
+    """Queue a read that waits for the next round."""
     index = max(replica.commit_index, leadership.first_index)
     leadership.reads.append(PendingRead(read_id, leadership.round_number + 1, index))
--- a/packages/decisions/src/damaskwind/decisions/replication/membership.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/membership.py
@@ -1,8 +1,8 @@
-"""Change who takes part in the log, one member at a time.
+"""Membership changes of the log, one member at a time.
 
-Majorities of two memberships that differ by one voter always overlap, so that
-one change at a time is safe (Ongaro, "Consensus: Bridging Theory and Practice",
-2014, chapter 4), given that a leader first commits an entry of its own term.
+Any majorities of two memberships that differ by one voter overlap. Single-server
+changes are therefore safe (Ongaro, "Consensus: Bridging Theory and Practice", 2014,
+chapter 4), provided that a leader first commits an entry of its own term.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -37,7 +37,7 @@
 
 
 def is_majority(voters: Collection[Member], answered: Iterable[Member]) -> bool:
-    """Tell whether `answered` holds more than half of the voters.
+    """Return whether `answered` contains more than half of the voters.
 
     >>> a, b, c = (Member(name, "1") for name in "abc")
     >>> is_majority([a, b, c], [a, b]), is_majority([a, b, c], [a, Member("b", "2")])
@@ -57,7 +57,7 @@
 
 
 def _add_learner(membership: Membership, member: Member) -> Membership | None:
-    """Add a learner in place of an earlier one of the same replica, which is gone."""
+    """Add a learner; an earlier learner of the same replica lost its disk and is dropped."""
     if member in membership.voters or member in membership.learners:
         return None
     others = [other for other in membership.learners if other.replica_id != member.replica_id]
@@ -85,7 +85,7 @@
 
 
 def apply_change(membership: Membership, change: MembershipChange) -> Membership | None:
-    """Return the membership after `change`, or None when it makes no sense."""
+    """Return the membership after `change`, or None if the change is invalid."""
     return _CHANGES[change.kind](membership, change.member)
 
 
@@ -97,13 +97,13 @@
     least_voters: int = 3,
     most_voters: float = float("inf"),
 ) -> MembershipChange | None:
-    """Return the next step that brings a caught-up learner in or a lost voter out.
+    """Return the next change that promotes a caught-up learner or removes a lost voter.
 
-    A learner that replaces an earlier identity of the same replica first has
-    that one removed: its disk is gone, and while it counts it only raises the
-    majority. A learner of another replica takes the place of a `silent` voter.
-    A `lost` voter goes without a successor while more than `least_voters` stay.
-    No learner is promoted beyond `most_voters`.
+    Before a learner is promoted, a voter with an earlier identity of the same replica
+    is removed: its disk is lost, and as long as it is a voter it only raises the
+    majority. A learner of another replica replaces a `silent` voter. A `lost` voter is
+    removed without a replacement as long as there are more than `least_voters`
+    voters. No learner is promoted beyond `most_voters`.
     """
     voters = membership.voters
     for learner in membership.learners:
@@ -111,10 +111,11 @@
             continue
         former = [voter for voter in voters if voter.replica_id == learner.replica_id]
         replaced = former or [voter for voter in voters if silent(voter)]
-        # One that has just gone left its place to this learner: another silent voter
-        # would go without a successor, and too few vote to acknowledge anything.
-        has_place = not former and len(voters) < least_voters
-        if replaced and len(voters) > 1 and not has_place:
+        # With fewer than `least_voters` voters, one was just removed in favour of this
+        # learner. Removing another silent voter before the promotion would leave it
+        # without a replacement, and too few voters to commit anything.
+        has_vacancy = not former and len(voters) < least_voters
+        if replaced and len(voters) > 1 and not has_vacancy:
             return MembershipChange(ChangeKind.REMOVE, replaced[0])
         if len(voters) < most_voters:
             return MembershipChange(ChangeKind.PROMOTE, learner)
--- a/packages/decisions/src/damaskwind/decisions/replication/messages.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/messages.py
@@ -1,6 +1,6 @@
-"""Typed parts of the replicated log: its entries, members, periods and messages.
+"""Data types of the replicated log: entries, members, timing and messages.
 
-Nothing here does any work. `events.py` holds what goes into a core and out of it.
+Plain data without behaviour. `events.py` defines the inputs and outputs of a core.
 """
 
 from enum import StrEnum
@@ -30,12 +30,12 @@
     "VoteResponse",
 ]
 
-# A leader counts its rounds from 1, anew in each term.
+# Rounds are numbered from 1 in each term, so 0 stands for no round.
 NO_ROUND = 0
 
 
 class EntryKind(StrEnum):
-    """What a log entry holds."""
+    """The kind of a log entry."""
 
     COMMAND = "command"
     MEMBERSHIP = "membership"
@@ -43,7 +43,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What a membership change does. Newcomers start as learners."""
+    """The kind of a membership change. A new member starts as a learner."""
 
     ADD_LEARNER = "add-learner"
     PROMOTE = "promote"
@@ -51,7 +51,10 @@
 
 
 class Outcome(StrEnum):
-    """How a proposal ended. `UNKNOWN` may still commit: ask by its id."""
+    """The result of a proposal.
+
+    A proposal with the result `UNKNOWN` may still be committed; look it up by its id.
+    """
 
     COMMITTED = "committed"
     REFUSED = "refused"
@@ -59,7 +62,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a proposal or a read was refused. Nothing was changed."""
+    """The reason for refusing a proposal or a read; a refused one has no effect."""
 
     NOT_LEADER = "not-leader"
     NO_QUORUM = "no-quorum"
@@ -69,10 +72,10 @@
 
 
 class Member(NamedTuple):
-    """One replica with one life of its disk.
+    """A replica, identified by its id and by its disk.
 
-    `replica_id` names the replica, `identity` the life of its disk: a replica
-    that lost its disk comes back under a new identity and is another member.
+    `replica_id` is the name of the replica and `identity` that of its disk. A replica
+    that lost its disk returns with a new identity and counts as a different member.
     """
 
     replica_id: str
@@ -80,21 +83,21 @@
 
 
 class Membership(NamedTuple):
-    """Who votes and who only learns."""
+    """The voting members and the learners, which replicate the log without a vote."""
 
     voters: tuple[Member, ...] = ()
     learners: tuple[Member, ...] = ()
 
 
 class MembershipChange(NamedTuple):
-    """One change of one member."""
+    """A change of a single member."""
 
     kind: ChangeKind
     member: Member
 
 
 class LogEntry(NamedTuple):
-    """One entry of the log. Indexes count from 1."""
+    """An entry of the log. Indexes start at 1."""
 
     index: int
     term: int
@@ -103,14 +106,14 @@
 
 
 class PersistentState(NamedTuple):
-    """What must be durable beside the log: the term and the vote given in it."""
+    """The durable state besides the log: the current term and the vote cast in it."""
 
     term: int = 0
     voted_for: Member | None = None
 
 
 class Snapshot(NamedTuple):
-    """The place in the log that a snapshot stands for, and the members there."""
+    """The last index and term that a snapshot covers, and the membership at that index."""
 
     index: int = 0
     term: int = 0
@@ -118,22 +121,26 @@
 
 
 class Timing(NamedTuple):
-    """Periods of the protocol.
-
-    A follower that heard from a leader less than `election_timeout_min_s` ago
-    gives no vote. `drift_ratio` is how much slower one clock may run than
-    another; the lease is shorter than the shortest election timeout by it.
-
-    A replica that starts campaigns within `first_campaign_s` of the end of its
-    promises. A campaign that was not won is begun again after `campaign_min_s`
-    to `campaign_max_s`: a pre-vote disturbs nobody, and a round takes two
-    messages and a sync each way, some 0.1 s on a VM of a quarter of a core.
-
-    A voter that was silent for `replace_after_s` gives its place to a learner
-    that has caught up; after twice as long it is removed while more than
-    `least_voters` are there. By default only operators remove voters. Learners
-    beyond `most_voters` stay learners: an even number of voters bears no more
-    losses than one less, but needs one more answer for each commit and election.
+    """Timing and size parameters of the protocol.
+
+    A follower that received a message from a leader less than
+    `election_timeout_min_s` ago grants no vote. `drift_ratio` bounds how much slower
+    one clock may run than another; the lease is shorter than the shortest election
+    timeout by this ratio.
+
+    After a start, a replica may have to withhold its vote for up to
+    `election_timeout_min_s`; it campaigns within `first_campaign_s` of the end of
+    that period. An unsuccessful campaign is retried after `campaign_min_s` to
+    `campaign_max_s`. The retry can be this quick because a pre-vote does not disrupt
+    a leader, and a round takes two messages and a sync in each direction, about
+    0.1 s on a VM with a quarter of a core.
+
+    A voter that has not responded for `replace_after_s` is replaced by a caught-up
+    learner. After twice that time it is removed even without a replacement, as long
+    as there are more than `least_voters` voters. By default only operators remove
+    voters. Learners are not promoted beyond `most_voters`: an even number of voters
+    tolerates no more losses than the odd number below it, but each commit and each
+    election needs one more response.
     """
 
     heartbeat_s: float = 0.25
@@ -150,7 +157,7 @@
 
 
 class PreVoteRequest(NamedTuple):
-    """Ask whether a vote in `term` would be given; changes nothing."""
+    """Ask whether the recipient would grant a vote in `term`; changes no state."""
 
     term: int
     last_index: int
@@ -158,7 +165,7 @@
 
 
 class PreVoteResponse(NamedTuple):
-    """Answer a pre-vote for `asked_term`; `term` is the responder's own."""
+    """Answer a pre-vote for `asked_term`; `term` is the current term of the responder."""
 
     term: int
     asked_term: int
@@ -166,7 +173,7 @@
 
 
 class VoteRequest(NamedTuple):
-    """Ask for the vote in `term`."""
+    """Ask for a vote in `term`."""
 
     term: int
     last_index: int
@@ -174,16 +181,17 @@
 
 
 class VoteResponse(NamedTuple):
-    """Give or refuse the vote in `term`."""
+    """Grant or refuse a vote in `term`."""
 
     term: int
     granted: bool
 
 
 class AppendRequest(NamedTuple):
-    """Replicate entries after `previous_index`; without entries, a heartbeat.
+    """Replicate the entries after `previous_index`; a heartbeat if there are none.
 
-    `round_number` names the leader's round, whose send time counts for its lease.
+    `round_number` is the round of the leader that the request belongs to. The
+    leader's lease counts from the send time of a round.
     """
 
     term: int
@@ -197,12 +205,12 @@
 class AppendResponse(NamedTuple):
     """Answer an append or a snapshot.
 
-    Accepted: the log matches the leader's up to `match_index`, durably.
-    Refused: the leader should try again after `match_index`.
+    If accepted, the durable log matches the leader's up to `match_index`. If refused,
+    the leader should retry with the entries after `match_index`.
 
-    An answer to a request of an earlier term names no round (`NO_ROUND`): its
-    sender may lead again by now, in the answer's term, and would take it for an
-    answer to a round of its own, and hold a lease that nobody gave.
+    The answer to a request of an earlier term carries no round (`NO_ROUND`). Its
+    recipient may by now lead in the term of the answer; it would count the answer
+    towards one of its own rounds and so hold a lease that no majority granted.
     """
 
     term: int
@@ -212,7 +220,7 @@
 
 
 class SnapshotRequest(NamedTuple):
-    """Send a whole snapshot to a replica whose next entry is no longer held."""
+    """Send a snapshot to a replica whose next entry the leader has already compacted."""
 
     term: int
     round_number: int
@@ -232,7 +240,10 @@
 
 
 class Envelope(NamedTuple):
-    """A message with both members; one for another identity is dropped."""
+    """A message with its sender and recipient.
+
+    A replica drops an envelope that is addressed to another identity.
+    """
 
     sender: Member
     recipient: Member
--- a/packages/decisions/src/damaskwind/decisions/replication/outbox.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/outbox.py
@@ -1,4 +1,4 @@
-"""Hold each send back until the writes that it depends on are durable."""
+"""Delay each send until the writes that it depends on are durable."""
 
 from damaskwind.decisions.replication.events import (
     AppendEntries,
@@ -14,9 +14,9 @@
 
 
 class Outbox:
-    """Collect the outputs of a step, number the writes and gate the sends.
+    """Collects the outputs of a step, numbers the writes and delays dependent sends.
 
-    `durable_index` is the last index of the present log that is on disk.
+    `durable_index` is the last index of the current log that is durable.
     """
 
     def __init__(self, durable_index: int) -> None:
@@ -29,7 +29,7 @@
         self._durable_write_id = 0
 
     def drain(self) -> list[Output]:
-        """Return what has been collected since the last call."""
+        """Return the outputs collected since the last call, and clear them."""
         outputs, self._outputs = self._outputs, []
         return outputs
 
@@ -46,7 +46,7 @@
         self._send_after(self._last_write_id, envelope)
 
     def discard_pending_sends(self) -> None:
-        """Forget the sends of an earlier term: nobody waits for them."""
+        """Discard the pending sends of an earlier term, which have no effect any more."""
         self._pending_sends.clear()
 
     def write_state(self, state: PersistentState) -> None:
@@ -55,20 +55,24 @@
         self.emit(WriteState(self._state_write_id, state))
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Write entries to the end of the log."""
+        """Append entries to the durable log."""
         write_id = self._next_write_id()
         self._pending_appends.append((write_id, entries[-1].index))
         self.emit(AppendEntries(write_id, entries))
 
     def truncate_from(self, index: int) -> None:
-        """Remove the entry at `index` and those after it."""
+        """Remove the entry at `index` and all after it from the durable log."""
         self.emit(TruncateFrom(self._next_write_id(), index))
         self._limit_durable_index(index - 1)
 
     def install(
         self, snapshot: Snapshot, data: bytes, keep_suffix: bool, commit_index: int
     ) -> None:
-        """Write a snapshot; before it only `commit_index` is surely the leader's log."""
+        """Write a snapshot received from a leader.
+
+        Without `keep_suffix` the log may differ from the leader's after `commit_index`,
+        so until the snapshot is durable `durable_index` is limited to that.
+        """
         if not keep_suffix:
             self._limit_durable_index(commit_index)
         write_id = self._next_write_id()
@@ -76,7 +80,7 @@
         self.emit(InstallSnapshot(write_id, snapshot, data, keep_suffix))
 
     def mark_durable(self, write_id: int) -> None:
-        """Note that `write_id` and all writes before it are durable."""
+        """Record that `write_id` and all earlier writes are durable; emit the ready sends."""
         self._durable_write_id = max(self._durable_write_id, write_id)
         done = [index for at, index in self._pending_appends if at <= self._durable_write_id]
         self._pending_appends = [
@@ -90,7 +94,7 @@
         self._outputs.extend(ready)
 
     def is_state_durable(self) -> bool:
-        """Tell whether the newest term and vote are durable."""
+        """Return whether the newest term and vote are durable."""
         return self._state_write_id <= self._durable_write_id
 
     def _limit_durable_index(self, last_index: int) -> None:
--- a/packages/decisions/src/damaskwind/decisions/replication/replica.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/replica.py
@@ -1,4 +1,4 @@
-"""The state of one replica, shared by the functions that act on it."""
+"""State of a replica, and operations that are common to its roles."""
 
 from random import Random
 from typing import TYPE_CHECKING
@@ -32,11 +32,12 @@
 
 
 class Replica:
-    """What one replica knows. `role` is its running state chart.
+    """State of a replica; `role` is the state machine of its role.
 
-    A replica that starts may have promised, before it stopped, to give no vote
-    for a while: it counts as having heard a leader at `silent_since_s`, a time
-    after which it has surely answered nobody, such as its process's start.
+    Before a restart the replica may have responded to a leader, which then relies on
+    it to withhold its vote for an election timeout. It is therefore treated as having
+    seen a leader at `silent_since_s`, a time after which it certainly sent no
+    response, such as the start of its process.
     """
 
     role: Machine
@@ -67,50 +68,57 @@
         self.leadership: Leadership | None = None
 
     def _first_campaign_s(self) -> float:
-        """Return when to campaign after a start: promises are over, the others may be up."""
+        """Return when to campaign after a start.
+
+        By then no leader relies on this replica to withhold its vote, and the other
+        replicas may have started.
+        """
         free_s = self.leader_seen_s + self.timing.election_timeout_min_s
         return max(self.now_s, free_s) + self.random.uniform(0.0, self.timing.first_campaign_s)
 
     def envelope(self, recipient: Member, message: Message) -> Envelope:
-        """Address a message."""
+        """Return an envelope with `message` for `recipient`."""
         return Envelope(self.member, recipient, message)
 
     def is_voter(self) -> bool:
-        """Tell whether this member votes by the newest membership it knows."""
+        """Return whether this member is a voter in the newest membership of its log."""
         return self.member in self.log.membership.voters
 
     def may_campaign(self) -> bool:
-        """Tell whether this member votes by any membership that may be in force.
+        """Return whether this member is a voter in any membership that may be in effect.
 
-        A replica whose own removal is not known to be committed must still
-        campaign: its log may be the longest, and then nobody else can win.
+        A replica whose removal is not known to be committed must still campaign: if
+        its log is the longest, no other replica can win an election.
         """
         memberships = self.log.memberships_since(self.commit_index)
         return any(self.member in membership.voters for membership in memberships)
 
 
 def reset_election_timer(replica: Replica) -> None:
-    """Start the election timer anew, for a random time."""
+    """Restart the election timer with a random timeout."""
     timing = replica.timing
     wait_s = replica.random.uniform(timing.election_timeout_min_s, timing.election_timeout_max_s)
     replica.election_due_s = replica.now_s + wait_s
 
 
 def reset_campaign_timer(replica: Replica) -> None:
-    """Start the election timer anew for a campaign that is not won soon."""
+    """Restart the election timer with the random retry delay of a campaign."""
     timing = replica.timing
     wait_s = replica.random.uniform(timing.campaign_min_s, timing.campaign_max_s)
     replica.election_due_s = replica.now_s + wait_s
 
 
 def defer_campaign(replica: Replica) -> None:
-    """Leave a replica that campaigns the time of a round; it asks again later than that."""
+    """Defer an own campaign by the time of a round, in favour of another candidate.
+
+    The other candidate retries later than that.
+    """
     soonest_s = replica.now_s + replica.timing.campaign_min_s
     replica.election_due_s = max(replica.election_due_s, soonest_s)
 
 
 def follow_leader(replica: Replica, leader: Member) -> None:
-    """Follow `leader`, which has just been heard in the present term."""
+    """Follow `leader`, from which a message of the current term was just received."""
     replica.leader = leader
     replica.leader_seen_s = replica.now_s
     replica.role.feed("leader_seen")
@@ -118,13 +126,13 @@
 
 
 def has_recent_leader(replica: Replica) -> bool:
-    """Tell whether a leader was heard so recently that no vote may be given."""
+    """Return whether a leader was seen so recently that no vote may be granted."""
     silent_s = replica.now_s - replica.leader_seen_s
     return silent_s < replica.timing.election_timeout_min_s
 
 
 def enter_term(replica: Replica, term: int, voted_for: Member | None) -> None:
-    """Move to a higher term and write it; answers of the old term are dropped."""
+    """Move to a higher term and write it; pending sends of the old term are discarded."""
     replica.leader = None
     replica.state = PersistentState(term, voted_for)
     replica.outbox.discard_pending_sends()
@@ -132,13 +140,13 @@
 
 
 def adopt_term(replica: Replica, term: int, voted_for: Member | None = None) -> None:
-    """Become a follower in a higher term that another replica named."""
+    """Become a follower in a higher term received from another replica."""
     replica.role.feed("higher_term")
     enter_term(replica, term, voted_for)
 
 
 def apply_committed(replica: Replica) -> None:
-    """Hand out what is committed and durable here and has not been applied."""
+    """Emit the entries to apply: committed, durable here and not applied yet."""
     last = min(replica.commit_index, replica.outbox.durable_index)
     if last <= replica.applied_index:
         return
--- a/packages/decisions/src/damaskwind/decisions/replication/requests.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/requests.py
@@ -1,4 +1,4 @@
-"""Take what the shell asks of a replica: proposals, members and reads."""
+"""Requests to a replica: proposals, membership changes and reads."""
 
 from damaskwind.decisions.replication.events import (
     ProposalOutcome,
@@ -41,7 +41,7 @@
 
 
 def on_membership(replica: Replica, request: ProposeMembership) -> None:
-    """Append a change of members if it makes sense and none is under way."""
+    """Append a membership change if it is valid and no other one is pending."""
     leadership = replica.leadership
     if leadership is None:
         _refuse(replica, request.proposal_id, RefusalReason.NOT_LEADER)
@@ -54,7 +54,7 @@
 
 
 def on_read(replica: Replica, request: ReadRequest) -> None:
-    """Answer under the lease if that suffices, else ask a majority first."""
+    """Answer at once if a valid lease suffices, else wait for a majority to confirm."""
     leadership = replica.leadership
     if leadership is None:
         refused = ReadRefused(request.read_id, RefusalReason.NOT_LEADER, replica.leader)
@@ -68,7 +68,7 @@
 
 
 def repair_membership(replica: Replica) -> None:
-    """Bring a learner in that has caught up, or a lost voter out, one step at a time."""
+    """Append the next change that promotes a caught-up learner or removes a lost voter."""
     leadership = replica.leadership
     if leadership is None or not _may_change(replica, leadership):
         return
@@ -91,7 +91,7 @@
 
 
 def _silent_s(replica: Replica, leadership: Leadership, voter: Member) -> float:
-    """Return for how long the leader has not heard a voter, counted from its election."""
+    """Return the time since a voter's last response, or since the leader's election."""
     if voter == replica.member:
         return 0.0
     progress = leadership.peers.get(voter)
@@ -100,23 +100,24 @@
 
 
 def is_caught_up(replica: Replica, progress: Progress) -> bool:
-    """Tell whether a learner holds all that is committed and answers."""
+    """Return whether a learner responds and has stored all committed entries."""
     silent_s = replica.now_s - progress.last_response_s
     is_answering = silent_s < replica.timing.election_timeout_min_s
     return is_answering and progress.match_index >= replica.commit_index
 
 
 def _has_lost_quorum(replica: Replica, leadership: Leadership) -> bool:
-    """Tell whether a majority was heard in this term, but not lately."""
+    """Return whether a majority responded in this term, but not recently."""
     has_committed = replica.commit_index >= leadership.first_index
     return has_committed and not holds_lease(replica, replica.now_s)
 
 
 def _may_change(replica: Replica, leadership: Leadership) -> bool:
-    """Tell whether the last change is committed, and an entry of this term too.
+    """Return whether the last membership change and an entry of this term are committed.
 
-    Without the second half two leaders could each change the members by one,
-    away from each other (Ongaro's correction to the single-server change, 2015).
+    Without the second condition two leaders could each append a different change to
+    the same membership, and the resulting majorities need not overlap (Ongaro's
+    correction to single-server changes, 2015).
     """
     is_settled = replica.log.membership_index <= replica.commit_index
     return is_settled and replica.commit_index >= leadership.first_index
