--- a/packages/decisions/src/damaskwind/decisions/replication/following.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/following.py
@@ -62,7 +62,7 @@
 
 
 def _is_well_formed(request: AppendRequest) -> bool:
-    """Return whether the entries are consecutive and no term exceeds the leader's."""
+    """Return whether the entries are consecutive, with non-decreasing terms up to the leader's."""
     previous = (request.previous_index, request.previous_term)
     for entry in request.entries:
         if entry.index != previous[0] + 1 or not previous[1] <= entry.term <= request.term:
--- a/packages/decisions/src/damaskwind/decisions/replication/leading.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/leading.py
@@ -139,7 +139,7 @@
 def send_entries(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress
 ) -> None:
-    """Send a peer its next entries, preceded by a snapshot if those were compacted."""
+    """Send a peer its next entries, or a snapshot and a heartbeat if those were compacted."""
     log = replica.log
     if progress.next_index <= log.snapshot.index:
         send_snapshot(replica, leadership, peer, progress)
--- a/packages/decisions/src/damaskwind/decisions/replication/replica.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/replica.py
@@ -73,8 +73,10 @@
         By then no leader relies on this replica to withhold its vote, and the other
         replicas may have started.
         """
-        free_s = self.leader_seen_s + self.timing.election_timeout_min_s
-        return max(self.now_s, free_s) + self.random.uniform(0.0, self.timing.first_campaign_s)
+        vote_allowed_s = self.leader_seen_s + self.timing.election_timeout_min_s
+        return max(self.now_s, vote_allowed_s) + self.random.uniform(
+            0.0, self.timing.first_campaign_s
+        )
 
     def envelope(self, recipient: Member, message: Message) -> Envelope:
         """Return an envelope with `message` for `recipient`."""
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/cluster.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/cluster.py
@@ -1,7 +1,7 @@
-"""Run a small cluster of cores in simulated time, with every fault by order.
+"""Deterministic simulation of a small cluster of cores with injected faults.
 
-Time, delays and losses come from one seeded generator, so that a history is
-repeated exactly by its seed and its orders.
+Time, delays and losses come from one seeded generator, so the seed and the sequence
+of commands reproduce a history exactly.
 """
 
 import heapq
@@ -64,10 +64,10 @@
 
 
 class Cluster:
-    """Nodes, network, events in time order, and the oracle that watches.
+    """A simulated cluster: nodes, network, event queue and the checking oracle.
 
-    With `voters` so many of the nodes vote and the others ask to learn; a lost
-    voter's place goes to one of them.
+    With `voters` only that many nodes vote. The others ask to join as learners, and
+    one of them replaces a lost voter.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self.new_identity = new_identity
         self.clocks_are_trusted = True
         self.now_s = 0.0
-        self._numbers = count(1)
+        self._ids = count(1)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._reads: dict[str, tuple[int, bool]] = {}
         self.nodes: dict[str, Node] = {}
@@ -106,10 +106,10 @@
         for member in members[voters:] if voters is not None else ():
             self._add_node(member, Disk(PersistentState(), ()))
 
-    # Orders.
+    # Commands.
 
     def run(self, duration_s: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         end_s = self.now_s + duration_s
         while self._events and self._events[0][0] <= end_s:
             self.now_s, _, action = heapq.heappop(self._events)
@@ -117,16 +117,16 @@
         self.now_s = end_s
 
     def propose(self, name: str) -> str:
-        """Propose a fresh change at a node; return its id."""
-        proposal_id = f"p{next(self._numbers)}"
+        """Propose a new command at a node; return its id."""
+        proposal_id = f"p{next(self._ids)}"
         if self.is_paused(self.nodes[name]):
             return proposal_id
         self.feed(self.nodes[name], Propose(proposal_id, proposal_id.encode()))
         return proposal_id
 
     def read(self, name: str, by_lease: bool = False) -> str:
-        """Ask a node for a read; return its id."""
-        read_id = f"r{next(self._numbers)}"
+        """Request a read from a node; return its id."""
+        read_id = f"r{next(self._ids)}"
         if self.is_paused(self.nodes[name]):
             return read_id
         self._reads[read_id] = (self.oracle.visible_index, by_lease)
@@ -134,12 +134,12 @@
         return read_id
 
     def change(self, name: str, change: MembershipChange) -> None:
-        """Propose a change of members at a node."""
-        proposal_id = f"m{next(self._numbers)}"
+        """Propose a membership change at a node."""
+        proposal_id = f"m{next(self._ids)}"
         self.feed(self.nodes[name], ProposeMembership(proposal_id, change))
 
     def crash(self, name: str) -> None:
-        """Stop a node; what it had not synced is lost."""
+        """Crash a node; its unsynced writes are lost."""
         node = self.nodes[name]
         if node.core is not None:
             node.core = None
@@ -154,31 +154,31 @@
             self._boot(node)
 
     def lose_disk(self, name: str) -> None:
-        """Stop a node and give it an empty disk, and with it a new identity."""
+        """Crash a node and replace its disk by an empty one, with a new identity."""
         self.crash(name)
         node = self.nodes[name]
         node.disk = Disk(PersistentState(), ())
         if self.new_identity:
-            node.member = Member(name, f"{name}{next(self._numbers)}")
+            node.member = Member(name, f"{name}{next(self._ids)}")
 
     def add(self) -> None:
-        """Start one more node with an empty disk; it asks to join."""
+        """Start an additional node with an empty disk; it asks to join."""
         name = next((name for name in "abcdefg" if name not in self.nodes), None)
         if name is not None:
-            member = Member(name, f"{name}{next(self._numbers)}")
+            member = Member(name, f"{name}{next(self._ids)}")
             self._add_node(member, Disk(PersistentState(), ()))
 
     def pause(self, name: str, duration_s: float) -> None:
-        """Hold a process for a while; its clock goes on."""
+        """Pause a process; its clock keeps running."""
         self.nodes[name].paused_until_s = self.now_s + duration_s
 
     def jump_clock(self, name: str, by_s: float) -> None:
-        """Let a clock jump; no lease can be trusted from then on."""
+        """Let a clock jump; from then on no lease is trusted."""
         self.nodes[name].offset_s += by_s
         self.clocks_are_trusted = False
 
     def take_snapshot(self, name: str) -> None:
-        """Let a node save its applied state and drop its log."""
+        """Let a node save its applied state and compact its log."""
         node = self.nodes[name]
         if node.core is None or node.core.applied_index <= node.disk.snapshot.index:
             return
@@ -189,7 +189,7 @@
         self.feed(node, SnapshotTaken(snapshot.index))
 
     def heal(self) -> None:
-        """Mend the network."""
+        """Remove all network faults."""
         self.network.cut.clear()
         self.network.loss = self.network.duplication = self.network.late = 0.0
 
@@ -199,12 +199,12 @@
         return max(leaders, key=lambda node: node.core.term, default=None)
 
     def has_leader_with_lease(self) -> bool:
-        """Tell whether a leader runs that a majority has lately answered."""
+        """Return whether there is a running leader with a valid lease."""
         leader = self.leader()
         return leader is not None and leader.core.holds_lease(self.clock_s(leader))
 
     def stabilize(self, limit_s: float = 6.0) -> None:
-        """Mend the network, start all nodes and wait for a leader."""
+        """Remove all faults, start all nodes and wait for a leader."""
         self.heal()
         for name, node in self.nodes.items():
             self.start(name)
@@ -215,7 +215,7 @@
             self.run(0.1)
 
     def await_repair(self, name: str, limit_s: float = 12.0) -> bool:
-        """Let time pass until a node's member votes; tell whether it came to that."""
+        """Advance time until a node is a voter; return whether that happened in time."""
         end_s = self.now_s + limit_s
         while self.now_s < end_s:
             self.run(0.1)
@@ -225,11 +225,11 @@
         return False
 
     def running(self) -> list[Node]:
-        """Return the nodes that run."""
+        """Return the running nodes."""
         return [node for node in self.nodes.values() if node.core is not None]
 
     def check_recovery(self) -> None:
-        """Mend everything; a majority must then confirm, and see all it confirmed."""
+        """Remove all faults and check that a majority confirms a proposal again."""
         self.stabilize()
         end_s = self.now_s + RECOVERY_LIMIT_S
         while self.now_s < end_s:
@@ -247,7 +247,7 @@
     # Events.
 
     def feed(self, node: Node, event: Input) -> None:
-        """Feed an event to a node's core, if it runs, and carry the outputs out."""
+        """Feed an event to a node's core, if it is running, and execute the outputs."""
         if node.core is None:
             return
         commit_index = node.core.commit_index
@@ -256,14 +256,14 @@
         check_commit(self, node, commit_index)
         for output in outputs:
             check_promotion(self, node, members, commit_index, output)
-            self._carry_out(node, output)
+            self._execute(node, output)
 
     def clock_s(self, node: Node) -> float:
-        """Return what a node's clock shows."""
+        """Return the time of a node's clock."""
         return self.now_s * node.rate + node.offset_s
 
     def is_paused(self, node: Node) -> bool:
-        """Tell whether a node's process is held."""
+        """Return whether a node's process is paused."""
         return self.now_s < node.paused_until_s
 
     def _add_node(self, member: Member, disk: Disk) -> None:
@@ -290,7 +290,7 @@
         self._ask_to_join(node, node.incarnation)
 
     def _at(self, delay_s: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (self.now_s + delay_s, next(self._numbers), action))
+        heapq.heappush(self._events, (self.now_s + delay_s, next(self._ids), action))
 
     def _tick(self, node: Node, incarnation: int) -> None:
         if node.incarnation != incarnation:
@@ -335,15 +335,15 @@
 
     # Outputs.
 
-    def _carry_out(self, node: Node, output: Output) -> None:
+    def _execute(self, node: Node, output: Output) -> None:
         handler = _OUTPUT_HANDLERS.get(type(output))
         if handler is not None:
             handler(self, node, output)
 
     def _send(self, node: Node, output: Send) -> None:
         envelope = output.envelope
-        target = envelope.recipient.replica_id
-        for delay_s in self.network.arrivals(node.member.replica_id, target):
+        recipient = envelope.recipient.replica_id
+        for delay_s in self.network.arrivals(node.member.replica_id, recipient):
             self._at(delay_s, partial(self._deliver, envelope))
 
     def _send_snapshot(self, node: Node, output: SendSnapshot) -> None:
@@ -365,7 +365,7 @@
         for entry in output.entries:
             expected = node.applied[-1].index + 1 if node.applied else 1
             if entry.index != expected:
-                raise InvariantError(f"{node.member} applied {entry} in place of {expected}")
+                raise InvariantError(f"{node.member} applied {entry} in place of index {expected}")
             self.oracle.check_applied(entry)
             node.applied.append(entry)
 
@@ -387,10 +387,10 @@
             check_lease(self, other)
 
     def _can_serve(self) -> bool:
-        """Tell whether every membership that a running node knows has a majority."""
-        alive = [node.member for node in self.running()]
+        """Return whether a majority is running for every membership known to a running node."""
+        running = [node.member for node in self.running()]
         known = {node.core.membership.voters for node in self.running()} - {()}
-        return bool(known) and all(is_majority(voters, alive) for voters in known)
+        return bool(known) and all(is_majority(voters, running) for voters in known)
 
 
 _OUTPUT_HANDLERS: dict[type, Callable] = {
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/disk.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/disk.py
@@ -1,4 +1,4 @@
-"""A disk that loses what was not synced when its machine crashes."""
+"""A simulated disk that loses unsynced writes in a crash."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
 
 
 class Disk:
-    """Synced state, log and snapshot, and the writes that are still in the cache."""
+    """Synced state, log and snapshot, and the unsynced writes in the cache."""
 
     def __init__(self, state: PersistentState, entries: tuple[LogEntry, ...]) -> None:
         self.state = state
@@ -32,7 +32,7 @@
         return self.entries[-1].index if self.entries else self.snapshot.index
 
     def write(self, write: Write) -> None:
-        """Put a write into the cache."""
+        """Add a write to the cache."""
         self.cached.append(write)
 
     def sync(self, write_id: int) -> None:
@@ -41,20 +41,20 @@
             self._make_durable(self.cached.pop(0))
 
     def crash(self, random: Random) -> None:
-        """Lose the cache, but for some first part that happened to be written."""
+        """Lose the cache, except for a random prefix that reached the disk."""
         kept = random.randint(0, len(self.cached)) if random.random() < 0.3 else 0
         for write in self.cached[:kept]:
             self._make_durable(write)
         self.cached.clear()
 
     def save_snapshot(self, snapshot: Snapshot, data: bytes) -> None:
-        """Save a snapshot of the replica's own state and drop the log up to it."""
+        """Save a snapshot of the replica's own state and compact the log up to it."""
         self.snapshot = snapshot
         self.data = data
         self.entries = [entry for entry in self.entries if entry.index > snapshot.index]
 
     def recover(self) -> ReplicatedLog:
-        """Return the log as it is found after a crash."""
+        """Return the log recovered after a crash."""
         return recover_log(self.snapshot, self.entries)
 
     def _make_durable(self, write: Write) -> None:
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/histories.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/histories.py
@@ -1,4 +1,4 @@
-"""Generate histories of faults with Hypothesis and run them against the oracle."""
+"""Stateful Hypothesis tests that check random fault histories against the oracle."""
 
 import sys
 import time
@@ -44,7 +44,7 @@
 
 
 class LogHistory(RuleBasedStateMachine):
-    """One history: orders to a cluster, then mend everything and check."""
+    """A history of commands to a cluster, followed by a check of its recovery."""
 
     run_count = 0
     first_failed: int | None = None
@@ -66,7 +66,10 @@
 
     @invariant()
     def mend_when_stuck(self) -> None:
-        """Mend a cluster that has long been without a leader: little happens in it."""
+        """Remove the faults of a cluster that has been without a leader for many steps.
+
+        Further steps would exercise little.
+        """
         if self.cluster.has_leader_with_lease():
             self.leaderless_steps = 0
             return
@@ -76,7 +79,7 @@
             self.cluster.stabilize()
 
     def name(self, node: int) -> str:
-        """Return a node's name; the lowest number means the leader, if there is one."""
+        """Return the name of a node; 0 selects the leader, if there is one."""
         leader = self.cluster.leader()
         if node == 0 and leader is not None:
             return leader.member.replica_id
@@ -85,19 +88,19 @@
 
     @rule(duration_ms=durations_ms)
     def run_on(self, duration_ms: int) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         self.cluster.run(duration_ms / 1000)
 
     @rule(node=nodes, times=st.integers(1, 4), duration_ms=durations_ms)
     def propose(self, node: int, times: int, duration_ms: int) -> None:
-        """Propose changes at a node."""
+        """Propose commands at a node."""
         for _ in range(times):
             self.cluster.propose(self.name(node))
         self.cluster.run(duration_ms / 1000)
 
     @rule(duration_ms=durations_ms)
     def propose_everywhere(self, duration_ms: int) -> None:
-        """Propose and read at every node, also at one that wrongly thinks it leads."""
+        """Propose and read at every node, including a stale leader."""
         for name in list(self.cluster.nodes):
             self.cluster.propose(name)
             self.cluster.read(name)
@@ -106,12 +109,12 @@
 
     @rule(node=nodes, by_lease=st.booleans())
     def read(self, node: int, by_lease: bool) -> None:
-        """Ask a node for a read."""
+        """Request a read from a node."""
         self.cluster.read(self.name(node), by_lease)
 
     @rule(node=nodes, duration_ms=durations_ms, restarts=st.booleans())
     def crash(self, node: int, duration_ms: int, restarts: bool) -> None:
-        """Crash a node, and perhaps start it again after a while."""
+        """Crash a node, and optionally restart it after a while."""
         name = self.name(node)
         self.cluster.crash(name)
         self.cluster.run(duration_ms / 1000)
@@ -133,7 +136,7 @@
 
     @rule(node=nodes, duration_ms=durations_ms)
     def lose_disk(self, node: int, duration_ms: int) -> None:
-        """Lose a disk; the replica comes back under a new identity."""
+        """Lose a disk; the replica returns with a new identity."""
         name = self.name(node)
         self.cluster.lose_disk(name)
         self.cluster.run(duration_ms / 1000)
@@ -141,7 +144,7 @@
 
     @rule(node=nodes, other=nodes)
     def lose_two(self, node: int, other: int) -> None:
-        """Lose a disk, have it repaired, and lose another machine right after."""
+        """Lose a disk, wait for the repair, and lose another disk right after."""
         name = self.name(node)
         self.cluster.lose_disk(name)
         self.cluster.start(name)
@@ -155,13 +158,13 @@
 
     @rule(node=st.integers(1, 6), duration_ms=durations_ms)
     def cut_from_leader(self, node: int, duration_ms: int) -> None:
-        """Let one node no longer hear the leader, though it hears all others."""
+        """Cut the link from the leader to a node; the node still receives from all others."""
         self.cluster.network.cut.add((self.name(0), self.name(node)))
         self.cluster.run(duration_ms / 1000)
 
     @rule(node=nodes, duration_ms=durations_ms)
     def isolate(self, node: int, duration_ms: int) -> None:
-        """Cut a node off from all others."""
+        """Cut all links of a node."""
         name = self.name(node)
         for other in self.cluster.nodes:
             self.cluster.network.cut |= {(name, other), (other, name)}
@@ -169,7 +172,7 @@
 
     @rule(node=nodes, is_outgoing=st.booleans(), duration_ms=durations_ms)
     def cut_direction(self, node: int, is_outgoing: bool, duration_ms: int) -> None:
-        """Let a node only hear, or only be heard."""
+        """Cut all outgoing or all incoming links of a node."""
         name = self.name(node)
         for other in self.cluster.nodes:
             self.cluster.network.cut.add((name, other) if is_outgoing else (other, name))
@@ -177,12 +180,12 @@
 
     @rule(node=nodes, sync_s=st.sampled_from([SYNC_S, 0.3, 1.5]))
     def slow_disk(self, node: int, sync_s: float) -> None:
-        """Let a disk take long to sync."""
+        """Change the sync latency of a disk."""
         self.cluster.nodes[self.name(node)].sync_s = sync_s
 
     @rule(mask=st.integers(1, 127))
     def split(self, mask: int) -> None:
-        """Split the cluster into two sides."""
+        """Partition the cluster into two sides."""
         names = sorted(self.cluster.nodes)
         side = {name for at, name in enumerate(names) if mask >> at & 1}
         for name in names:
@@ -192,7 +195,7 @@
 
     @rule()
     def heal(self) -> None:
-        """Mend the network."""
+        """Remove all network faults."""
         self.cluster.heal()
 
     @rule(
@@ -201,13 +204,13 @@
         late=st.sampled_from([0.0, 0.1, 0.4]),
     )
     def worsen(self, loss: float, duplication: float, late: float) -> None:
-        """Drop, duplicate and delay messages, so that they also overtake."""
+        """Drop, duplicate, delay and reorder messages."""
         network = self.cluster.network
         network.loss, network.duplication, network.late = loss, duplication, late
 
     @rule(node=nodes)
     def take_snapshot(self, node: int) -> None:
-        """Let a node take a snapshot and drop its log."""
+        """Let a node take a snapshot and compact its log."""
         self.cluster.take_snapshot(self.name(node))
 
     @precondition(lambda self: not self.has_sound_clocks)
@@ -218,12 +221,12 @@
 
     @rule(node=nodes, duration_ms=durations_ms)
     def pause(self, node: int, duration_ms: int) -> None:
-        """Hold a process for a while."""
+        """Pause a process."""
         self.cluster.pause(self.name(node), duration_ms / 1000)
 
     @rule()
     def add_node(self) -> None:
-        """Start one more replica."""
+        """Start an additional replica."""
         self.cluster.add()
 
     @rule(node=nodes, other=nodes)
@@ -233,7 +236,7 @@
         self.cluster.change(self.name(node), MembershipChange(ChangeKind.REMOVE, member))
 
     def teardown(self) -> None:
-        """Mend everything and check that nothing confirmed is lost."""
+        """Remove all faults and check that no confirmed proposal is lost."""
         LogHistory.run_count += 1
         failure = sys.exc_info()[1]
         if isinstance(failure, FAILURES):
@@ -246,13 +249,13 @@
                 raise
 
     def record_failure(self) -> None:
-        """Keep which history failed first; those after it only shrink it."""
+        """Record the number of the first failed history; later ones only shrink it."""
         if LogHistory.first_failed is None:
             LogHistory.first_failed = LogHistory.run_count
 
 
 class WideLogHistory(LogHistory):
-    """Six or eight replicas, of which five vote: two may be lost at once."""
+    """Histories of six or eight replicas with five voters, which tolerate two losses."""
 
     @initialize(
         seed=st.integers(0, 2**32 - 1),
@@ -261,7 +264,7 @@
         patience=st.integers(0, 5),
     )
     def begin(self, seed: int, size: int, has_sound_clocks: bool, patience: int) -> None:
-        """Start a cluster, let it elect a leader and the others learn."""
+        """Start a cluster, let it elect a leader and add the learners."""
         self.has_sound_clocks = has_sound_clocks
         self.patience = patience
         self.leaderless_steps = 0
@@ -271,10 +274,10 @@
 
 
 class FuzzResult(NamedTuple):
-    """How many histories ran in how long, and the first failure, shrunk.
+    """Result of a fuzzing run, with the shrunk failure if there was one.
 
-    `first_failed` is the number of the history that failed first; the later
-    ones were run to shrink it.
+    `first_failed` is the number of the first history that failed; later histories
+    ran only to shrink it.
     """
 
     histories: int
@@ -285,7 +288,7 @@
 
 @contextmanager
 def seeded(bug: str | None) -> Iterator[None]:
-    """Put a bug in on purpose for as long as the context lasts."""
+    """Inject a seeded bug for the duration of the context."""
     patches: Callable[[], AbstractContextManager] = nullcontext
     arguments: dict[str, bool] = {}
     if bug is not None:
@@ -303,7 +306,7 @@
     shrinks: bool = True,
     history: type[LogHistory] = LogHistory,
 ) -> None:
-    """Run so many histories; without a seed the same ones every time."""
+    """Run `histories` histories, which are the same in each run if `seed` is None."""
     phases = [Phase.generate, Phase.shrink] if shrinks else [Phase.generate]
     profile = settings(
         max_examples=histories,
@@ -334,7 +337,7 @@
     bug: str | None = None,
     history: type[LogHistory] = LogHistory,
 ) -> FuzzResult:
-    """Run histories until the time or the count is used up, or one fails."""
+    """Run histories until the time or the count is used up, or one of them fails."""
     started_s = time.monotonic()
     LogHistory.run_count = 0
     LogHistory.first_failed = None
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/machines.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/machines.py
@@ -1,4 +1,4 @@
-"""The machines and the network of a simulated cluster."""
+"""Nodes and network of a simulated cluster."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 
 class Network:
-    """Which links are cut and how bad the others are."""
+    """Cut links, and the fault rates of the others."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
@@ -21,10 +21,10 @@
         self.duplication = 0.0
         self.late = 0.0
 
-    def arrivals(self, source: str, target: str) -> list[float]:
-        """Return after how many seconds each copy of a message arrives."""
+    def arrivals(self, source: str, destination: str) -> list[float]:
+        """Return the delay of each delivered copy of a message, in seconds."""
         random = self.random
-        if (source, target) in self.cut or random.random() < self.loss:
+        if (source, destination) in self.cut or random.random() < self.loss:
             return []
         copies = 2 if random.random() < self.duplication else 1
         return [self._delay_s() for _ in range(copies)]
@@ -36,7 +36,7 @@
 
 
 class Node:
-    """A machine: its clock, its disk, and the core while it runs."""
+    """A node: its clock, its disk, and its core while it is running."""
 
     def __init__(self, member: Member, disk: Disk, rate: float) -> None:
         self.member = member
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/seeded_bugs.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/seeded_bugs.py
@@ -1,6 +1,6 @@
-"""Bugs put in on purpose, to see that the histories would find them.
+"""Seeded bugs that the histories must find.
 
-Each entry names a context that patches the core and arguments for the cluster.
+Each bug is a context manager that patches the core, and arguments for the cluster.
 """
 
 from contextlib import AbstractContextManager, nullcontext
@@ -19,18 +19,18 @@
 
 
 def vote_twice() -> AbstractContextManager:
-    """Give a second vote in the same term."""
+    """Grant a second vote in the same term."""
 
     def can_vote_in_term(replica: Replica, sender: Member, request: VoteRequest) -> bool:
-        mine = (replica.log.last_term, replica.log.last_index)
+        own = (replica.log.last_term, replica.log.last_index)
         is_in_term = request.term == replica.state.term and replica.role.state != "leader"
-        return is_in_term and (request.last_term, request.last_index) >= mine
+        return is_in_term and (request.last_term, request.last_index) >= own
 
     return mock.patch.object(election, "can_vote_in_term", can_vote_in_term)
 
 
 def lease_from_receive_time() -> AbstractContextManager:
-    """Count the lease from when an answer came in."""
+    """Count the lease from the arrival of a response."""
 
     def note(leadership: Leadership, progress: Progress, number: int, now_s: float) -> None:
         record_response(leadership, progress, number, now_s)
@@ -40,7 +40,7 @@
 
 
 def count_learner() -> AbstractContextManager:
-    """Let the answers of learners count towards a majority of the voters."""
+    """Count responses of learners towards a majority of the voters."""
 
     def quorum_match(replica: Replica, leadership: Leadership) -> int:
         def match_index(member: Member) -> int:
@@ -62,7 +62,7 @@
 
 
 def count_before_durable() -> AbstractContextManager:
-    """Let the leader count its own entry before that is on its disk."""
+    """Let the leader count its own entry before it is durable."""
 
     def quorum_match(replica: Replica, leadership: Leadership) -> int:
         def match_index(member: Member) -> int:
@@ -77,22 +77,22 @@
 
 
 def commit_old_term() -> AbstractContextManager:
-    """Commit entries of an earlier term by counting."""
+    """Commit entries of an earlier term by counting replicas."""
     return mock.patch.object(leading, "is_from_current_term", lambda replica, index: True)
 
 
 def vote_while_led() -> AbstractContextManager:
-    """Give votes although a leader is heard."""
+    """Grant votes although a leader was seen recently."""
     return mock.patch.object(election, "has_recent_leader", lambda replica: False)
 
 
 def change_unsettled() -> AbstractContextManager:
-    """Change members before the change under way is committed."""
+    """Change the membership before the pending change is committed."""
     return mock.patch.object(requests, "_may_change", lambda replica, leadership: True)
 
 
 def send_before_durable() -> AbstractContextManager:
-    """Send what depends on a write before the write is durable."""
+    """Send messages before the writes that they depend on are durable."""
 
     def send_now(outbox: Outbox, write_id: int, envelope: Envelope) -> None:
         outbox.emit(Send(envelope))
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_cut_domain.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_cut_domain.py
@@ -1,15 +1,13 @@
-"""A failure domain with two of five voters is cut off, and one learner is there.
+"""Partition of a failure domain with two of five voters, with one learner available.
 
-Six replicas, of which five voted, acknowledged no configuration for 5.8 s after a cut of
-a domain had healed, each call with the line
+The leader replaces a silent voter by a caught-up learner in two changes, a removal and a
+promotion. It used to look for silent voters again in between and removed the second one
+as well, which left four voters where the losses to be tolerated require five. The fifth
+rejoined only after the partition had healed and its call into the partition had timed out,
+which took up to five seconds. Six replicas with five voters therefore acknowledged no
+configuration for 5.8 s after the partition healed, and logged for each call
 
     "configuration not committed" why "too few voters yet"
-
-The leader takes a silent voter out so that a learner that has caught up may have its place.
-It looked for silent voters again before it gave the learner the place, took the second one
-out as well, and was left with four voters for one learner. Of the five that the losses to
-bear ask for one was missing until a replica behind the cut had come back, and that one was
-still waiting for the answer to a call that it had sent into the cut, for up to five seconds.
 """
 
 from unittest import TestCase
@@ -24,14 +22,14 @@
 
 
 def cut_off(cluster, names):
-    """Cut the links between these replicas and all others."""
+    """Cut the links between `names` and all other replicas."""
     for name in names:
         for other in set(cluster.nodes) - set(names):
             cluster.network.cut.update({(name, other), (other, name)})
 
 
 class CutDomainTest(TestCase):
-    def test_learner_gets_the_place_before_another_voter_goes(self) -> None:
+    def test_learner_is_promoted_before_another_voter_is_removed(self) -> None:
         a, b, c, d, e, learner = (Member(name, "1") for name in "abcdef")
         membership = Membership((a, b, c, d, e), (learner,))
         kinds = []
@@ -46,7 +44,7 @@
         self.assertEqual(kinds, [ChangeKind.REMOVE, ChangeKind.PROMOTE])
         self.assertEqual(len(membership.voters), VOTERS)
 
-    def test_as_many_vote_during_the_cut_as_before(self) -> None:
+    def test_number_of_voters_is_restored_during_the_cut(self) -> None:
         for seed in range(SEEDS):
             cluster = Cluster(seed, 6, voters=VOTERS)
             cluster.stabilize()
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_histories.py
@@ -1,6 +1,6 @@
-"""A small fixed part of the fuzzing, and proof that it would find a bug.
+"""A small deterministic fuzzing run, and a check that it finds seeded bugs.
 
-`tools/fuzz.py` runs as many histories as there is time for.
+`tools/fuzz.py` runs histories for longer.
 """
 
 from unittest import TestCase
@@ -19,7 +19,7 @@
 
 
 class HistoriesTest(TestCase):
-    """The same histories every time."""
+    """Runs the same histories each time."""
 
     def setUp(self) -> None:
         LogHistory.run_count = 0
@@ -29,11 +29,11 @@
         run_batch(None, HISTORIES)
         self.assertGreaterEqual(LogHistory.run_count, HISTORIES)
 
-    def test_no_history_of_six_or_eight_replicas_breaks_one(self) -> None:
+    def test_no_history_of_six_or_eight_replicas_breaks_an_invariant(self) -> None:
         run_batch(None, HISTORIES, history=WideLogHistory)
         self.assertGreaterEqual(LogHistory.run_count, HISTORIES)
 
-    def test_bugs_put_in_on_purpose_are_found(self) -> None:
+    def test_seeded_bugs_are_found(self) -> None:
         for bug in QUICK_BUGS:
             with self.subTest(bug), seeded(bug), self.assertRaises(FAILURES):
                 run_batch(None, BUG_HISTORIES, shrinks=False)
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_invariants.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Tests of the checks themselves: what they must refuse, and what they must bear."""
+"""Tests of the invariant checks: what they must report, and what they must accept."""
 
 from unittest import TestCase
 
@@ -24,11 +24,11 @@
         entry = LogEntry(9, 1, EntryKind.MEMBERSHIP, payload)
         self.output = AppendEntries(1, (entry,))
 
-    def test_leader_may_not_promote_who_lacks_what_it_committed(self):
+    def test_leader_may_not_promote_a_learner_that_lacks_committed_entries(self):
         with self.assertRaises(InvariantError):
             check_promotion(self.cluster, self.cluster.leader(), self.before, 5, self.output)
 
-    def test_follower_may_hear_of_it_after_a_later_commit(self):
+    def test_follower_may_receive_a_promotion_after_a_later_commit(self):
         leader = self.cluster.leader()
         follower = next(node for node in self.cluster.running() if node is not leader)
         check_promotion(self.cluster, follower, self.before, 5, self.output)
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_log.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log in memory and its recovery from what a crash left."""
+"""Tests of the log in memory and of its recovery after a crash."""
 
 from unittest import TestCase
 
@@ -7,12 +7,12 @@
 
 
 def entries(first: int, last: int, term: int = 1) -> list[LogEntry]:
-    """Make entries of one term."""
+    """Return entries of one term."""
     return [LogEntry(index, term, EntryKind.COMMAND, b"") for index in range(first, last + 1)]
 
 
 class RecoverTest(TestCase):
-    """Recovery keeps what belongs together and refuses a gap."""
+    """Recovery keeps the entries that extend the snapshot and refuses a gap."""
 
     def test_entries_that_the_snapshot_covers_are_dropped(self) -> None:
         log = recover_log(Snapshot(3, 1), entries(1, 5))
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_membership.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Changes of members and the steps that bring a newcomer in."""
+"""Tests of membership changes and of the steps that repair a membership."""
 
 from unittest import TestCase
 
@@ -20,18 +20,18 @@
 
 
 class MembershipTest(TestCase):
-    """Each change touches one voter at most."""
+    """Each change adds or removes at most one voter."""
 
     def test_encoding_round_trip(self) -> None:
         membership = Membership((A, B), (NEW_C,))
         self.assertEqual(decode_membership(encode_membership(membership)), membership)
 
-    def test_newcomer_takes_the_place_of_an_earlier_learner_of_its_replica(self) -> None:
+    def test_new_learner_replaces_an_earlier_learner_of_its_replica(self) -> None:
         change = MembershipChange(ChangeKind.ADD_LEARNER, Member("c", "c3"))
         changed = apply_change(Membership((A, B), (NEW_C,)), change)
         self.assertEqual(changed, Membership((A, B), (Member("c", "c3"),)))
 
-    def test_last_voter_stays(self) -> None:
+    def test_last_voter_is_not_removed(self) -> None:
         change = MembershipChange(ChangeKind.REMOVE, A)
         self.assertIsNone(apply_change(Membership((A,)), change))
 
@@ -43,36 +43,36 @@
         promotion = next_repair(apply_change(membership, removal), lambda learner: True)
         self.assertEqual(promotion, MembershipChange(ChangeKind.PROMOTE, NEW_C))
 
-    def test_caught_up_learner_takes_the_place_of_a_silent_voter(self) -> None:
-        newcomer = Member("d", "d1")
-        membership = Membership((A, B, C), (newcomer,))
+    def test_caught_up_learner_replaces_a_silent_voter(self) -> None:
+        new_learner = Member("d", "d1")
+        membership = Membership((A, B, C), (new_learner,))
         removal = next_repair(membership, lambda learner: True, lambda voter: voter == C)
         self.assertEqual(removal, MembershipChange(ChangeKind.REMOVE, C))
         changed = apply_change(membership, removal)
         promotion = next_repair(changed, lambda learner: True, lambda voter: False)
-        self.assertEqual(promotion, MembershipChange(ChangeKind.PROMOTE, newcomer))
+        self.assertEqual(promotion, MembershipChange(ChangeKind.PROMOTE, new_learner))
 
-    def test_silent_voter_without_successor_stays(self) -> None:
+    def test_silent_voter_without_replacement_is_not_removed(self) -> None:
         membership = Membership((A, B, C))
         self.assertIsNone(next_repair(membership, lambda m: True, lambda v: v == C))
 
-    def test_learners_beyond_the_wanted_voters_stay_learners(self) -> None:
-        newcomer = Member("d", "d1")
-        membership = Membership((A, B, C), (newcomer,))
+    def test_learners_beyond_the_maximum_number_of_voters_stay_learners(self) -> None:
+        new_learner = Member("d", "d1")
+        membership = Membership((A, B, C), (new_learner,))
         self.assertIsNone(next_repair(membership, lambda m: True, most_voters=3))
         removal = next_repair(membership, lambda m: True, lambda v: v == C, most_voters=3)
         self.assertEqual(removal, MembershipChange(ChangeKind.REMOVE, C))
         changed = apply_change(membership, removal)
         promotion = next_repair(changed, lambda m: True, most_voters=3)
-        self.assertEqual(promotion, MembershipChange(ChangeKind.PROMOTE, newcomer))
+        self.assertEqual(promotion, MembershipChange(ChangeKind.PROMOTE, new_learner))
 
-    def test_second_learner_replaces_a_lost_disk_where_the_first_has_no_room(self) -> None:
-        newcomer = Member("d", "d1")
-        membership = Membership((A, B, C), (newcomer, NEW_C))
+    def test_second_learner_replaces_a_lost_disk_if_the_first_is_beyond_the_maximum(self) -> None:
+        new_learner = Member("d", "d1")
+        membership = Membership((A, B, C), (new_learner, NEW_C))
         removal = next_repair(membership, lambda m: True, most_voters=3)
         self.assertEqual(removal, MembershipChange(ChangeKind.REMOVE, C))
 
-    def test_lost_voter_goes_only_while_enough_stay(self) -> None:
+    def test_lost_voter_is_removed_only_while_enough_voters_remain(self) -> None:
         def lost(voter: Member) -> bool:
             return voter == C
 
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_regressions.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_regressions.py
@@ -1,4 +1,4 @@
-"""Faults that the histories found, each by its name."""
+"""Regression tests for faults that the histories found."""
 
 from unittest import TestCase
 
@@ -8,13 +8,13 @@
 
 
 class RegressionTest(TestCase):
-    """Each test failed before its fix."""
+    """Each test reproduces a fixed fault."""
 
     def test_leader_that_removed_itself_and_crashed_can_still_win(self) -> None:
-        """The only replica with the longest log must campaign though it is no voter in it.
+        """A replica must campaign although its uncommitted last entry removes it.
 
-        Before, it gave no vote (its log was longer) and asked for none (it was
-        no voter by its uncommitted last entry), so that nobody could ever win.
+        It used not to campaign, as it was no voter by that entry, and granted no vote
+        either, as its log was longer than the others. No replica could win.
         """
         cluster = Cluster(seed=1, size=2)
         for name in "ab":
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/test_restart.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/test_restart.py
@@ -1,16 +1,17 @@
-"""Tests of the time from a restart of all replicas to a leader."""
+"""Tests of the time from a restart of all replicas to the election of a leader."""
 
 from unittest import TestCase
 
 from damaskwind.decisions.replication.tests.cluster import Cluster
 
-# A VM of a quarter of a core needs this long from the process's start to the log.
+# Time from the start of the process to the opening of the log on a VM with a quarter of a
+# core.
 START_UP_S = 2.0
 HISTORIES = 40
 
 
 def seconds_to_leader(seed):
-    """Stop all replicas of a calm cluster, start them, and return the time to a leader."""
+    """Restart all replicas of a stable cluster and return the time to a leader, in seconds."""
     cluster = Cluster(seed)
     cluster.stabilize()
     cluster.run(2.0)
@@ -26,12 +27,12 @@
 
 
 class RestartTest(TestCase):
-    def test_leader_soon_after_all_were_down_for_longer_than_any_promise(self):
+    def test_leader_is_elected_soon_after_all_were_down_for_longer_than_an_election_timeout(self):
         times_s = sorted(seconds_to_leader(seed) for seed in range(HISTORIES))
         self.assertLess(times_s[HISTORIES // 2], 0.5)
         self.assertLess(times_s[-1], 1.5)
 
-    def test_replica_that_was_down_briefly_keeps_its_promise(self):
+    def test_replica_that_was_down_briefly_still_withholds_its_vote(self):
         cluster = Cluster(1)
         cluster.stabilize()
         cluster.run(2.0)
