--- a/packages/decisions/src/damaskwind/decisions/claims/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Claims on idempotency keys, granted once by a majority of holders."""
+"""Claims on idempotency keys, each granted at most once by a majority of holders."""
--- a/packages/decisions/src/damaskwind/decisions/claims/codec.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/codec.py
@@ -1,4 +1,4 @@
-"""Code the messages of claims as msgpack, through msgspec."""
+"""Encode and decode claim messages as msgpack, using msgspec."""
 
 from functools import cache
 from typing import Any, TypeVar
@@ -15,7 +15,7 @@
 
 @cache
 def _decoder(kind: type) -> Any:
-    """Return the decoder of one kind of message."""
+    """Return the decoder for a type of message."""
     return msgspec.msgpack.Decoder(kind)
 
 
@@ -25,7 +25,7 @@
 
 
 def decode_claim_message(kind: type[Message], data: bytes) -> Message:
-    """Decode a message of one kind or raise `MessageError`.
+    """Decode a message of type `kind`; raise `MessageError` if it is malformed.
 
     >>> from damaskwind.decisions.claims.messages import Ballot, Order
     >>> order = Order("key", Ballot(1, "request"))
--- a/packages/decisions/src/damaskwind/decisions/claims/holder.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/holder.py
@@ -1,17 +1,19 @@
-"""One holder of claims: votes on keys, keeps outcomes, catches up after a restart.
-
-The voting is that of "FAB: Building Distributed Enterprise Disk Arrays from
-Commodity Components" (Saito et al., ASPLOS 2004), order then write, used for one
-decision a key. Unlike FAB's bricks a holder keeps nothing on disk, so rules are added.
-
-A holder that restarted empty votes only after it has read the promises and
-records of more than `n - m` of the other `n - 1` holders, `m` being a majority:
-whatever the old incarnation promised or accepted as one of a majority, `m - 1`
-others did too, and no such set is disjoint from those read. What they do only
-after they were read must not count together with what was forgotten. So they
-remember the new incarnation that read them and tell it with each promise; a
-proposer drops a promise of an older one; and a write names every promise that it
-rests on, and a holder that has heard of a newer incarnation refuses it.
+"""A holder of claims: votes on keys, stores outcomes and catches up after a restart.
+
+Voting follows "FAB: Building Distributed Enterprise Disk Arrays from Commodity
+Components" (Saito et al., ASPLOS 2004), an order phase and then a write phase, with
+a single decision per key. Unlike the bricks of FAB a holder has no durable state, so
+restarts need additional rules.
+
+A holder that restarts without state votes only after it has read the promises and
+records of more than `n - m` of the other `n - 1` holders, where `m` is a majority.
+Whatever the old incarnation promised or accepted as a member of a majority, `m - 1`
+others promised or accepted too, and any such set intersects the holders that were
+read. Votes that those holders cast after the read must not be combined with votes
+that the restarted holder has lost. They therefore remember the new incarnation that
+read them and include it in each promise. A proposer drops promises of older
+incarnations. A write lists every promise that it depends on, and a holder that knows
+of a newer incarnation rejects it.
 """
 
 from collections.abc import Sequence
@@ -43,11 +45,12 @@
 
 
 class HolderPolicy(NamedTuple):
-    """Bounds on a holder's memory and on the life of a claim.
+    """Limits on a holder's memory and on the lifetime of a claim.
 
-    `ttl_s` counts from the first message about a key and must be longer than any
-    request and its resends. An answer body over `answer_limit_bytes`, or one that
-    no longer fits into `answers_limit_bytes`, is kept as its digest alone.
+    `ttl_s` counts from the first message about a key and must exceed the duration of
+    any request including its resends. Of an answer body larger than
+    `answer_limit_bytes`, or one that no longer fits into `answers_limit_bytes`, only
+    the digest is stored.
     """
 
     ttl_s: float = 3600.0
@@ -57,7 +60,7 @@
 
 
 def majority_of(holder_count: int) -> int:
-    """Return how many of the holders make a majority.
+    """Return how many holders form a majority.
 
     >>> majority_of(3), majority_of(5)
     (2, 3)
@@ -66,7 +69,7 @@
 
 
 class _Entry:
-    """What a holder knows of one key."""
+    """The state of a key in a holder."""
 
     __slots__ = ("accepted", "created_s", "outcome", "promised")
 
@@ -78,13 +81,13 @@
 
 
 class ClaimHolder:
-    """Vote on claims; messages in, replies out.
+    """Votes on claims: processes messages and returns the replies.
 
     `incarnation` must be greater than in any earlier run of this holder.
-    `is_first_start` says that no earlier run ever voted, so that being empty is
-    right; it needs a durable mark. Otherwise the holder starts to vote after
-    `merge_catch_up` has heard enough others, or once `ttl_s` has passed, when
-    everything that it may have forgotten has expired.
+    `is_first_start` states that no earlier run ever voted, so that an empty state is
+    correct; this must be derived from a durable marker. Otherwise the holder starts to
+    vote after `merge_catch_up` has received the records of enough other holders, or
+    after `ttl_s`, when every claim that it may have lost has expired.
     """
 
     def __init__(
@@ -112,7 +115,7 @@
         return len(self._entries)
 
     def is_voting(self, now_s: float) -> bool:
-        """Tell whether this holder may vote."""
+        """Return whether this holder may vote."""
         if self._is_stopped:
             return False
         if not self._voting and now_s - self.started_s >= self.policy.ttl_s:
@@ -120,12 +123,12 @@
         return self._voting
 
     def catch_up_quorum(self) -> int:
-        """Return how many other holders must be read before voting."""
+        """Return how many other holders must be read before this one may vote."""
         count = len(self.holder_ids)
         return count - majority_of(count) + 1
 
     def order(self, message: Order, now_s: float) -> OrderReply:
-        """First phase: promise to take no write below the ballot."""
+        """First phase: promise to accept no write below the ballot."""
         if not self.is_voting(now_s):
             return OrderReply(Rejection.NOT_VOTING, self.incarnation)
         entry = self._find(message.key, now_s)
@@ -146,7 +149,7 @@
         )
 
     def write(self, message: Write, now_s: float) -> WriteReply:
-        """Second phase: accept the value under the very ballot promised."""
+        """Second phase: accept the value if its ballot is the one promised."""
         if not self.is_voting(now_s):
             return WriteReply(Rejection.NOT_VOTING, self.incarnation)
         if not self._are_promises_current(message.promises):
@@ -159,10 +162,10 @@
         return WriteReply(Rejection.NONE, self.incarnation, entry.promised)
 
     def record(self, message: Record, now_s: float) -> RecordReply:
-        """Keep how the owner's request ended.
+        """Store the outcome of the request that owns the key.
 
-        An outcome other than `not-run` comes from a request that was granted the
-        key, so a holder that was passed over may learn the value with it.
+        An outcome other than `not-run` implies that the request was granted the key,
+        so a holder that missed the write may adopt the value from this message.
         """
         if not self.is_voting(now_s):
             return RecordReply(Rejection.NOT_VOTING, self.incarnation)
@@ -181,10 +184,10 @@
         return RecordReply(Rejection.NONE, self.incarnation)
 
     def read_all(self, message: CatchUpRead, now_s: float) -> CatchUpReply:
-        """Give all records to a holder that restarted.
+        """Return all records to a restarted holder.
 
-        From here on no write is taken that rests on a promise of its older
-        incarnations: what that one accepted is lost.
+        From then on this holder rejects writes that depend on a promise of an older
+        incarnation of the restarted one, because what those accepted is lost.
         """
         if not self.is_voting(now_s):
             return CatchUpReply(Rejection.NOT_VOTING, self.holder_id, self.incarnation)
@@ -198,7 +201,7 @@
         )
 
     def merge_catch_up(self, reply: CatchUpReply, now_s: float) -> bool:
-        """Take over another holder's records; return whether voting may start."""
+        """Merge the records of another holder; return whether this holder may vote."""
         is_other = reply.holder_id in self.holder_ids and reply.holder_id != self.holder_id
         if reply.rejection != Rejection.NONE or not is_other or self._voting:
             return self.is_voting(now_s)
@@ -212,9 +215,9 @@
         return self._voting
 
     def stop(self, now_s: float) -> HolderMemory | None:
-        """Vote no more, and return what to keep over a clean stop.
+        """Stop voting, and return the state to be stored for the next start.
 
-        `None` comes from a holder that does not know all that it promised.
+        Return `None` if this holder is not voting, as it may then lack promises.
         """
         if not self.is_voting(now_s):
             self._is_stopped = True
@@ -223,10 +226,10 @@
         return HolderMemory(self.holder_ids, self._known_incarnations(), self._live_records(now_s))
 
     def resume(self, memory: HolderMemory, now_s: float) -> bool:
-        """Go on from what was kept at a clean stop; tell whether voting may start.
+        """Restore the state stored at a clean stop; return whether this holder may vote.
 
-        How long the stop took is not known, so lives are lengthened by it. Under
-        another set of holders the memory says too little.
+        The downtime is unknown, so the lifetime of each claim is extended by it. The
+        state is ignored if the set of holders has changed, as it is then incomplete.
         """
         if memory.holder_ids != self.holder_ids or self._entries:
             return self.is_voting(now_s)
@@ -238,7 +241,7 @@
         return True
 
     def _live_records(self, now_s: float) -> tuple[ClaimRecord, ...]:
-        """Return all records whose life is not over."""
+        """Return all records that have not expired."""
         return tuple(
             ClaimRecord(key, now_s - entry.created_s, entry.promised, entry.accepted, entry.outcome)
             for key, entry in self._entries.items()
@@ -246,7 +249,7 @@
         )
 
     def _merge_record(self, record: ClaimRecord, now_s: float) -> None:
-        """Take over one key: the higher promise, the higher ballot, the outcome."""
+        """Merge a record: keep the higher promise, the higher ballot and the outcome."""
         entry = self._entries.setdefault(record.key, _Entry(now_s - record.age_s))
         entry.created_s = min(entry.created_s, now_s - record.age_s)
         self._raise_promise(entry, record.promised)
@@ -257,11 +260,11 @@
             self._store_outcome(entry, record.outcome)
 
     def _known_incarnations(self) -> tuple[Promise, ...]:
-        """Return the newest incarnations heard of."""
+        """Return the newest known incarnation of each holder."""
         return tuple(Promise(*item) for item in self._incarnations.items())
 
     def _are_promises_current(self, promises: tuple[Promise, ...]) -> bool:
-        """Tell whether no promise is of a forgotten incarnation, and ours is there."""
+        """Return whether no promise is of an outdated incarnation and this holder's is included."""
         if Promise(self.holder_id, self.incarnation) not in promises:
             return False
         return all(
@@ -270,20 +273,20 @@
         )
 
     def _record_incarnation(self, promise: Promise) -> None:
-        """Remember the newest incarnation of a holder."""
+        """Record the newest incarnation of a holder."""
         known = self._incarnations.get(promise.holder_id, promise.incarnation)
         self._incarnations[promise.holder_id] = max(known, promise.incarnation)
 
     def _accept(self, entry: _Entry, accepted: Accepted) -> None:
-        """Replace the accepted value, and with it the outcome of another one."""
+        """Replace the accepted value; the outcome of a different value is dropped."""
         if entry.accepted is not None and entry.accepted.value != accepted.value:
             self._release_outcome(entry)
         entry.accepted = accepted
 
     def _adopt_accepted(self, entry: _Entry, accepted: Accepted) -> None:
-        """Take a value heard of when its ballot is above that of ours.
+        """Adopt a value accepted elsewhere if its ballot is higher than that of our value.
 
-        A value taken binds like a promise of its ballot.
+        An adopted value is binding like a promise of its ballot.
         """
         self._raise_promise(entry, accepted.ballot)
         if entry.accepted is None or entry.accepted.ballot < accepted.ballot:
@@ -295,12 +298,12 @@
             entry.promised = ballot
 
     def _invalidate_promise(self, entry: _Entry, request_id: str) -> None:
-        """Raise the promise above a request that gave up, so that no late write of it counts."""
+        """Raise the promise above the ballot of an abandoned request, to reject a late write."""
         if entry.promised is not None and entry.promised.request_id == request_id:
             entry.promised = Ballot(entry.promised.counter + 1, "")
 
     def _find(self, key: str, now_s: float) -> _Entry | None:
-        """Return a key's entry, forgetting it when its life is over."""
+        """Return the entry of a key; an expired entry is removed."""
         entry = self._entries.get(key)
         if entry is not None and self._is_expired(entry, now_s):
             self._remove_entry(key)
@@ -308,14 +311,14 @@
         return entry
 
     def _is_expired(self, entry: _Entry, now_s: float) -> bool:
-        """Tell whether an entry's life is over."""
+        """Return whether an entry has expired."""
         return now_s - entry.created_s >= self.policy.ttl_s
 
     def _has_capacity(self, now_s: float) -> bool:
-        """Forget a few expired entries and tell whether a new one fits.
+        """Remove some expired entries and return whether a new one fits.
 
-        Entries stand roughly in the order of their age, so the first few tell;
-        live ones are never forgotten to make room.
+        Entries are roughly ordered by age, so checking the first few suffices.
+        Entries that have not expired are never evicted.
         """
         oldest = [key for key, _ in zip(self._entries, range(EXPIRY_SCAN_ENTRIES), strict=False)]
         for key in oldest:
@@ -324,17 +327,17 @@
         return len(self._entries) < self.policy.max_records
 
     def _remove_entry(self, key: str) -> None:
-        """Drop an entry and the bytes it holds."""
+        """Remove an entry and release the bytes of its answer."""
         self._release_outcome(self._entries.pop(key))
 
     def _release_outcome(self, entry: _Entry) -> None:
-        """Drop an entry's outcome and give its bytes back."""
+        """Drop the outcome of an entry and release the bytes of its answer."""
         if entry.outcome is not None and entry.outcome.answer is not None:
             self._answers_bytes -= len(entry.outcome.answer.body)
         entry.outcome = None
 
     def _store_outcome(self, entry: _Entry, outcome: Outcome) -> None:
-        """Keep an outcome, its answer's body only within the bounds."""
+        """Store an outcome; the body of its answer only if it is within the limits."""
         if entry.outcome is not None:
             return
         answer = outcome.answer
@@ -349,5 +352,5 @@
 
 
 def _without_body(answer: StoredAnswer) -> StoredAnswer:
-    """Keep all of an answer but its body."""
+    """Return an answer without its body."""
     return answer._replace(body=b"", complete=False)
--- a/packages/decisions/src/damaskwind/decisions/claims/key.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/key.py
@@ -1,4 +1,4 @@
-"""Name a claim: the caller's key within its account, at a fixed size."""
+"""Derive the fixed-size key of a claim from an account and its idempotency key."""
 
 from hashlib import blake2b
 
@@ -9,10 +9,10 @@
 
 
 def claim_key(account: str, idempotency_key: str) -> str:
-    """Return the name under which holders know an account's key.
+    """Return the key under which holders store the idempotency key of an account.
 
-    The account is mixed in, so that accounts never meet, and the size is fixed,
-    so that a caller's long key takes no more of a holder's memory.
+    The account is part of the hash, so keys of different accounts differ. The
+    size is fixed, so a long key of a caller takes no more of a holder's memory.
 
     >>> claim_key("a", "k") == claim_key("b", "k")
     False
@@ -24,6 +24,6 @@
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
-    """Return the digest by which a resend is known to be the same request."""
+    """Return the digest that identifies a resend as the same request."""
     head = method.encode() + _SEPARATOR + path.encode() + _SEPARATOR
     return blake2b(head + body, digest_size=_DIGEST_BYTES).hexdigest()
--- a/packages/decisions/src/damaskwind/decisions/claims/messages.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/messages.py
@@ -1,4 +1,4 @@
-"""The messages between claim proposers and holders, and what a claim yields."""
+"""Messages between claim proposers and holders, and the outcomes of a claim."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -29,24 +29,24 @@
 
 
 class Ballot(NamedTuple):
-    """Orders the attempts on one key; `request_id` makes it unique."""
+    """The ballot of an attempt on a key; `request_id` makes it unique."""
 
     counter: int
     request_id: str
 
 
 class ClaimValue(NamedTuple):
-    """What is decided for a key: the request that may run and its body's digest."""
+    """The value decided for a key: the request that may run and the digest of its body."""
 
     request_id: str
     request_digest: str
 
 
 class StoredAnswer(NamedTuple):
-    """The answer kept for resends.
+    """The answer stored for resends of a request.
 
-    When the body was over the bound, `body` is empty and `complete` is false;
-    `body_digest` still tells what it was.
+    If the body exceeded the size limit, `body` is empty and `complete` is false;
+    `body_digest` is still that of the whole body.
     """
 
     http_status: int
@@ -57,21 +57,21 @@
 
 
 class Outcome(NamedTuple):
-    """How the owner's request ended; `not-run` means that it never will run."""
+    """The outcome of the request that owns a key; `not-run` means it will never run."""
 
     verdict: Verdict
     answer: StoredAnswer | None = None
 
 
 class Accepted(NamedTuple):
-    """The value that a holder accepted last, and the ballot it came with."""
+    """The value that a holder accepted last, with its ballot."""
 
     ballot: Ballot
     value: ClaimValue
 
 
 class Rejection(StrEnum):
-    """Name why a holder refuses a message; `NONE` means that it took it."""
+    """The reason why a holder rejects a message; `NONE` if it accepted the message."""
 
     NONE = ""
     STALE_BALLOT = "stale_ballot"
@@ -82,23 +82,23 @@
 
 
 class Order(NamedTuple):
-    """First phase: ask a holder to take no write below `ballot`."""
+    """First phase: ask a holder to accept no write below `ballot`."""
 
     key: str
     ballot: Ballot
 
 
 class Promise(NamedTuple):
-    """A holder's promise together with the incarnation that gave it."""
+    """The promise of a holder, identified by the holder and its incarnation."""
 
     holder_id: str
     incarnation: int
 
 
 class OrderReply(NamedTuple):
-    """A promise, or a rejection with the highest ballot promised.
+    """A promise, or a rejection with the highest ballot promised so far.
 
-    `incarnations` are the newest ones that the holder has heard of.
+    `incarnations` are the newest incarnations of holders that are known to this one.
     """
 
     rejection: Rejection
@@ -112,7 +112,7 @@
 class Write(NamedTuple):
     """Second phase: ask a holder to accept `value`.
 
-    `promises` names every holder whose promise the write rests on.
+    `promises` contains every promise that the write depends on.
     """
 
     key: str
@@ -122,7 +122,7 @@
 
 
 class WriteReply(NamedTuple):
-    """Whether a holder accepted a write."""
+    """The reply of a holder to a write."""
 
     rejection: Rejection
     incarnation: int
@@ -130,7 +130,7 @@
 
 
 class Record(NamedTuple):
-    """Tell a holder how the owner's request ended."""
+    """Report the outcome of the request that owns a key to a holder."""
 
     key: str
     accepted: Accepted
@@ -138,14 +138,14 @@
 
 
 class RecordReply(NamedTuple):
-    """Whether a holder keeps the outcome."""
+    """The reply of a holder to the record of an outcome."""
 
     rejection: Rejection
     incarnation: int
 
 
 class ClaimRecord(NamedTuple):
-    """One key as a holder hands it to another that catches up."""
+    """The state of a key that a holder sends to a holder that catches up."""
 
     key: str
     age_s: float
@@ -155,14 +155,14 @@
 
 
 class CatchUpRead(NamedTuple):
-    """A restarted holder asks for all records and announces its incarnation."""
+    """Request all records for a restarted holder, announcing its incarnation."""
 
     holder_id: str
     incarnation: int
 
 
 class CatchUpReply(NamedTuple):
-    """All records of a voting holder, and the incarnations it knows."""
+    """All records of a voting holder, and the incarnations known to it."""
 
     rejection: Rejection
     holder_id: str
@@ -172,7 +172,7 @@
 
 
 class ClaimKind(StrEnum):
-    """Name what a claim yielded."""
+    """The kind of the outcome of a claim."""
 
     GRANTED = "granted"
     DONE = "done"
@@ -182,10 +182,10 @@
 
 
 class ClaimOutcome(NamedTuple):
-    """What the router does with a claimed request.
+    """The outcome of a claim, which determines how the router handles the request.
 
-    `GRANTED`: run it, then record its outcome with `accepted`. `DONE`: answer with
-    `answer`. All other kinds come with the `refusal` to send.
+    `GRANTED`: run the request, then record its outcome with `accepted`. `DONE`: return
+    `answer`. All other kinds carry the `refusal` to return.
     """
 
     kind: ClaimKind
@@ -195,7 +195,7 @@
 
 
 class HolderMemory(NamedTuple):
-    """All that a holder must not forget, as it stopped."""
+    """The state of a holder to be stored at a clean stop."""
 
     holder_ids: tuple[str, ...]
     incarnations: tuple[Promise, ...]
--- a/packages/decisions/src/damaskwind/decisions/claims/proposer.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/proposer.py
@@ -1,10 +1,10 @@
-"""Propose a claim on one key to its holders; messages out, replies in.
+"""Propose a claim on a key to its holders: replies in, messages out.
 
-A round is an order to every holder and then a write to the majority that
-promised first. The value proposed is that with the highest ballot among the
-promises, so that a decision once made stays; only a value whose own request has
-been recorded as `not-run`, and so never will run, may be replaced. A claim that
-ends without a majority is dead in the same way: its request never runs.
+A round consists of an order to every holder and then a write to the majority that
+promised first. It proposes the value with the highest ballot among the promises, so a
+decision is never changed. Only a value whose request was recorded as `not-run`, and
+so will never run, may be replaced. A claim that ends without a majority is abandoned
+in the same way: its request never runs.
 """
 
 from collections.abc import Sequence
@@ -37,7 +37,7 @@
 
 
 class Phase(StrEnum):
-    """Name where a round stands."""
+    """The phase of a round."""
 
     ORDERING = "ordering"
     WRITING = "writing"
@@ -46,20 +46,20 @@
 
 
 class Step(NamedTuple):
-    """What to send now, each message to its holder, and the end if reached."""
+    """The messages to send, each with its holder, and the outcome once there is one."""
 
     messages: tuple[tuple[str, Order | Write], ...] = ()
     outcome: ClaimOutcome | None = None
 
 
 def no_quorum(detail: str) -> ClaimOutcome:
-    """Return the outcome of a claim that no majority of holders answered."""
+    """Return the outcome of a claim without replies of a majority of holders."""
     refusal = Refusal(Reason.NO_QUORUM, Verdict.NOT_RUN, detail, NO_QUORUM_RETRY_AFTER_S)
     return ClaimOutcome(ClaimKind.NO_QUORUM, refusal=refusal)
 
 
 class _Promised(NamedTuple):
-    """A promise as it came back."""
+    """A promise received from a holder, with the value and outcome that it reported."""
 
     promise: Promise
     accepted: Accepted | None
@@ -67,11 +67,11 @@
 
 
 class ClaimProposer:
-    """Run rounds for one claim until it is decided or given up.
+    """Runs the rounds of a claim until it is decided or abandoned.
 
-    Start a round with `start_round`, feed replies to `handle_reply` (`None` for a
-    holder that failed to answer), and when `phase` is `FAILED` start another
-    after a pause.
+    Start a round with `start_round` and pass each reply to `handle_reply` (`None` for
+    a holder that did not reply). If `phase` is `FAILED`, start another round after a
+    pause.
     """
 
     def __init__(self, key: str, value: ClaimValue, holder_ids: Sequence[str]) -> None:
@@ -85,7 +85,7 @@
         self._reset_replies()
 
     def _reset_replies(self) -> None:
-        """Forget the replies of the phase before."""
+        """Clear the replies counted so far."""
         self._promised: dict[str, _Promised] = {}
         self._incarnations: dict[str, int] = {}
         self._acceptors: set[str] = set()
@@ -93,7 +93,7 @@
         self._proposal: Accepted | None = None
 
     def start_round(self) -> Step:
-        """Start a round with a ballot above every one heard of."""
+        """Start a round with a ballot higher than any known one."""
         self._counter += 1
         self.ballot = Ballot(self._counter, self.value.request_id)
         self._reset_replies()
@@ -104,7 +104,7 @@
     def handle_reply(
         self, holder_id: str, ballot: Ballot, reply: OrderReply | WriteReply | None
     ) -> Step:
-        """Take the reply to a message sent under `ballot`."""
+        """Process the reply to a message sent with `ballot`; return the next step."""
         if ballot != self.ballot or self.phase in (Phase.FAILED, Phase.DECIDED):
             return Step()
         if reply is None or reply.rejection != Rejection.NONE:
@@ -114,10 +114,9 @@
         return self._count_acceptance(holder_id, reply)
 
     def _count_failure(self, holder_id: str, reply: OrderReply | WriteReply | None) -> Step:
-        """Count a holder out; the round fails when no majority is left.
+        """Count a failed holder; the round fails once a majority is out of reach.
 
-        While writing, the late failures of holders that were not written to say
-        nothing.
+        During the write phase, late failures of holders that got no write are ignored.
         """
         if self.phase == Phase.WRITING and holder_id not in self._promised:
             return Step()
@@ -131,7 +130,7 @@
         return Step()
 
     def _count_promise(self, holder_id: str, reply: OrderReply) -> Step:
-        """Count a promise; with a majority choose the value and write it."""
+        """Count a promise; once there is a majority, choose the value and write it."""
         if self.phase != Phase.ORDERING:
             return Step()
         promise = Promise(holder_id, reply.incarnation)
@@ -145,14 +144,14 @@
         return self._choose_value()
 
     def _drop_stale_promises(self) -> None:
-        """Drop promises of incarnations that another holder knows to be over."""
+        """Drop promises of incarnations that another holder reported as outdated."""
         for holder_id, item in list(self._promised.items()):
             if item.promise.incarnation < self._incarnations[holder_id]:
                 del self._promised[holder_id]
                 self._count_failure(holder_id, None)
 
     def _choose_value(self) -> Step:
-        """Choose the value of the highest ballot, or our own when there is none."""
+        """Choose the value with the highest ballot, or our own if none was accepted."""
         found = [item for item in self._promised.values() if item.accepted is not None]
         highest = max(found, key=lambda item: item.accepted.ballot, default=None)
         value = self.value
@@ -166,7 +165,7 @@
         return self._write(value)
 
     def _outcome_of(self, value: ClaimValue) -> Outcome | None:
-        """Return the recorded outcome of a value, from whichever holder knows it."""
+        """Return the outcome of a value, recorded by any of the holders, or None."""
         for item in self._promised.values():
             if item.accepted is not None and item.accepted.value == value and item.outcome:
                 return item.outcome
@@ -182,7 +181,7 @@
         return Step(tuple((holder_id, message) for holder_id in self._promised))
 
     def _count_acceptance(self, holder_id: str, reply: WriteReply) -> Step:
-        """Count an acceptance; a majority of them decides."""
+        """Count an acceptance; a majority of acceptances decides the value."""
         promised = self._promised.get(holder_id)
         if promised is None or promised.promise.incarnation != reply.incarnation:
             return self._count_failure(holder_id, None)
@@ -192,7 +191,7 @@
         return self._decide(self._proposal, None)
 
     def _decide(self, accepted: Accepted, recorded_outcome: Outcome | None) -> Step:
-        """End with what the decided value means for our request."""
+        """Return the outcome of our request, given the decided value."""
         self.phase = Phase.DECIDED
         if accepted.value.request_id == self.value.request_id:
             return Step(outcome=ClaimOutcome(ClaimKind.GRANTED, accepted))
@@ -215,7 +214,7 @@
 
 
 def _in_use(accepted: Accepted, recorded_outcome: Outcome | None) -> ClaimOutcome:
-    """Refuse a key whose first request has no answer to give, or not yet."""
+    """Refuse a key whose first request is still running or has no stored answer."""
     verdict = recorded_outcome.verdict if recorded_outcome else Verdict.MAY_HAVE_RUN
     detail = f"the key belongs to request {accepted.value.request_id}"
     answer: StoredAnswer | None = recorded_outcome.answer if recorded_outcome else None
--- a/packages/decisions/src/damaskwind/decisions/claims/tests/fuzzing.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/fuzzing.py
@@ -1,4 +1,4 @@
-"""Run random histories of claims for as long as asked."""
+"""Fuzz claims with random histories, within limits of time and count."""
 
 from itertools import count
 from time import monotonic
@@ -12,7 +12,7 @@
 
 
 class FuzzResult(NamedTuple):
-    """What a run gave; `first_failed` is a history's number in it."""
+    """Result of a fuzzing run; `first_failed` is the number of the failed history in it."""
 
     histories: int
     duration_s: float
@@ -21,7 +21,7 @@
 
 
 def fuzz_claims(seed: int, seconds: float, histories: int, bug: str | None = None) -> FuzzResult:
-    """Run histories of consecutive seeds until the time or the count is used up."""
+    """Run histories with consecutive seeds until the limit of time or count, or a failure."""
     holder_class = SEEDED_FAULTS[bug] if bug else ClaimHolder
     started_s = monotonic()
     for number in count():
--- a/packages/decisions/src/damaskwind/decisions/claims/tests/histories.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/histories.py
@@ -1,8 +1,9 @@
 """Random histories of claims: drops, duplicates, restarts and racing requests.
 
-The network is a bag of messages from which any may be delivered, once or
-twice, or dropped. Requests for one key race; holders restart empty under a new
-incarnation. The oracle is the list of the requests that ran.
+The network is an unordered set of messages, each of which may be delivered, duplicated
+or dropped. Several requests race for one key. Holders restart without state under a
+new incarnation, or with the state of a clean stop. The oracle is the list of the
+requests that ran.
 """
 
 from random import Random
@@ -33,7 +34,7 @@
 
 
 class Envelope(NamedTuple):
-    """A message on its way; `ballot` ties a reply to its round."""
+    """A message in transit; `ballot` associates a reply with its round."""
 
     source: str
     destination: str
@@ -42,7 +43,7 @@
 
 
 class History:
-    """One seeded history of requests that race for one key."""
+    """A seeded history of requests that race for one key."""
 
     loads_stale_file = False
 
@@ -77,7 +78,7 @@
         )
 
     def run(self) -> "History":
-        """Run until nothing can change any more: who decided takes no reply."""
+        """Run until every request is decided, as a decided request ignores replies."""
         for _ in range(STEPS):
             self.step()
             if self.may_be_finished and self.is_finished():
@@ -85,7 +86,7 @@
         return self
 
     def is_finished(self) -> bool:
-        """Tell whether every request is decided."""
+        """Return whether every request is decided."""
         self.may_be_finished = False
         return all(item.phase == Phase.DECIDED for item in self.requests.values())
 
@@ -101,7 +102,7 @@
             self.deliver()
 
     def restart(self, name: str) -> None:
-        """Restart a holder, empty or with what it kept at a clean stop."""
+        """Restart a holder, without state or with the state of a clean stop."""
         old = self.holders[name]
         holder = self.make_holder(name, old.incarnation + 1, False)
         self.holders[name] = holder
@@ -115,9 +116,9 @@
         self.request_catch_up()
 
     def request_catch_up(self) -> None:
-        """Let a holder that does not vote ask all others."""
-        silent = [name for name in self.holder_ids if not self.holders[name].is_voting(0.0)]
-        for name in silent:
+        """Let each holder that does not vote request the records of all others."""
+        not_voting = [name for name in self.holder_ids if not self.holders[name].is_voting(0.0)]
+        for name in not_voting:
             read = CatchUpRead(name, self.holders[name].incarnation)
             others = (other for other in self.holder_ids if other != name)
             self.network += [Envelope(name, other, read) for other in others]
@@ -139,7 +140,7 @@
             self.network.append(Envelope(name, holder_id, message, message.ballot))
 
     def deliver(self) -> None:
-        """Deliver one message; leave a duplicate behind now and then, or drop it."""
+        """Deliver a message, or drop it; sometimes leave a duplicate in the network."""
         index = self.pick_message()
         draw = self.random.random()
         duplicate = draw < self.duplicate_share
@@ -154,7 +155,7 @@
             self.deliver_to_request(envelope)
 
     def pick_message(self) -> int:
-        """Pick a message: a catch-up in haste, seldom one of a link that is slow here."""
+        """Pick a message: with some probability a catch-up message, rarely one of a slow link."""
         if self.catch_up_count and self.random.random() < self.catch_up_share:
             for index, envelope in enumerate(self.network):
                 if type(envelope.message) in CATCH_UP:
@@ -197,7 +198,7 @@
             self.run_granted(envelope.destination)
 
     def run_granted(self, name: str) -> None:
-        """Run a granted request, or find no target for it."""
+        """Run a granted request, or let it end without a target."""
         verdict = self.random.choice((Verdict.RAN, Verdict.RAN, Verdict.NOT_RUN))
         if verdict == Verdict.RAN:
             self.ran.append(name)
@@ -205,7 +206,7 @@
             self.record_outcome(name, verdict)
 
     def record_outcome(self, name: str, verdict: Verdict) -> None:
-        """Record a request's outcome; one that gave up takes no reply from then on."""
+        """Record the outcome of a request, which ignores replies from then on."""
         request = self.requests[name]
         request.phase = Phase.DECIDED
         self.may_be_finished = True
@@ -216,7 +217,7 @@
 def find_violation(
     holder_class: type, histories: int, first_seed: int = 0, history_class: type = History
 ) -> int | None:
-    """Return the first seed whose history ran a key twice, or `None`."""
+    """Return the first seed whose history ran two requests of a key, or `None`."""
     for seed in range(first_seed, first_seed + histories):
         if len(history_class(seed, holder_class).run().ran) > 1:
             return seed
--- a/packages/decisions/src/damaskwind/decisions/claims/tests/seeded_faults.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Holders and histories with a fault put in on purpose, by name."""
+"""Holders and histories with a seeded fault, by name."""
 
 from damaskwind.decisions.claims.holder import ClaimHolder
 from damaskwind.decisions.claims.tests.histories import History
@@ -7,28 +7,28 @@
 
 
 class IgnoresIncarnations(ClaimHolder):
-    """Counts promises of incarnations that were forgotten."""
+    """Accepts writes that depend on promises of outdated incarnations."""
 
     def _are_promises_current(self, promises):
         return True
 
 
 class SkipsCatchUp(ClaimHolder):
-    """Votes as soon as it restarted."""
+    """Votes right after a restart."""
 
     def is_voting(self, now_s):
         return True
 
 
 class CatchesUpFromOne(ClaimHolder):
-    """Reads too few others."""
+    """Reads too few other holders before it votes."""
 
     def catch_up_quorum(self):
         return 1
 
 
 class TakesStaleWrites(ClaimHolder):
-    """Accepts below its promise."""
+    """Accepts writes below its promise."""
 
     def write(self, message, now_s):
         entry = self._find(message.key, now_s)
@@ -38,7 +38,7 @@
 
 
 class LoadsStaleFile(History):
-    """Holders go on from an old clean stop after a crash."""
+    """Restores the state of an earlier clean stop after a crash."""
 
     loads_stale_file = True
 
--- a/packages/decisions/src/damaskwind/decisions/claims/tests/test_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""No key ever gets two owners, over random histories; and seeded faults are found."""
+"""Check over random histories that no key gets two owners, and that seeded faults are found."""
 
 from collections import Counter
 from unittest import TestCase
@@ -24,12 +24,12 @@
         self.assertGreater(ran, HISTORIES // 4)
         self.assertGreater(kinds[ClaimKind.IN_USE], HISTORIES // 10)
 
-    def test_the_same_histories_find_seeded_faults(self):
+    def test_the_same_histories_find_the_seeded_faults(self):
         for name, holder_class in SEEDED_FAULTS.items():
             with self.subTest(fault=name):
                 self.assertIsNotNone(find_violation(holder_class, HISTORIES))
 
-    def test_a_stale_file_of_a_clean_stop_is_found(self):
+    def test_restoring_a_stale_clean_stop_is_found(self):
         found = find_violation(ClaimHolder, 40, STALE_FROM_SEED, LoadsStaleFile)
         self.assertIsNotNone(found)
         self.assertIsNone(find_violation(ClaimHolder, 40, STALE_FROM_SEED))
--- a/packages/decisions/src/damaskwind/decisions/claims/tests/test_holder.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/test_holder.py
@@ -36,14 +36,14 @@
 
 
 def accept(holder, key="k", ballot=FIRST, value=VALUE, now_s=0.0):
-    """Have a holder promise and accept a value by itself."""
+    """Let a single holder promise and accept a value."""
     holder.order(Order(key, ballot), now_s)
     promises = (Promise(holder.holder_id, holder.incarnation),)
     return holder.write(Write(key, ballot, value, promises), now_s)
 
 
 def claim(holders, value, key="k", now_s=0.0):
-    """Run up to three rounds against holders that answer at once."""
+    """Run up to three rounds against holders that reply at once."""
     proposer = ClaimProposer(key, value, IDS)
     for _ in range(3):
         outcome = run_round(proposer, holders, now_s)
@@ -72,20 +72,20 @@
     def test_restarted_holder_votes_after_enough_reads(self):
         others = [make("h1"), make("h2")]
         accept(others[0])
-        late = make("h0", 2, first=False)
-        self.assertEqual(late.order(Order("k", Ballot(9, "x")), 0.0).rejection, "not_voting")
+        restarted = make("h0", 2, first=False)
+        self.assertEqual(restarted.order(Order("k", Ballot(9, "x")), 0.0).rejection, "not_voting")
         read = CatchUpRead("h0", 2)
-        self.assertFalse(late.merge_catch_up(others[0].read_all(read, 0.0), 0.0))
-        self.assertFalse(late.merge_catch_up(others[0].read_all(read, 0.0), 0.0))
-        self.assertTrue(late.merge_catch_up(others[1].read_all(read, 0.0), 0.0))
-        self.assertEqual(late.order(Order("k", Ballot(9, "x")), 0.0).accepted.value, VALUE)
+        self.assertFalse(restarted.merge_catch_up(others[0].read_all(read, 0.0), 0.0))
+        self.assertFalse(restarted.merge_catch_up(others[0].read_all(read, 0.0), 0.0))
+        self.assertTrue(restarted.merge_catch_up(others[1].read_all(read, 0.0), 0.0))
+        self.assertEqual(restarted.order(Order("k", Ballot(9, "x")), 0.0).accepted.value, VALUE)
 
-    def test_reads_needed(self):
+    def test_number_of_reads_required(self):
         for count, needed in ((1, 1), (3, 2), (5, 3)):
             ids = tuple(f"h{number}" for number in range(count))
             self.assertEqual(make(ids=ids).catch_up_quorum(), needed)
 
-    def test_two_that_lost_everything_wait_for_the_life_of_claims(self):
+    def test_two_holders_without_state_wait_until_all_claims_have_expired(self):
         one, two = make("h0", 2, False, 50.0), make("h1", 2, False, 50.0)
         reply = two.read_all(CatchUpRead("h0", 2), 60.0)
         self.assertEqual(reply.rejection, Rejection.NOT_VOTING)
@@ -94,19 +94,19 @@
         self.assertTrue(one.is_voting(150.0))
 
     def test_catch_up_carries_promises(self):
-        other, late = make("h1"), make("h0", 2, first=False)
+        other, restarted = make("h1"), make("h0", 2, first=False)
         other.order(Order("k", Ballot(5, "p")), 0.0)
         for holder in (other, make("h2")):
-            late.merge_catch_up(holder.read_all(CatchUpRead("h0", 2), 0.0), 0.0)
-        self.assertEqual(late.order(Order("k", Ballot(4, "q")), 0.0).rejection, "stale_ballot")
+            restarted.merge_catch_up(holder.read_all(CatchUpRead("h0", 2), 0.0), 0.0)
+        self.assertEqual(restarted.order(Order("k", Ballot(4, "q")), 0.0).rejection, "stale_ballot")
 
-    def test_accepted_value_learned_binds_like_a_promise(self):
-        late = make()
-        dead = Accepted(Ballot(5, "a"), ClaimValue("a", "digest"))
-        late.record(Record("k", dead, Outcome(Verdict.MAY_HAVE_RUN)), 0.0)
-        self.assertEqual(late.order(Order("k", Ballot(4, "q")), 0.0).rejection, "stale_ballot")
+    def test_adopted_value_is_binding_like_a_promise(self):
+        holder = make()
+        accepted = Accepted(Ballot(5, "a"), ClaimValue("a", "digest"))
+        holder.record(Record("k", accepted, Outcome(Verdict.MAY_HAVE_RUN)), 0.0)
+        self.assertEqual(holder.order(Order("k", Ballot(4, "q")), 0.0).rejection, "stale_ballot")
 
-    def test_write_resting_on_a_forgotten_promise_is_refused(self):
+    def test_write_that_depends_on_a_lost_promise_is_rejected(self):
         holder = make("h1")
         ballot = Ballot(1, "r0")
         holder.order(Order("k", ballot), 0.0)
@@ -116,7 +116,7 @@
         new = old._replace(promises=(Promise("h0", 2), Promise("h1", 1)))
         self.assertEqual(holder.write(new, 0.0).rejection, Rejection.NONE)
 
-    def test_full_holder_refuses_new_keys_and_forgets_only_expired_ones(self):
+    def test_full_holder_rejects_new_keys_and_evicts_only_expired_ones(self):
         holder = make()
         for number in range(3):
             accept(holder, f"k{number}", now_s=float(number))
@@ -125,7 +125,7 @@
         self.assertEqual(holder.order(Order("new", Ballot(1, "x")), 100.5).rejection, "")
         self.assertEqual(len(holder), 3)
 
-    def test_answers_are_bounded_one_by_one_and_together(self):
+    def test_answers_are_limited_individually_and_in_total(self):
         holder = make()
         kept = {}
         for number, body in enumerate((b"12345678901", b"1234567890", b"123456")):
@@ -137,14 +137,14 @@
             kept[number] = reply.outcome.answer.complete
         self.assertEqual(kept, {0: False, 1: True, 2: False})
 
-    def test_late_write_of_a_request_that_gave_up_is_refused(self):
+    def test_late_write_of_an_abandoned_request_is_rejected(self):
         holder = make()
         ballot = Ballot(1, "r0")
         holder.order(Order("k", ballot), 0.0)
         gone = Record("k", Accepted(ballot, VALUE), Outcome(Verdict.NOT_RUN))
         self.assertEqual(holder.record(gone, 0.0).rejection, Rejection.UNKNOWN)
-        late = holder.write(Write("k", ballot, VALUE, (Promise("h0", 1),)), 0.0)
-        self.assertEqual(late.rejection, Rejection.STALE_BALLOT)
+        reply = holder.write(Write("k", ballot, VALUE, (Promise("h0", 1),)), 0.0)
+        self.assertEqual(reply.rejection, Rejection.STALE_BALLOT)
 
 
 class ProposerTest(TestCase):
@@ -166,7 +166,7 @@
         _, resent = claim(self.holders, ClaimValue("r1", "digest"))
         self.assertEqual((resent.kind, resent.answer.body), (ClaimKind.DONE, b"done"))
 
-    def test_answer_too_large_to_keep_is_told_as_ran(self):
+    def test_answer_too_large_to_store_is_reported_as_ran(self):
         claim(self.holders, VALUE)
         self.record(Outcome(Verdict.RAN, answer(b"x" * 11)))
         _, resent = claim(self.holders, ClaimValue("r1", "digest"))
@@ -178,7 +178,7 @@
         self.assertEqual(other.kind, ClaimKind.MISMATCH)
         self.assertEqual(other.refusal.verdict, Verdict.NOT_RUN)
 
-    def test_key_of_a_request_that_never_ran_is_free_again(self):
+    def test_key_of_a_request_that_never_ran_can_be_claimed_again(self):
         claim(self.holders, VALUE)
         self.record(Outcome(Verdict.NOT_RUN))
         _, second = claim(self.holders, ClaimValue("r1", "digest"))
@@ -191,7 +191,7 @@
         self.assertIsNone(outcome)
         self.assertEqual(proposer.phase, Phase.FAILED)
 
-    def test_promise_that_another_knows_to_be_forgotten_is_dropped(self):
+    def test_promise_that_another_holder_reports_as_outdated_is_dropped(self):
         proposer = ClaimProposer("k", VALUE, IDS)
         order = proposer.start_round().messages[0][1]
         first = self.holders["h0"].order(order, 0.0)
@@ -204,7 +204,7 @@
 
 
 class CleanStopTest(TestCase):
-    def test_holder_goes_on_from_what_it_kept(self):
+    def test_holder_restores_the_stored_state(self):
         stopped = make()
         accept(stopped)
         stopped.record(Record("k", Accepted(FIRST, VALUE), Outcome(Verdict.RAN, answer(b"b"))), 1.0)
@@ -220,7 +220,7 @@
         low = resumed.order(Order("other", Ballot(4, "r9")), 51.0)
         self.assertEqual((low.rejection, low.promised), (Rejection.STALE_BALLOT, later))
 
-    def test_stopped_holder_answers_nothing_and_one_that_forgot_keeps_nothing(self):
+    def test_stopped_holder_does_not_vote_and_one_without_state_stores_nothing(self):
         holder = make()
         holder.stop(1.0)
         late_s = 2.0 + POLICY.ttl_s
@@ -228,7 +228,7 @@
         self.assertEqual(reply.rejection, Rejection.NOT_VOTING)
         self.assertIsNone(make(first=False).stop(1.0))
 
-    def test_memory_of_another_set_of_holders_is_not_enough(self):
+    def test_state_of_another_set_of_holders_is_not_restored(self):
         memory = make().stop(1.0)
         other = make(incarnation=2, first=False, ids=("h0", "h1", "h9"))
         self.assertFalse(other.resume(memory, 2.0))
