--- a/packages/decisions/src/damaskwind/decisions/following/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/following/__init__.py
@@ -1,1 +1,1 @@
-"""How routers follow what the replicas hold; pure."""
+"""Decisions, without I/O, on how routers follow the configuration of the replicas."""
--- a/packages/decisions/src/damaskwind/decisions/following/document_sources.py
+++ b/packages/decisions/src/damaskwind/decisions/following/document_sources.py
@@ -1,10 +1,10 @@
-"""Choose from which replica a router fetches a newer configuration.
+"""Choose the replica from which a router fetches a newer configuration.
 
-All routers hear of a version within a few milliseconds. The leader, which knows
-it first, has its followers to hear from within its lease, so it is asked only
-when no other replica tells of the version soon. The others share the work evenly:
-each router begins with the one that its place among all routers gives it, and has an
-order by highest random weight only as long as no replica told it its place.
+All routers learn of a new version within a few milliseconds. The leader has it first,
+but must receive responses of its followers within its lease. It is therefore asked only
+if no other replica reports the version soon. The other replicas share the load evenly:
+each router starts with the replica selected by its index among all routers. Until a
+replica has reported this index, the router orders replicas by highest random weight.
 """
 
 from typing import NamedTuple
@@ -13,20 +13,21 @@
 
 __all__ = ["DocumentSources", "VersionReport"]
 
-# The followers learn of a version a round trip after the leader, or when its link has
-# sent it to the others before: 21 KB to five of them take 0.43 s at 2 Mbit/s. One that is
-# silent for longer than this after the first word is behind: another one is asked.
+# Time to wait for the preferred source after the first report of a version. Followers
+# receive a version a round trip after the leader, or later if its link sends it to the
+# other ones first: 21 KB to five of them take 0.43 s at 2 Mbit/s. A source that has not
+# reported the version by then lags behind, and another one is asked.
 SOURCE_WAIT_S = 0.3
-# A source that failed is asked again after so long, or when there is no other.
+# A failed source is not asked again for this time, unless there is no other.
 FAILURE_COOLDOWN_S = 1.0
-# How long a restarted router holds out for a replica that is surely current, or
-# for all to be heard, after the first one it heard: the others answer within
+# Time that a restarted router waits, after the first report, for a report of a replica
+# that is certainly current or for the reports of all replicas. The others report within
 # some ms if they can.
 INITIAL_WAIT_S = 0.15
 
 
 class VersionReport(NamedTuple):
-    """What a replica told last, first at `at_s`."""
+    """The last version that a replica reported, and when it first reported that version."""
 
     version: int
     is_current: bool
@@ -35,7 +36,7 @@
 
 
 class DocumentSources:
-    """What each replica told of the configuration, and which to ask for it.
+    """The configuration versions that replicas reported, and the choice of a source.
 
     >>> sources = DocumentSources("router")
     >>> sources.record_version("follower", 6, True, False, now_s=0.0)
@@ -45,7 +46,7 @@
     >>> sources.choose(6, 2, now_s=0.01)
     'follower'
 
-    `router_index` is the router's among all, from 0 on.
+    `router_index` is the index of this router among all routers, starting at 0.
     """
 
     def __init__(self, node_id: str) -> None:
@@ -58,27 +59,27 @@
     def record_version(
         self, host: str, version: int, is_current: bool, leads: bool, now_s: float
     ) -> None:
-        """Note what a replica tells; the time stays that of its first word of a version."""
+        """Record the version that a replica reports, with the time of its first report."""
         if self._first_report_s is None:
             self._first_report_s = now_s
-        before = self._reports.get(host)
-        at_s = before.at_s if before is not None and before.version == version else now_s
+        previous = self._reports.get(host)
+        at_s = previous.at_s if previous is not None and previous.version == version else now_s
         self._reports[host] = VersionReport(version, is_current, leads, at_s)
 
     def remove(self, host: str) -> None:
-        """Wait no longer for a replica that can't be reached."""
+        """Remove an unreachable replica."""
         self._reports.pop(host, None)
 
     def record_failure(self, host: str, now_s: float) -> None:
-        """Note that a document did not come from there."""
+        """Record that fetching a document from a replica failed."""
         self._failed_s[host] = now_s
 
     def has_newer(self, local_version: int) -> bool:
-        """Tell whether any replica told of a newer version."""
+        """Return whether any replica reported a newer version."""
         return any(report.version > local_version for report in self._reports.values())
 
     def choose(self, local_version: int, host_count: int, now_s: float) -> str | None:
-        """Return whom to ask now, or `None` when there is nothing to ask for yet.
+        """Return the replica to ask now, or `None` if there is none to ask yet.
 
         `local_version` is 0 before the first configuration; `host_count` is how many
         replicas are followed.
@@ -93,38 +94,38 @@
         order = self._order(now_s)
         first_report_s = min(report.at_s for report in newer.values())
         best = next(host for host in order if host in newer)
-        # A router without any configuration serves nobody and waits for no better source,
-        # but for the leader's followers.
+        # A router without a configuration can't serve requests, so it does not wait for a
+        # better source, except to spare the leader.
         may_wait = best != order[0] if local_version else self._reports[best].leads
         if may_wait and len(self._reports) > 1 and now_s < first_report_s + SOURCE_WAIT_S:
             return None
         return best
 
     def _order(self, now_s: float) -> list[str]:
-        """Return the replicas, the one to be asked first in front.
+        """Return the replicas in order of preference.
 
-        A hash alone would give some followers twice their share.
+        Ordering by hash alone would give some followers twice their share of routers.
         """
         order = rendezvous_order(self._node_id, self._reports)
         if self.router_index is not None:
             order = sorted(self._reports)
-        first = [host for host in order if self._demotion_key(host, now_s) == (False, False)]
-        turn = (self.router_index or 0) % max(len(first), 1)
-        rest = sorted(set(order) - set(first), key=lambda host: self._demotion_key(host, now_s))
-        return first[turn:] + first[:turn] + rest
+        preferred = [host for host in order if self._demotion_key(host, now_s) == (False, False)]
+        offset = (self.router_index or 0) % max(len(preferred), 1)
+        rest = sorted(set(order) - set(preferred), key=lambda host: self._demotion_key(host, now_s))
+        return preferred[offset:] + preferred[:offset] + rest
 
     def _demotion_key(self, host: str, now_s: float) -> tuple[bool, bool]:
-        """Tell whether a replica failed lately, and whether it leads: others go before it."""
+        """Return a sort key that puts replicas that failed recently, and the leader, last."""
         has_failed = now_s - self._failed_s.get(host, float("-inf")) < FAILURE_COOLDOWN_S
         return (has_failed, self._reports[host].leads)
 
     def _initial_candidates(
         self, newer: dict[str, VersionReport], host_count: int, now_s: float
     ) -> dict[str, VersionReport]:
-        """Return who may tell the first configuration.
+        """Return the reports to choose from when there is no local configuration.
 
-        Where no replica is sure to be current, it is the newest that any of them
-        knows, once all were heard or a while has passed.
+        If no replica is certainly current, these are the reports of the newest version,
+        once all replicas have reported or `INITIAL_WAIT_S` has passed.
         """
         current = {host: report for host, report in newer.items() if report.is_current}
         if current:
--- a/packages/decisions/src/damaskwind/decisions/following/read_redirection.py
+++ b/packages/decisions/src/damaskwind/decisions/following/read_redirection.py
@@ -1,15 +1,15 @@
-"""Choose where an operator reads a configuration: at a replica, or at a router.
+"""Choose whether an operator reads a configuration from a replica or from a router.
 
-The pattern: an operator leaves a call that has not ended after a second. A replica's
-link of 3 Mbit/s carries 375 KB in it, less the news and documents that share it; routers
-hold the same document, many of them behind links that carry more.
+An operator abandons a call that takes longer than a second. In this time a replica's
+link of 3 Mbit/s carries 375 KB, less the updates and documents that share the link.
+Routers have the same document, and many of them have faster links.
 
 >>> from random import Random
->>> places = ReadRedirector(375_000.0, 8101, Random(1))
+>>> redirector = ReadRedirector(375_000.0, 8101, Random(1))
 >>> routers = [RelayEndpoint("10.1.0.1", 625_000.0), RelayEndpoint("10.1.0.2", 250_000.0)]
->>> places.choose(12_000, routers) is None
+>>> redirector.choose(12_000, routers) is None
 True
->>> places.choose(452_000, routers).host, places.choose(452_000, routers[1:])
+>>> redirector.choose(452_000, routers).host, redirector.choose(452_000, routers[1:])
 ('10.1.0.1', None)
 """
 
@@ -20,16 +20,18 @@
 
 __all__ = ["NO_RELAY", "RelayEndpoint", "ReadRedirector"]
 
-# What an answer may take of an idle link's time here. While a version spreads, documents and
-# news take up to 0.85 of the link: an answer of this size then still takes half a second.
+# Time that an answer of the replica itself may take on its link when the link is idle. While
+# a version spreads, documents and updates take up to 0.85 of the link, and an answer of this
+# size takes half a second.
 LOCAL_READ_S = 0.08
-# One of the routers that asked last is drawn, of half of them at most: each asks once a
-# second, so that one that died half a second ago is not among them.
+# The router is drawn from the most recent requesters, at most half of those with a faster
+# link. Each router makes a request once a second, so one that crashed half a second ago is
+# excluded.
 MAX_CANDIDATES = 8
 
 
 class RelayEndpoint(NamedTuple):
-    """Where a router passes documents on, and the rate of its VM's link."""
+    """The host at which a router relays documents, and the link rate of its VM."""
 
     host: str = ""
     link_bytes_per_s: float = 0.0
@@ -39,9 +41,10 @@
 
 
 class ReadRedirector:
-    """Where the reads of one replica go.
+    """Redirects large reads of a replica to routers.
 
-    `link_bytes_per_s` is the rate of its own link; routers pass documents on at `port`.
+    `link_bytes_per_s` is the rate of the replica's own link. Routers relay documents at
+    `port`.
     """
 
     def __init__(self, link_bytes_per_s: float, port: int, random: Random) -> None:
@@ -49,15 +52,15 @@
         self._link_bytes_per_s = link_bytes_per_s
         self._random = random
 
-    def choose(self, document_bytes: int, places: Sequence[RelayEndpoint]) -> RelayEndpoint | None:
-        """Return a router to read at, or `None` where it is as well read here.
+    def choose(self, document_bytes: int, relays: Sequence[RelayEndpoint]) -> RelayEndpoint | None:
+        """Return a router to read from, or `None` to read from this replica.
 
-        Of `places` those that were heard last stand first.
+        `relays` are ordered by their last request, the most recent first.
         """
         if document_bytes <= self._link_bytes_per_s * LOCAL_READ_S:
             return None
-        wider = [place for place in places if place.link_bytes_per_s > self._link_bytes_per_s]
+        wider = [relay for relay in relays if relay.link_bytes_per_s > self._link_bytes_per_s]
         if not wider:
             return None
-        heard_last = wider[: min(MAX_CANDIDATES, math.ceil(len(wider) / 2))]
-        return self._random.choice(heard_last)
+        most_recent = wider[: min(MAX_CANDIDATES, math.ceil(len(wider) / 2))]
+        return self._random.choice(most_recent)
--- a/packages/decisions/src/damaskwind/decisions/following/tests/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/following/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of following."""
+"""Tests of following the configuration."""
--- a/packages/decisions/src/damaskwind/decisions/following/tests/test_document_holders.py
+++ b/packages/decisions/src/damaskwind/decisions/following/tests/test_document_holders.py
@@ -1,4 +1,4 @@
-"""Tests of how a document spreads over routers that all ask for it at once."""
+"""Tests of how a document spreads over routers that all request it at once."""
 
 from unittest import TestCase
 
@@ -8,12 +8,12 @@
 
 
 class SpreadTest(TestCase):
-    def test_routers_that_ask_together_are_spread_over_all_that_have_it_by_then(self):
-        """All but the first were sent to the two routers that a replica had begun to send to.
+    def test_simultaneous_requesters_are_spread_over_all_holders(self):
+        """Requesters must not all be referred to the first two holders.
 
-        Of 45 that asked it within some ms, each of the two had 22 to serve, 3.7 s of its part
-        of a link, and was given up after 1.5 s: the last of 195 routers had a document after
-        5.4 s of 3.0 s allowed.
+        Of 45 routers that made a request within some ms, each of these holders had to serve
+        22, which took 3.7 s with its share of a link, while requesters gave up after 1.5 s.
+        The last of 195 routers received the document after 5.4 s, with 3.0 s allowed.
         """
         holders = DocumentHolders()
         holders.record(2, "first-0", 0.1)
@@ -27,12 +27,12 @@
             free_s[named[0]] = free_s[requester] = times_s[requester] = begun_s + SEND_S
         self.assertLess(max(times_s.values()), MAX_RELAY_DELAY_S)
 
-    def test_who_would_have_it_late_is_not_sent_on(self):
+    def test_requester_that_would_wait_too_long_is_not_referred(self):
         holders = DocumentHolders()
         holders.record(2, "first", 1.1)
         self.assertEqual(holders.choose(2, "router", SEND_S, 0.0), ())
 
-    def test_a_newer_version_has_holders_of_its_own(self):
+    def test_newer_version_replaces_the_holders_of_an_older_one(self):
         holders = DocumentHolders()
         holders.record(2, "first", 0.0)
         holders.record(3, "second", 0.0)
--- a/packages/decisions/src/damaskwind/decisions/following/tests/test_document_sources.py
+++ b/packages/decisions/src/damaskwind/decisions/following/tests/test_document_sources.py
@@ -1,4 +1,4 @@
-"""Tests of whom a router asks for a configuration."""
+"""Tests of the choice of a replica to fetch a configuration from."""
 
 from collections import Counter
 
@@ -15,8 +15,8 @@
 HOSTS = tuple("abcdef")
 
 
-def heard(node_id, version=7, leader="a", hosts=HOSTS):
-    """Return the sources of a router to which all replicas told a version at time 0."""
+def make_sources(node_id, version=7, leader="a", hosts=HOSTS):
+    """Return the sources of a router to which all replicas reported a version at time 0."""
     sources = DocumentSources(node_id)
     for host in hosts:
         sources.record_version(host, version, True, host == leader, 0.0)
@@ -24,16 +24,16 @@
 
 
 class DocumentSourcesTest(TestCase):
-    def test_routers_share_the_followers_and_leave_the_leader_alone(self):
-        chosen = Counter(heard(f"front-{number}").choose(6, 6, 0.0) for number in range(300))
+    def test_routers_share_the_followers_and_spare_the_leader(self):
+        chosen = Counter(make_sources(f"front-{number}").choose(6, 6, 0.0) for number in range(300))
         self.assertNotIn("a", chosen)
         self.assertEqual(set(chosen), set(HOSTS[1:]))
         self.assertLess(max(chosen.values()), 2 * 300 / 5)
 
-    def test_routers_that_know_their_places_share_the_followers_evenly(self):
+    def test_routers_that_know_their_index_share_the_followers_evenly(self):
         chosen = Counter()
         for number in range(60):
-            sources = heard(f"front-{number}", leader="c")
+            sources = make_sources(f"front-{number}", leader="c")
             sources.router_index = number
             chosen[sources.choose(6, 6, 0.0)] += 1
         self.assertEqual(chosen, dict.fromkeys("abdef", 12))
@@ -41,27 +41,27 @@
     def test_share_of_a_lost_follower_is_split_among_the_others(self):
         chosen = Counter()
         for number in range(60):
-            sources = heard(f"front-{number}", leader="c")
+            sources = make_sources(f"front-{number}", leader="c")
             sources.router_index = number
             sources.remove("d")
             chosen[sources.choose(6, 6, 0.0)] += 1
         self.assertEqual(chosen, dict.fromkeys("abef", 15))
 
-    def test_one_that_failed_is_asked_last_for_a_while(self):
-        sources = heard("r")
+    def test_failed_replica_is_asked_last_for_a_while(self):
+        sources = make_sources("r")
         first = sources.choose(6, 6, 0.0)
         sources.record_failure(first, 0.0)
         self.assertNotEqual(sources.choose(6, 6, 0.1), first)
         self.assertEqual(sources.choose(6, 6, FAILURE_COOLDOWN_S + 0.1), first)
 
-    def test_leader_is_asked_when_the_others_stay_silent(self):
-        sources = heard("r", version=6)
+    def test_leader_is_asked_if_the_others_do_not_report_the_version(self):
+        sources = make_sources("r", version=6)
         sources.record_version("a", 7, True, True, 1.0)
         self.assertIsNone(sources.choose(6, 6, 1.0))
         self.assertEqual(sources.choose(6, 6, 1.0 + SOURCE_WAIT_S), "a")
 
-    def test_leader_alone_is_asked_at_once(self):
-        self.assertEqual(heard("r", hosts=("a",)).choose(6, 1, 0.0), "a")
+    def test_only_replica_is_asked_at_once_although_it_leads(self):
+        self.assertEqual(make_sources("r", hosts=("a",)).choose(6, 1, 0.0), "a")
 
     @given(st.lists(st.tuples(st.sampled_from(HOSTS), st.integers(0, 9)), min_size=1))
     def test_newer_version_is_always_fetched_in_the_end(self, told):
