--- a/packages/decisions/src/damaskwind/decisions/claims/tests/histories.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/histories.py
@@ -1,8 +1,9 @@
 """Random histories of claims: drops, duplicates, restarts and racing requests.
 
-The network is a bag of messages from which any may be delivered, once or
-twice, or dropped. Requests for one key race; holders restart empty under a new
-incarnation. The oracle is the list of the requests that ran.
+The network is an unordered set of messages, each of which may be delivered, duplicated
+or dropped. Several requests race for one key. Holders restart without state under a
+new incarnation, or with the state of a clean stop. The oracle is the list of the
+requests that ran.
 """
 
 from random import Random
@@ -28,12 +29,12 @@
 
 KEY = "key"
 STEPS = 160
-CALLS = {Order: "order", Write: "write", Record: "record", CatchUpRead: "read_all"}
+HOLDER_METHODS = {Order: "order", Write: "write", Record: "record", CatchUpRead: "read_all"}
 CATCH_UP = (CatchUpRead, CatchUpReply)
 
 
 class Envelope(NamedTuple):
-    """A message on its way; `ballot` ties a reply to its round."""
+    """A message in transit; `ballot` associates a reply with its round."""
 
     source: str
     destination: str
@@ -42,7 +43,7 @@
 
 
 class History:
-    """One seeded history of requests that race for one key."""
+    """A seeded history of requests that race for one key."""
 
     loads_stale_file = False
 
@@ -53,8 +54,8 @@
         self.holders = {name: self.make_holder(name, 1, True) for name in self.holder_ids}
         self.requests: dict[str, ClaimProposer] = {}
         self.network: list[Envelope] = []
-        self.catch_ups = 0
-        self.may_be_over = False
+        self.catch_up_count = 0
+        self.may_be_finished = False
         self.ran: list[str] = []
         self.kinds: list[ClaimKind] = []
         for number in range(self.random.randint(2, 4)):
@@ -68,7 +69,7 @@
         self.crash_after_write_share = self.random.choice((0.0, 0.3))
         self.give_up_share = self.random.choice((0.0, 0.1, 0.3))
         self.clean_stop_share = self.random.choice((0.0, 0.0, 0.3, 0.8))
-        self.kept: dict[str, HolderMemory] = {}
+        self.saved_memory: dict[str, HolderMemory] = {}
         self.slow_links: dict[tuple[str, str, type], bool] = {}
 
     def make_holder(self, name: str, incarnation: int, first: bool) -> ClaimHolder:
@@ -77,16 +78,16 @@
         )
 
     def run(self) -> "History":
-        """Run until nothing can change any more: who decided takes no reply."""
+        """Run until every request is decided, as a decided request ignores replies."""
         for _ in range(STEPS):
             self.step()
-            if self.may_be_over and self.is_over():
+            if self.may_be_finished and self.is_finished():
                 break
         return self
 
-    def is_over(self) -> bool:
-        """Tell whether every request is decided."""
-        self.may_be_over = False
+    def is_finished(self) -> bool:
+        """Return whether every request is decided."""
+        self.may_be_finished = False
         return all(item.phase == Phase.DECIDED for item in self.requests.values())
 
     def step(self) -> None:
@@ -94,34 +95,34 @@
         if draw < self.restart_share:
             self.restart(self.random.choice(self.holder_ids))
         elif draw < 0.12:
-            self.ask_catch_up()
+            self.request_catch_up()
         elif draw < 0.17 or not self.network:
             self.start_or_give_up()
         else:
             self.deliver()
 
     def restart(self, name: str) -> None:
-        """Restart a holder, empty or with what it kept at a clean stop."""
+        """Restart a holder, without state or with the state of a clean stop."""
         old = self.holders[name]
         holder = self.make_holder(name, old.incarnation + 1, False)
         self.holders[name] = holder
         if self.random.random() < self.clean_stop_share:
             memory = old.stop(0.0)
             if memory is not None:
-                self.kept[name] = memory
+                self.saved_memory[name] = memory
                 holder.resume(memory, 0.0)
-        elif self.loads_stale_file and name in self.kept:
-            holder.resume(self.kept[name], 0.0)
-        self.ask_catch_up()
-
-    def ask_catch_up(self) -> None:
-        """Let a holder that does not vote ask all others."""
-        silent = [name for name in self.holder_ids if not self.holders[name].is_voting(0.0)]
-        for name in silent:
+        elif self.loads_stale_file and name in self.saved_memory:
+            holder.resume(self.saved_memory[name], 0.0)
+        self.request_catch_up()
+
+    def request_catch_up(self) -> None:
+        """Let each holder that does not vote request the records of all others."""
+        not_voting = [name for name in self.holder_ids if not self.holders[name].is_voting(0.0)]
+        for name in not_voting:
             read = CatchUpRead(name, self.holders[name].incarnation)
             others = (other for other in self.holder_ids if other != name)
             self.network += [Envelope(name, other, read) for other in others]
-            self.catch_ups += len(self.holder_ids) - 1
+            self.catch_up_count += len(self.holder_ids) - 1
 
     def start_or_give_up(self) -> None:
         live = [name for name, item in self.requests.items() if item.phase != Phase.DECIDED]
@@ -132,30 +133,30 @@
             self.idle = [other for other in self.idle if other != name]
             self.send(name, self.requests[name].start_round())
         else:
-            self.end(name, Verdict.NOT_RUN)
+            self.record_outcome(name, Verdict.NOT_RUN)
 
     def send(self, name: str, step: Any) -> None:
         for holder_id, message in step.messages:
             self.network.append(Envelope(name, holder_id, message, message.ballot))
 
     def deliver(self) -> None:
-        """Deliver one message; leave a duplicate behind now and then, or drop it."""
-        index = self.pick()
+        """Deliver a message, or drop it; sometimes leave a duplicate in the network."""
+        index = self.pick_message()
         draw = self.random.random()
         duplicate = draw < self.duplicate_share
         envelope = self.network[index] if duplicate else self.network.pop(index)
         if not duplicate and type(envelope.message) in CATCH_UP:
-            self.catch_ups -= 1
+            self.catch_up_count -= 1
         if draw > 1.0 - self.drop_share:
             return
         if envelope.destination in self.holders:
-            self.at_holder(envelope)
+            self.deliver_to_holder(envelope)
         elif envelope.destination in self.requests:
-            self.at_request(envelope)
+            self.deliver_to_request(envelope)
 
-    def pick(self) -> int:
-        """Pick a message: a catch-up in haste, seldom one of a link that is slow here."""
-        if self.catch_ups and self.random.random() < self.catch_up_share:
+    def pick_message(self) -> int:
+        """Pick a message: with some probability a catch-up message, rarely one of a slow link."""
+        if self.catch_up_count and self.random.random() < self.catch_up_share:
             for index, envelope in enumerate(self.network):
                 if type(envelope.message) in CATCH_UP:
                     return index
@@ -169,46 +170,46 @@
                 break
         return index
 
-    def at_holder(self, envelope: Envelope) -> None:
+    def deliver_to_holder(self, envelope: Envelope) -> None:
         holder = self.holders[envelope.destination]
         message = envelope.message
         if isinstance(message, CatchUpReply):
             if envelope.ballot == holder.incarnation:
-                holder.take_catch_up(message, 0.0)
+                holder.merge_catch_up(message, 0.0)
             return
-        reply = getattr(holder, CALLS[type(message)])(message, 0.0)
-        tie = message.incarnation if isinstance(message, CatchUpRead) else envelope.ballot
-        self.network.append(Envelope(envelope.destination, envelope.source, reply, tie))
-        self.catch_ups += type(reply) is CatchUpReply
+        reply = getattr(holder, HOLDER_METHODS[type(message)])(message, 0.0)
+        round_tag = message.incarnation if isinstance(message, CatchUpRead) else envelope.ballot
+        self.network.append(Envelope(envelope.destination, envelope.source, reply, round_tag))
+        self.catch_up_count += type(reply) is CatchUpReply
         if isinstance(message, Write) and self.random.random() < self.crash_after_write_share:
             self.restart(envelope.destination)
 
-    def at_request(self, envelope: Envelope) -> None:
+    def deliver_to_request(self, envelope: Envelope) -> None:
         request = self.requests[envelope.destination]
         if envelope.ballot is None:
             return
-        step = request.take_reply(envelope.source, envelope.ballot, envelope.message)
+        step = request.handle_reply(envelope.source, envelope.ballot, envelope.message)
         self.send(envelope.destination, step)
         if step.outcome is None:
             return
-        self.may_be_over = True
+        self.may_be_finished = True
         self.kinds.append(step.outcome.kind)
         if step.outcome.kind == ClaimKind.GRANTED:
-            self.run_or_refuse(envelope.destination)
+            self.run_granted(envelope.destination)
 
-    def run_or_refuse(self, name: str) -> None:
-        """Run a granted request, or find no target for it."""
+    def run_granted(self, name: str) -> None:
+        """Run a granted request, or let it end without a target."""
         verdict = self.random.choice((Verdict.RAN, Verdict.RAN, Verdict.NOT_RUN))
         if verdict == Verdict.RAN:
             self.ran.append(name)
         if self.random.random() < 0.6:
-            self.end(name, verdict)
+            self.record_outcome(name, verdict)
 
-    def end(self, name: str, verdict: Verdict) -> None:
-        """Record a request's outcome; one that gave up takes no reply from then on."""
+    def record_outcome(self, name: str, verdict: Verdict) -> None:
+        """Record the outcome of a request, which ignores replies from then on."""
         request = self.requests[name]
         request.phase = Phase.DECIDED
-        self.may_be_over = True
+        self.may_be_finished = True
         record = Record(KEY, Accepted(request.ballot, request.value), Outcome(verdict))
         self.network += [Envelope(name, holder_id, record) for holder_id in self.holder_ids]
 
@@ -216,7 +217,7 @@
 def find_violation(
     holder_class: type, histories: int, first_seed: int = 0, history_class: type = History
 ) -> int | None:
-    """Return the first seed whose history ran a key twice, or `None`."""
+    """Return the first seed whose history ran two requests of a key, or `None`."""
     for seed in range(first_seed, first_seed + histories):
         if len(history_class(seed, holder_class).run().ran) > 1:
             return seed
--- a/packages/decisions/src/damaskwind/decisions/replication/election.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/election.py
@@ -1,9 +1,10 @@
-"""Elect a leader: pre-vote, vote, and the rules by which a vote is given.
+"""Leader election: pre-vote, vote, and the rules for granting a vote.
 
-Pre-vote and the refusal to vote while a leader is heard keep a replica that
-returns from a partition from disturbing anybody (Ongaro 2014, sections 4.2.3
-and 9.6). They also carry the lease: a majority that answered a leader gives no
-vote until the shortest election timeout has passed.
+A replica refuses to vote while it receives messages from a leader. Together with the
+pre-vote this keeps a replica that returns from a partition from disrupting the
+cluster (Ongaro 2014, sections 4.2.3 and 9.6). The leader's lease relies on the same
+rule: a majority that responded to a leader grants no vote until the shortest election
+timeout has passed.
 """
 
 from damaskwind.decisions.replication.membership import is_majority
@@ -18,16 +19,16 @@
 from damaskwind.decisions.replication.replica import (
     Replica,
     adopt_term,
+    defer_campaign,
     enter_term,
-    heard_leader,
-    hold_back,
-    rearm,
-    rearm_campaign,
+    has_recent_leader,
+    reset_campaign_timer,
+    reset_election_timer,
 )
 
 __all__ = [
     "count_votes",
-    "may_vote_again",
+    "can_vote_in_term",
     "on_pre_vote_request",
     "on_pre_vote_response",
     "on_vote_request",
@@ -39,17 +40,17 @@
 
 
 def tick_election(replica: Replica) -> None:
-    """Start a campaign when no leader has been heard for long."""
+    """Start a campaign if the election timer has expired."""
     if replica.now_s < replica.election_due_s:
         return
-    rearm_campaign(replica)
+    reset_campaign_timer(replica)
     replica.leader = None
     if replica.may_campaign():
         replica.role.feed("election_due")
 
 
 def start_pre_vote(replica: Replica) -> None:
-    """Ask the voters whether they would vote for this replica."""
+    """Ask the voters whether they would vote for this replica in the next term."""
     replica.votes = {replica.member}
     request = PreVoteRequest(replica.state.term + 1, replica.log.last_index, replica.log.last_term)
     for voter in replica.log.membership.voters:
@@ -58,11 +59,11 @@
 
 
 def start_vote(replica: Replica) -> None:
-    """Vote for itself in a new term and ask the others, once that is durable."""
+    """Vote for itself in a new term and ask for the other votes once that is durable."""
     term = replica.state.term + 1
     enter_term(replica, term, voted_for=replica.member)
     replica.votes = set()
-    rearm_campaign(replica)
+    reset_campaign_timer(replica)
     request = VoteRequest(term, replica.log.last_index, replica.log.last_term)
     for voter in replica.log.membership.voters:
         if voter != replica.member:
@@ -70,7 +71,10 @@
 
 
 def count_votes(replica: Replica) -> None:
-    """Move on when a majority has answered yes; its own vote counts once durable."""
+    """Advance the role if a majority granted its votes.
+
+    The replica's own vote counts only once it is durable.
+    """
     votes = set(replica.votes)
     if replica.role.state == "candidate" and replica.outbox.is_state_durable():
         votes.add(replica.member)
@@ -82,20 +86,20 @@
 
 
 def on_pre_vote_request(replica: Replica, sender: Member, request: PreVoteRequest) -> None:
-    """Answer whether the vote would be given; only an own campaign waits for its outcome."""
+    """Answer whether the vote would be granted; if so, defer an own campaign."""
     granted = (
         request.term > replica.state.term
-        and not _is_led(replica)
+        and not _has_leader(replica)
         and _is_log_up_to_date(replica, request.last_index, request.last_term)
     )
     if granted:
-        hold_back(replica)
+        defer_campaign(replica)
     response = PreVoteResponse(replica.state.term, request.term, granted)
     replica.outbox.send_after_state(replica.envelope(sender, response))
 
 
 def on_pre_vote_response(replica: Replica, sender: Member, response: PreVoteResponse) -> None:
-    """Note a pre-vote for the term that this replica asked about."""
+    """Record a pre-vote granted for the term that this replica campaigns for."""
     if response.term > replica.state.term:
         adopt_term(replica, response.term)
         return
@@ -105,33 +109,36 @@
 
 
 def on_vote_request(replica: Replica, sender: Member, request: VoteRequest) -> None:
-    """Give the vote at most once a term, and none while a leader is heard."""
-    if request.term > replica.state.term and not _is_led(replica):
+    """Grant at most one vote per term, and none while there is a recent leader."""
+    if request.term > replica.state.term and not _has_leader(replica):
         granted = _is_log_up_to_date(replica, request.last_index, request.last_term)
         adopt_term(replica, request.term, sender if granted else None)
     else:
-        granted = may_vote_again(replica, sender, request)
+        granted = can_vote_in_term(replica, sender, request)
         if granted and replica.state.voted_for is None:
             replica.state = PersistentState(request.term, sender)
             replica.outbox.write_state(replica.state)
     if granted:
-        rearm(replica)
+        reset_election_timer(replica)
     response = VoteResponse(replica.state.term, granted)
     replica.outbox.send_after_state(replica.envelope(sender, response))
 
 
-def may_vote_again(replica: Replica, sender: Member, request: VoteRequest) -> bool:
-    """Tell whether the vote of the present term is still free, or already the sender's."""
+def can_vote_in_term(replica: Replica, sender: Member, request: VoteRequest) -> bool:
+    """Return whether the vote of the current term may be granted to `sender`.
+
+    The vote must still be free, or granted to the same sender earlier.
+    """
     return (
         request.term == replica.state.term
         and replica.state.voted_for in (None, sender)
-        and not _is_led(replica)
+        and not _has_leader(replica)
         and _is_log_up_to_date(replica, request.last_index, request.last_term)
     )
 
 
 def on_vote_response(replica: Replica, sender: Member, response: VoteResponse) -> None:
-    """Note a vote for this replica in the present term."""
+    """Record a vote granted to this replica in the current term."""
     if response.term > replica.state.term:
         adopt_term(replica, response.term)
         return
@@ -140,11 +147,14 @@
         replica.votes.add(sender)
 
 
-def _is_led(replica: Replica) -> bool:
-    """Tell whether this replica leads (its quorum is checked) or hears a leader."""
-    return replica.role.state == "leader" or heard_leader(replica)
+def _has_leader(replica: Replica) -> bool:
+    """Return whether this replica leads or has recently seen a leader.
+
+    A leader always counts: it steps down by itself when it loses its quorum.
+    """
+    return replica.role.state == "leader" or has_recent_leader(replica)
 
 
 def _is_log_up_to_date(replica: Replica, last_index: int, last_term: int) -> bool:
-    mine = (replica.log.last_term, replica.log.last_index)
-    return (last_term, last_index) >= mine
+    own = (replica.log.last_term, replica.log.last_index)
+    return (last_term, last_index) >= own
--- a/packages/decisions/src/damaskwind/decisions/replication/following.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/following.py
@@ -1,4 +1,4 @@
-"""Follow a leader: take its entries and snapshots, and answer once durable."""
+"""Follower role: store the leader's entries and snapshots, and respond once durable."""
 
 from damaskwind.decisions.replication.log import LogError
 from damaskwind.decisions.replication.messages import (
@@ -9,35 +9,35 @@
     Member,
     SnapshotRequest,
 )
-from damaskwind.decisions.replication.replica import Replica, adopt_term, note_leader
+from damaskwind.decisions.replication.replica import Replica, adopt_term, follow_leader
 
 __all__ = ["on_append_request", "on_snapshot_request"]
 
 
 def on_append_request(replica: Replica, sender: Member, request: AppendRequest) -> None:
-    """Append the leader's entries where the logs match, else say where to try.
+    """Append the leader's entries if the logs match, else respond with a retry index.
 
-    A malformed request is dropped: it changes nothing and gets no answer.
+    A malformed request is ignored: it changes no state and gets no response.
     """
     if not _is_well_formed(request):
         return
     if not _follow(replica, sender, request.term):
-        _answer(replica, sender, NO_ROUND, False, 0)
+        _respond(replica, sender, NO_ROUND, False, 0)
         return
     if not _matches(replica, request):
         retry_after = _last_possible_match(replica, request.previous_index)
-        _answer(replica, sender, request.round_number, False, retry_after)
+        _respond(replica, sender, request.round_number, False, retry_after)
         return
     _append_missing(replica, request.entries)
     match_index = max(request.previous_index + len(request.entries), replica.log.snapshot.index)
     replica.commit_index = max(replica.commit_index, min(request.commit_index, match_index))
-    _answer(replica, sender, request.round_number, True, match_index)
+    _respond(replica, sender, request.round_number, True, match_index)
 
 
 def on_snapshot_request(replica: Replica, sender: Member, request: SnapshotRequest) -> None:
-    """Install a snapshot that is ahead of everything known to be committed."""
+    """Install a snapshot if it is ahead of the commit index."""
     if not _follow(replica, sender, request.term):
-        _answer(replica, sender, NO_ROUND, False, 0)
+        _respond(replica, sender, NO_ROUND, False, 0)
         return
     snapshot = request.snapshot
     if snapshot.index > replica.commit_index:
@@ -46,23 +46,23 @@
         replica.outbox.install(snapshot, request.data, keep_suffix, replica.commit_index)
         replica.commit_index = snapshot.index
         replica.applied_index = snapshot.index
-    _answer(replica, sender, request.round_number, True, replica.commit_index)
+    _respond(replica, sender, request.round_number, True, replica.commit_index)
 
 
 def _follow(replica: Replica, sender: Member, term: int) -> bool:
-    """Follow the leader of `term` unless a later term is known."""
+    """Follow the leader of `term`, or return False if this replica is in a later term."""
     if term < replica.state.term:
         return False
     if term > replica.state.term:
         adopt_term(replica, term)
     if replica.role.state == "leader" or replica.leader not in (None, sender):
         raise LogError(f"two leaders in term {term}: {replica.leader} and {sender}")
-    note_leader(replica, sender)
+    follow_leader(replica, sender)
     return True
 
 
 def _is_well_formed(request: AppendRequest) -> bool:
-    """Tell whether the entries follow one another and could be this leader's."""
+    """Return whether the entries are consecutive, with non-decreasing terms up to the leader's."""
     previous = (request.previous_index, request.previous_term)
     for entry in request.entries:
         if entry.index != previous[0] + 1 or not previous[1] <= entry.term <= request.term:
@@ -71,7 +71,7 @@
     return True
 
 
-def _answer(
+def _respond(
     replica: Replica, leader: Member, round_number: int, accepted: bool, match_index: int
 ) -> None:
     response = AppendResponse(replica.state.term, round_number, accepted, match_index)
@@ -79,9 +79,9 @@
 
 
 def _matches(replica: Replica, request: AppendRequest) -> bool:
-    """Tell whether the log agrees with the leader's just before the entries.
+    """Return whether the log matches the leader's at the index before the entries.
 
-    What a snapshot covers is committed, so it agrees with every leader's log.
+    Everything that a snapshot covers is committed and matches every leader's log.
     """
     if request.previous_index < replica.log.snapshot.index:
         return True
@@ -89,9 +89,9 @@
 
 
 def _last_possible_match(replica: Replica, previous_index: int) -> int:
-    """Return the last index before `previous_index` that may agree.
+    """Return the last index up to `previous_index` at which the logs may match.
 
-    A whole term of conflicting entries is skipped at once.
+    All entries of a conflicting term are skipped at once.
     """
     conflicting = replica.log.term_at(previous_index)
     if conflicting is None:
@@ -103,7 +103,7 @@
 
 
 def _append_missing(replica: Replica, entries: tuple[LogEntry, ...]) -> None:
-    """Append what the log lacks, truncating where it conflicts."""
+    """Append the entries that the log lacks, after truncating it at the first conflict."""
     log = replica.log
     missing = [
         entry
@@ -114,7 +114,7 @@
         return
     first = missing[0].index
     if first <= replica.commit_index:
-        raise LogError(f"the leader contradicts the committed entry {first}")
+        raise LogError(f"entry {first} of the leader conflicts with a committed entry")
     if first <= log.last_index:
         log.truncate_from(first)
         replica.outbox.truncate_from(first)
--- a/packages/decisions/src/damaskwind/decisions/replication/leading.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/leading.py
@@ -1,8 +1,8 @@
-"""Lead: replicate, commit, keep checking the quorum, and answer requests."""
+"""Leader role: replicate and commit entries, check the quorum and answer requests."""
 
 from damaskwind.decisions.replication.events import (
     BecameLeader,
-    PeerAnswer,
+    PeerResponse,
     ProposalOutcome,
     ReadReady,
     ReadRefused,
@@ -13,10 +13,10 @@
     Leadership,
     PendingRead,
     Progress,
-    forget_old_rounds,
-    note_answer,
+    discard_old_rounds,
     quorum_round,
     quorum_sent_s,
+    record_response,
 )
 from damaskwind.decisions.replication.membership import majority_value
 from damaskwind.decisions.replication.messages import (
@@ -29,16 +29,21 @@
     RefusalReason,
     SnapshotRequest,
 )
-from damaskwind.decisions.replication.replica import Replica, adopt_term, apply_committed, rearm
+from damaskwind.decisions.replication.replica import (
+    Replica,
+    adopt_term,
+    apply_committed,
+    reset_election_timer,
+)
 
 __all__ = [
     "add_read",
     "append_entry",
     "check_quorum",
-    "is_of_own_term",
+    "is_from_current_term",
     "on_append_response",
     "quorum_match",
-    "settle_leader",
+    "commit_and_respond",
     "start_leading",
     "stop_leading",
     "tick_leader",
@@ -46,24 +51,30 @@
 
 
 def start_leading(replica: Replica) -> None:
-    """Begin a term with an entry of its own, which commits all before it."""
+    """Become the leader and append a no-op entry of the new term.
+
+    Committing this entry commits all entries before it.
+    """
     replica.leader = replica.member
     first_index = replica.log.last_index + 1
-    replica.leading = Leadership(replica.state.term, first_index, replica.now_s)
+    replica.leadership = Leadership(replica.state.term, first_index, replica.now_s)
     replica.outbox.emit(BecameLeader(replica.state.term))
     append_entry(replica, EntryKind.NOOP, b"")
-    begin_round(replica, replica.leading)
+    begin_round(replica, replica.leadership)
 
 
 def stop_leading(replica: Replica) -> None:
-    """Tell all who wait that this replica can't answer for them any more."""
-    leadership = replica.leading
+    """Step down, and end all pending reads and proposals.
+
+    Reads are refused. The outcome of proposals is unknown, as they may still commit.
+    """
+    leadership = replica.leadership
     if leadership is None:
         return
-    stepped_down = _describe_end(replica, leadership)
-    replica.leading = None
+    stepped_down = _describe_step_down(replica, leadership)
+    replica.leadership = None
     replica.leader = None
-    rearm(replica)
+    reset_election_timer(replica)
     for read in leadership.reads:
         refused = ReadRefused(read.read_id, RefusalReason.STEPPED_DOWN, None)
         replica.outbox.emit(refused)
@@ -72,16 +83,16 @@
     replica.outbox.emit(stepped_down)
 
 
-def _describe_end(replica: Replica, leadership: Leadership) -> SteppedDown:
-    """Say why this replica stops leading, and what it had heard from whom."""
+def _describe_step_down(replica: Replica, leadership: Leadership) -> SteppedDown:
+    """Return why this replica steps down and when each peer last responded."""
     quorum_age_s = replica.now_s - quorum_sent_s(replica, leadership)
     cause = "higher-term" if replica.is_voter() else "removed"
     if quorum_age_s >= replica.timing.election_timeout_min_s:
         cause = "quorum-lost"
     answers = (
-        PeerAnswer(
+        PeerResponse(
             peer.replica_id,
-            round(replica.now_s - max(progress.heard_s, leadership.started_s), 3),
+            round(replica.now_s - max(progress.last_response_s, leadership.started_s), 3),
             leadership.round_number - progress.answered_round,
         )
         for peer, progress in leadership.peers.items()
@@ -92,8 +103,8 @@
 def append_entry(
     replica: Replica, kind: EntryKind, payload: bytes, proposal_id: str | None = None
 ) -> None:
-    """Append an entry of the present term and send it to the peers."""
-    leadership = replica.leading
+    """Append an entry of the current term and send it to the peers."""
+    leadership = replica.leadership
     assert leadership is not None
     entry = LogEntry(replica.log.last_index + 1, leadership.term, kind, payload)
     replica.log.append((entry,))
@@ -107,7 +118,7 @@
 
 
 def refresh_peers(replica: Replica, leadership: Leadership) -> None:
-    """Keep the progress of just those who are members now."""
+    """Update the tracked peers to the current membership, keeping their progress."""
     voters, learners = replica.log.membership
     members = [member for member in (*voters, *learners) if member != replica.member]
     next_index = replica.log.last_index + 1
@@ -116,8 +127,8 @@
 
 
 def begin_round(replica: Replica, leadership: Leadership) -> None:
-    """Send a round to every peer, with the entries it lacks."""
-    forget_old_rounds(replica, leadership)
+    """Start a new round: send every peer the entries it lacks."""
+    discard_old_rounds(replica, leadership)
     leadership.round_number += 1
     leadership.round_sent_s[leadership.round_number] = replica.now_s
     leadership.heartbeat_due_s = replica.now_s + replica.timing.heartbeat_s
@@ -128,7 +139,7 @@
 def send_entries(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress
 ) -> None:
-    """Send a peer its next entries, or a snapshot when they are gone."""
+    """Send a peer its next entries, or a snapshot and a heartbeat if those were compacted."""
     log = replica.log
     if progress.next_index <= log.snapshot.index:
         send_snapshot(replica, leadership, peer, progress)
@@ -152,7 +163,10 @@
 def send_snapshot(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress
 ) -> None:
-    """Send the newest snapshot, but not again before it can have arrived."""
+    """Send the newest snapshot, at most once per minimum election timeout.
+
+    The limit gives a snapshot time to arrive before it is sent again.
+    """
     if replica.now_s < progress.snapshot_sent_s + replica.timing.election_timeout_min_s:
         return
     progress.snapshot_sent_s = replica.now_s
@@ -162,27 +176,27 @@
 
 
 def on_append_response(replica: Replica, sender: Member, response: AppendResponse) -> None:
-    """Note how far a peer is, and send it what it lacks."""
+    """Update the progress of a peer and send it the entries it lacks."""
     if response.term > replica.state.term:
         adopt_term(replica, response.term)
         return
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None or response.term != leadership.term:
         return
     progress = leadership.peers.get(sender)
     if progress is None:
         return
-    note_answer(leadership, progress, response.round_number, replica.now_s)
+    record_response(leadership, progress, response.round_number, replica.now_s)
     if response.accepted:
-        _advance(replica, leadership, sender, progress, response.match_index)
+        _on_match(replica, leadership, sender, progress, response.match_index)
     else:
-        _retreat(replica, leadership, sender, progress, response.match_index)
+        _on_mismatch(replica, leadership, sender, progress, response.match_index)
 
 
-def _advance(
+def _on_match(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress, match_index: int
 ) -> None:
-    """The peer holds all up to `match_index` durably."""
+    """Record that the peer has stored the log durably up to `match_index`."""
     progress.match_index = max(progress.match_index, match_index)
     progress.next_index = max(progress.next_index, progress.match_index + 1)
     was_probing, progress.is_probing = progress.is_probing, False
@@ -192,10 +206,10 @@
         send_entries(replica, leadership, peer, progress)
 
 
-def _retreat(
+def _on_mismatch(
     replica: Replica, leadership: Leadership, peer: Member, progress: Progress, retry_after: int
 ) -> None:
-    """The peer's log does not reach or conflicts: try again further back."""
+    """Retry from an earlier index: the peer's log is too short or conflicts."""
     next_index = max(progress.match_index, retry_after) + 1
     if progress.is_probing and next_index >= progress.next_index:
         return
@@ -205,8 +219,8 @@
 
 
 def check_quorum(replica: Replica) -> None:
-    """Step down when no majority has answered a round sent recently."""
-    leadership = replica.leading
+    """Step down if no majority has answered a recent round."""
+    leadership = replica.leadership
     if leadership is None:
         return
     silent_s = replica.now_s - quorum_sent_s(replica, leadership)
@@ -215,19 +229,22 @@
 
 
 def tick_leader(replica: Replica) -> None:
-    """Begin a round when a heartbeat is due."""
-    leadership = replica.leading
+    """Start a round if a heartbeat is due."""
+    leadership = replica.leadership
     if leadership is not None and replica.now_s >= leadership.heartbeat_due_s:
         begin_round(replica, leadership)
 
 
-def settle_leader(replica: Replica) -> None:
-    """Commit what a majority holds, then answer whom that allows to answer."""
-    leadership = replica.leading
+def commit_and_respond(replica: Replica) -> None:
+    """Commit entries stored by a majority, then answer the proposals and reads that allows.
+
+    A leader that is no longer a voter steps down once that change is committed.
+    """
+    leadership = replica.leadership
     if leadership is None:
         return
     commit_index = quorum_match(replica, leadership)
-    if commit_index > replica.commit_index and is_of_own_term(replica, commit_index):
+    if commit_index > replica.commit_index and is_from_current_term(replica, commit_index):
         replica.commit_index = commit_index
     apply_committed(replica)
     _report_committed(replica, leadership)
@@ -237,17 +254,17 @@
         replica.role.feed("removed")
 
 
-def is_of_own_term(replica: Replica, index: int) -> bool:
-    """Tell whether the entry is of the leader's own term.
+def is_from_current_term(replica: Replica, index: int) -> bool:
+    """Return whether the entry at `index` is of the leader's current term.
 
-    An entry of an earlier term that a majority holds may still be overwritten
-    by a leader of a term in between (the Raft paper's figure 8).
+    An entry of an earlier term that a majority has stored may still be overwritten
+    by a leader of a term in between (figure 8 of the Raft paper).
     """
     return replica.log.term_at(index) == replica.state.term
 
 
 def quorum_match(replica: Replica, leadership: Leadership) -> int:
-    """Return the last index that a majority of voters holds durably."""
+    """Return the last index that a majority of voters has stored durably."""
 
     def match_index(voter: Member) -> int:
         if voter == replica.member:
@@ -266,7 +283,7 @@
 
 
 def _answer_reads(replica: Replica, leadership: Leadership) -> None:
-    """Answer reads whose round a majority answered; begin the next round if any wait."""
+    """Answer reads whose round a majority answered; start a round if others still wait."""
     answered = quorum_round(replica, leadership)
     waiting = []
     for read in leadership.reads:
@@ -281,6 +298,6 @@
 
 
 def add_read(replica: Replica, leadership: Leadership, read_id: str) -> None:
-    """Queue a read for the next round to be sent."""
+    """Queue a read that waits for the next round."""
     index = max(replica.commit_index, leadership.first_index)
     leadership.reads.append(PendingRead(read_id, leadership.round_number + 1, index))
--- a/packages/decisions/src/damaskwind/decisions/replication/replica.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/replica.py
@@ -1,4 +1,4 @@
-"""The state of one replica, shared by the functions that act on it."""
+"""State of a replica, and operations that are common to its roles."""
 
 from random import Random
 from typing import TYPE_CHECKING
@@ -23,20 +23,21 @@
     "adopt_term",
     "apply_committed",
     "enter_term",
-    "heard_leader",
-    "hold_back",
-    "note_leader",
-    "rearm",
-    "rearm_campaign",
+    "has_recent_leader",
+    "defer_campaign",
+    "follow_leader",
+    "reset_election_timer",
+    "reset_campaign_timer",
 ]
 
 
 class Replica:
-    """What one replica knows. `role` is its running state chart.
+    """State of a replica; `role` is the state machine of its role.
 
-    A replica that starts may have promised, before it stopped, to give no vote
-    for a while: it counts as having heard a leader at `silent_since_s`, a time
-    after which it has surely answered nobody, such as its process's start.
+    Before a restart the replica may have responded to a leader, which then relies on
+    it to withhold its vote for an election timeout. It is therefore treated as having
+    seen a leader at `silent_since_s`, a time after which it certainly sent no
+    response, such as the start of its process.
     """
 
     role: Machine
@@ -61,84 +62,93 @@
         self.commit_index = log.snapshot.index
         self.applied_index = log.snapshot.index
         self.leader: Member | None = None
-        self.leader_heard_s = now_s if silent_since_s is None else min(silent_since_s, now_s)
+        self.leader_seen_s = now_s if silent_since_s is None else min(silent_since_s, now_s)
         self.election_due_s = self._first_campaign_s()
         self.votes: set[Member] = set()
-        self.leading: Leadership | None = None
+        self.leadership: Leadership | None = None
 
     def _first_campaign_s(self) -> float:
-        """Return when to campaign after a start: promises are over, the others may be up."""
-        free_s = self.leader_heard_s + self.timing.election_timeout_min_s
-        return max(self.now_s, free_s) + self.random.uniform(0.0, self.timing.first_campaign_s)
+        """Return when to campaign after a start.
+
+        By then no leader relies on this replica to withhold its vote, and the other
+        replicas may have started.
+        """
+        vote_allowed_s = self.leader_seen_s + self.timing.election_timeout_min_s
+        return max(self.now_s, vote_allowed_s) + self.random.uniform(
+            0.0, self.timing.first_campaign_s
+        )
 
     def envelope(self, recipient: Member, message: Message) -> Envelope:
-        """Address a message."""
+        """Return an envelope with `message` for `recipient`."""
         return Envelope(self.member, recipient, message)
 
     def is_voter(self) -> bool:
-        """Tell whether this member votes by the newest membership it knows."""
+        """Return whether this member is a voter in the newest membership of its log."""
         return self.member in self.log.membership.voters
 
     def may_campaign(self) -> bool:
-        """Tell whether this member votes by any membership that may be in force.
+        """Return whether this member is a voter in any membership that may be in effect.
 
-        A replica whose own removal is not known to be committed must still
-        campaign: its log may be the longest, and then nobody else can win.
+        A replica whose removal is not known to be committed must still campaign: if
+        its log is the longest, no other replica can win an election.
         """
         memberships = self.log.memberships_since(self.commit_index)
         return any(self.member in membership.voters for membership in memberships)
 
 
-def rearm(replica: Replica) -> None:
-    """Start the election timer anew, for a random time."""
+def reset_election_timer(replica: Replica) -> None:
+    """Restart the election timer with a random timeout."""
     timing = replica.timing
     wait_s = replica.random.uniform(timing.election_timeout_min_s, timing.election_timeout_max_s)
     replica.election_due_s = replica.now_s + wait_s
 
 
-def rearm_campaign(replica: Replica) -> None:
-    """Start the election timer anew for a campaign that is not won soon."""
+def reset_campaign_timer(replica: Replica) -> None:
+    """Restart the election timer with the random retry delay of a campaign."""
     timing = replica.timing
     wait_s = replica.random.uniform(timing.campaign_min_s, timing.campaign_max_s)
     replica.election_due_s = replica.now_s + wait_s
 
 
-def hold_back(replica: Replica) -> None:
-    """Leave a replica that campaigns the time of a round; it asks again later than that."""
+def defer_campaign(replica: Replica) -> None:
+    """Defer an own campaign by the time of a round, in favour of another candidate.
+
+    The other candidate retries later than that.
+    """
     soonest_s = replica.now_s + replica.timing.campaign_min_s
     replica.election_due_s = max(replica.election_due_s, soonest_s)
 
 
-def note_leader(replica: Replica, leader: Member) -> None:
-    """Follow `leader`, which has just been heard in the present term."""
+def follow_leader(replica: Replica, leader: Member) -> None:
+    """Follow `leader`, from which a message of the current term was just received."""
     replica.leader = leader
-    replica.leader_heard_s = replica.now_s
+    replica.leader_seen_s = replica.now_s
     replica.role.feed("leader_seen")
-    rearm(replica)
+    reset_election_timer(replica)
 
 
-def heard_leader(replica: Replica) -> bool:
-    """Tell whether a leader was heard so recently that no vote may be given."""
-    silent_s = replica.now_s - replica.leader_heard_s
+def has_recent_leader(replica: Replica) -> bool:
+    """Return whether a leader was seen so recently that no vote may be granted."""
+    silent_s = replica.now_s - replica.leader_seen_s
     return silent_s < replica.timing.election_timeout_min_s
 
 
 def enter_term(replica: Replica, term: int, voted_for: Member | None) -> None:
-    """Move to a higher term and write it; answers of the old term are dropped."""
+    """Move to a higher term and write it; pending sends of the old term are discarded."""
     replica.leader = None
     replica.state = PersistentState(term, voted_for)
-    replica.outbox.drop_held()
+    replica.outbox.discard_pending_sends()
     replica.outbox.write_state(replica.state)
 
 
 def adopt_term(replica: Replica, term: int, voted_for: Member | None = None) -> None:
-    """Become a follower in a higher term that another replica named."""
+    """Become a follower in a higher term received from another replica."""
     replica.role.feed("higher_term")
     enter_term(replica, term, voted_for)
 
 
 def apply_committed(replica: Replica) -> None:
-    """Hand out what is committed and durable here and has not been applied."""
+    """Emit the entries to apply: committed, durable here and not applied yet."""
     last = min(replica.commit_index, replica.outbox.durable_index)
     if last <= replica.applied_index:
         return
--- a/packages/decisions/src/damaskwind/decisions/replication/requests.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/requests.py
@@ -1,4 +1,4 @@
-"""Take what the shell asks of a replica: proposals, members and reads."""
+"""Requests to a replica: proposals, membership changes and reads."""
 
 from damaskwind.decisions.replication.events import (
     ProposalOutcome,
@@ -30,7 +30,7 @@
 
 def on_propose(replica: Replica, request: Propose) -> None:
     """Append a command if this replica leads."""
-    leadership = replica.leading
+    leadership = replica.leadership
     if leadership is None:
         _refuse(replica, request.proposal_id, RefusalReason.NOT_LEADER)
         return
@@ -41,8 +41,8 @@
 
 
 def on_membership(replica: Replica, request: ProposeMembership) -> None:
-    """Append a change of members if it makes sense and none is under way."""
-    leadership = replica.leading
+    """Append a membership change if it is valid and no other one is pending."""
+    leadership = replica.leadership
     if leadership is None:
         _refuse(replica, request.proposal_id, RefusalReason.NOT_LEADER)
         return
@@ -54,8 +54,8 @@
 
 
 def on_read(replica: Replica, request: ReadRequest) -> None:
-    """Answer under the lease if that suffices, else ask a majority first."""
-    leadership = replica.leading
+    """Answer at once if a valid lease suffices, else wait for a majority to confirm."""
+    leadership = replica.leadership
     if leadership is None:
         refused = ReadRefused(request.read_id, RefusalReason.NOT_LEADER, replica.leader)
         replica.outbox.emit(refused)
@@ -68,8 +68,8 @@
 
 
 def repair_membership(replica: Replica) -> None:
-    """Bring a learner in that has caught up, or a lost voter out, one step at a time."""
-    leadership = replica.leading
+    """Append the next change that promotes a caught-up learner or removes a lost voter."""
+    leadership = replica.leadership
     if leadership is None or not _may_change(replica, leadership):
         return
 
@@ -91,39 +91,40 @@
 
 
 def _silent_s(replica: Replica, leadership: Leadership, voter: Member) -> float:
-    """Return for how long the leader has not heard a voter, counted from its election."""
+    """Return the time since a voter's last response, or since the leader's election."""
     if voter == replica.member:
         return 0.0
     progress = leadership.peers.get(voter)
-    heard_s = progress.heard_s if progress else leadership.started_s
-    return replica.now_s - max(heard_s, leadership.started_s)
+    last_response_s = progress.last_response_s if progress else leadership.started_s
+    return replica.now_s - max(last_response_s, leadership.started_s)
 
 
 def is_caught_up(replica: Replica, progress: Progress) -> bool:
-    """Tell whether a learner holds all that is committed and answers."""
-    silent_s = replica.now_s - progress.heard_s
+    """Return whether a learner responds and has stored all committed entries."""
+    silent_s = replica.now_s - progress.last_response_s
     is_answering = silent_s < replica.timing.election_timeout_min_s
     return is_answering and progress.match_index >= replica.commit_index
 
 
 def _has_lost_quorum(replica: Replica, leadership: Leadership) -> bool:
-    """Tell whether a majority was heard in this term, but not lately."""
+    """Return whether a majority responded in this term, but not recently."""
     has_committed = replica.commit_index >= leadership.first_index
     return has_committed and not holds_lease(replica, replica.now_s)
 
 
 def _may_change(replica: Replica, leadership: Leadership) -> bool:
-    """Tell whether the last change is committed, and an entry of this term too.
+    """Return whether the last membership change and an entry of this term are committed.
 
-    Without the second half two leaders could each change the members by one,
-    away from each other (Ongaro's correction to the single-server change, 2015).
+    Without the second condition two leaders could each append a different change to
+    the same membership, and the resulting majorities need not overlap (Ongaro's
+    correction to single-server changes, 2015).
     """
     is_settled = replica.log.membership_index <= replica.commit_index
     return is_settled and replica.commit_index >= leadership.first_index
 
 
 def _append_change(replica: Replica, change: MembershipChange, proposal_id: str | None) -> bool:
-    leadership = replica.leading
+    leadership = replica.leadership
     assert leadership is not None
     if change.kind is ChangeKind.PROMOTE:
         progress = leadership.peers.get(change.member)
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/cluster.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/cluster.py
@@ -1,7 +1,7 @@
-"""Run a small cluster of cores in simulated time, with every fault by order.
+"""Deterministic simulation of a small cluster of cores with injected faults.
 
-Time, delays and losses come from one seeded generator, so that a history is
-repeated exactly by its seed and its orders.
+Time, delays and losses come from one seeded generator, so the seed and the sequence
+of commands reproduce a history exactly.
 """
 
 import heapq
@@ -34,7 +34,7 @@
     WritesDurable,
     WriteState,
 )
-from damaskwind.decisions.replication.log import first_log
+from damaskwind.decisions.replication.log import initial_log
 from damaskwind.decisions.replication.membership import is_majority
 from damaskwind.decisions.replication.messages import (
     ChangeKind,
@@ -48,7 +48,7 @@
 )
 from damaskwind.decisions.replication.tests.disk import Disk
 from damaskwind.decisions.replication.tests.invariants import (
-    check_leader,
+    check_commit,
     check_lease,
     check_promotion,
 )
@@ -57,17 +57,17 @@
 
 __all__ = ["Cluster"]
 
-TICK_S = 0.1
-JOIN_S = 0.7
-SETTLE_S = 60.0
-RATES = (0.96, 1.0, 1.05, 1.0, 0.97)
+TICK_INTERVAL_S = 0.1
+JOIN_INTERVAL_S = 0.7
+RECOVERY_LIMIT_S = 60.0
+CLOCK_RATES = (0.96, 1.0, 1.05, 1.0, 0.97)
 
 
 class Cluster:
-    """Nodes, network, events in time order, and the oracle that watches.
+    """A simulated cluster: nodes, network, event queue and the checking oracle.
 
-    With `voters` so many of the nodes vote and the others ask to learn; a lost
-    voter's place goes to one of them.
+    With `voters` only that many nodes vote. The others ask to join as learners, and
+    one of them replaces a lost voter.
     """
 
     def __init__(
@@ -93,23 +93,23 @@
             )
         self.syncs = syncs
         self.new_identity = new_identity
-        self.clocks_are_sound = True
+        self.clocks_are_trusted = True
         self.now_s = 0.0
-        self._numbers = count(1)
+        self._ids = count(1)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._reads: dict[str, tuple[int, bool]] = {}
         self.nodes: dict[str, Node] = {}
         members = [Member(name, f"{name}1") for name in "abcdefgh"[:size]]
-        state, entries = first_log(members[:voters])
+        state, entries = initial_log(members[:voters])
         for member in members[:voters]:
             self._add_node(member, Disk(state, entries))
         for member in members[voters:] if voters is not None else ():
             self._add_node(member, Disk(PersistentState(), ()))
 
-    # Orders.
+    # Commands.
 
     def run(self, duration_s: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         end_s = self.now_s + duration_s
         while self._events and self._events[0][0] <= end_s:
             self.now_s, _, action = heapq.heappop(self._events)
@@ -117,16 +117,16 @@
         self.now_s = end_s
 
     def propose(self, name: str) -> str:
-        """Propose a fresh change at a node; return its id."""
-        proposal_id = f"p{next(self._numbers)}"
+        """Propose a new command at a node; return its id."""
+        proposal_id = f"p{next(self._ids)}"
         if self.is_paused(self.nodes[name]):
             return proposal_id
         self.feed(self.nodes[name], Propose(proposal_id, proposal_id.encode()))
         return proposal_id
 
     def read(self, name: str, by_lease: bool = False) -> str:
-        """Ask a node for a read; return its id."""
-        read_id = f"r{next(self._numbers)}"
+        """Request a read from a node; return its id."""
+        read_id = f"r{next(self._ids)}"
         if self.is_paused(self.nodes[name]):
             return read_id
         self._reads[read_id] = (self.oracle.visible_index, by_lease)
@@ -134,16 +134,16 @@
         return read_id
 
     def change(self, name: str, change: MembershipChange) -> None:
-        """Propose a change of members at a node."""
-        proposal_id = f"m{next(self._numbers)}"
+        """Propose a membership change at a node."""
+        proposal_id = f"m{next(self._ids)}"
         self.feed(self.nodes[name], ProposeMembership(proposal_id, change))
 
     def crash(self, name: str) -> None:
-        """Stop a node; what it had not synced is lost."""
+        """Crash a node; its unsynced writes are lost."""
         node = self.nodes[name]
         if node.core is not None:
             node.core = None
-            node.life += 1
+            node.incarnation += 1
             node.crashed_s = self.clock_s(node)
             node.disk.crash(self.random)
 
@@ -154,31 +154,31 @@
             self._boot(node)
 
     def lose_disk(self, name: str) -> None:
-        """Stop a node and give it an empty disk, and with it a new identity."""
+        """Crash a node and replace its disk by an empty one, with a new identity."""
         self.crash(name)
         node = self.nodes[name]
         node.disk = Disk(PersistentState(), ())
         if self.new_identity:
-            node.member = Member(name, f"{name}{next(self._numbers)}")
+            node.member = Member(name, f"{name}{next(self._ids)}")
 
     def add(self) -> None:
-        """Start one more node with an empty disk; it asks to join."""
+        """Start an additional node with an empty disk; it asks to join."""
         name = next((name for name in "abcdefg" if name not in self.nodes), None)
         if name is not None:
-            member = Member(name, f"{name}{next(self._numbers)}")
+            member = Member(name, f"{name}{next(self._ids)}")
             self._add_node(member, Disk(PersistentState(), ()))
 
     def pause(self, name: str, duration_s: float) -> None:
-        """Hold a process for a while; its clock goes on."""
+        """Pause a process; its clock keeps running."""
         self.nodes[name].paused_until_s = self.now_s + duration_s
 
     def jump_clock(self, name: str, by_s: float) -> None:
-        """Let a clock jump; no lease can be trusted from then on."""
+        """Let a clock jump; from then on no lease is trusted."""
         self.nodes[name].offset_s += by_s
-        self.clocks_are_sound = False
+        self.clocks_are_trusted = False
 
     def take_snapshot(self, name: str) -> None:
-        """Let a node save its applied state and drop its log."""
+        """Let a node save its applied state and compact its log."""
         node = self.nodes[name]
         if node.core is None or node.core.applied_index <= node.disk.snapshot.index:
             return
@@ -189,7 +189,7 @@
         self.feed(node, SnapshotTaken(snapshot.index))
 
     def heal(self) -> None:
-        """Mend the network."""
+        """Remove all network faults."""
         self.network.cut.clear()
         self.network.loss = self.network.duplication = self.network.late = 0.0
 
@@ -198,24 +198,24 @@
         leaders = [node for node in self.running() if node.core.role == "leader"]
         return max(leaders, key=lambda node: node.core.term, default=None)
 
-    def has_sound_leader(self) -> bool:
-        """Tell whether a leader runs that a majority has lately answered."""
+    def has_leader_with_lease(self) -> bool:
+        """Return whether there is a running leader with a valid lease."""
         leader = self.leader()
         return leader is not None and leader.core.holds_lease(self.clock_s(leader))
 
-    def calm(self, limit_s: float = 6.0) -> None:
-        """Mend the network, start all nodes and wait for a leader."""
+    def stabilize(self, limit_s: float = 6.0) -> None:
+        """Remove all faults, start all nodes and wait for a leader."""
         self.heal()
         for name, node in self.nodes.items():
             self.start(name)
             node.paused_until_s = self.now_s
             node.sync_s = SYNC_S
         end_s = self.now_s + limit_s
-        while self.now_s < end_s and not self.has_sound_leader():
+        while self.now_s < end_s and not self.has_leader_with_lease():
             self.run(0.1)
 
     def await_repair(self, name: str, limit_s: float = 12.0) -> bool:
-        """Let time pass until a node's member votes; tell whether it came to that."""
+        """Advance time until a node is a voter; return whether that happened in time."""
         end_s = self.now_s + limit_s
         while self.now_s < end_s:
             self.run(0.1)
@@ -225,13 +225,13 @@
         return False
 
     def running(self) -> list[Node]:
-        """Return the nodes that run."""
+        """Return the running nodes."""
         return [node for node in self.nodes.values() if node.core is not None]
 
-    def settle(self) -> None:
-        """Mend everything; a majority must then confirm, and see all it confirmed."""
-        self.calm()
-        end_s = self.now_s + SETTLE_S
+    def check_recovery(self) -> None:
+        """Remove all faults and check that a majority confirms a proposal again."""
+        self.stabilize()
+        end_s = self.now_s + RECOVERY_LIMIT_S
         while self.now_s < end_s:
             self.run(0.5)
             leader = self.leader()
@@ -247,27 +247,27 @@
     # Events.
 
     def feed(self, node: Node, event: Input) -> None:
-        """Feed an event to a node's core, if it runs, and carry the outputs out."""
+        """Feed an event to a node's core, if it is running, and execute the outputs."""
         if node.core is None:
             return
         commit_index = node.core.commit_index
         members = node.core.membership
         outputs = node.core.step(event, self.clock_s(node))
-        check_leader(self, node, commit_index)
+        check_commit(self, node, commit_index)
         for output in outputs:
             check_promotion(self, node, members, commit_index, output)
-            self._carry_out(node, output)
+            self._execute(node, output)
 
     def clock_s(self, node: Node) -> float:
-        """Return what a node's clock shows."""
+        """Return the time of a node's clock."""
         return self.now_s * node.rate + node.offset_s
 
     def is_paused(self, node: Node) -> bool:
-        """Tell whether a node's process is held."""
+        """Return whether a node's process is paused."""
         return self.now_s < node.paused_until_s
 
     def _add_node(self, member: Member, disk: Disk) -> None:
-        rate = RATES[len(self.nodes) % len(RATES)]
+        rate = CLOCK_RATES[len(self.nodes) % len(CLOCK_RATES)]
         node = self.nodes[member.replica_id] = Node(member, disk, rate)
         self._boot(node)
 
@@ -286,25 +286,25 @@
         )
         disk.entries = list(log.entries(log.snapshot.index + 1, log.last_index))
         node.applied = msgspec.msgpack.decode(disk.data, type=list[LogEntry]) if disk.data else []
-        self._tick(node, node.life)
-        self._ask_to_join(node, node.life)
+        self._tick(node, node.incarnation)
+        self._ask_to_join(node, node.incarnation)
 
     def _at(self, delay_s: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (self.now_s + delay_s, next(self._numbers), action))
+        heapq.heappush(self._events, (self.now_s + delay_s, next(self._ids), action))
 
-    def _tick(self, node: Node, life: int) -> None:
-        if node.life != life:
+    def _tick(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation:
             return
-        self._at(TICK_S, partial(self._tick, node, life))
+        self._at(TICK_INTERVAL_S, partial(self._tick, node, incarnation))
         if not self.is_paused(node):
             self.feed(node, Tick())
         if node.core is not None:
             check_lease(self, node)
 
-    def _ask_to_join(self, node: Node, life: int) -> None:
-        if node.life != life or node.core is None:
+    def _ask_to_join(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation or node.core is None:
             return
-        self._at(JOIN_S, partial(self._ask_to_join, node, life))
+        self._at(JOIN_INTERVAL_S, partial(self._ask_to_join, node, incarnation))
         members = node.core.membership
         if node.member not in (*members.voters, *members.learners):
             change = MembershipChange(ChangeKind.ADD_LEARNER, node.member)
@@ -322,12 +322,12 @@
             return
         self.feed(node, Received(envelope))
 
-    def _sync(self, node: Node, life: int, write_id: int) -> None:
-        if node.life != life:
+    def _sync(self, node: Node, incarnation: int, write_id: int) -> None:
+        if node.incarnation != incarnation:
             return
         if self.is_paused(node):
             wait_s = node.paused_until_s - self.now_s
-            self._at(wait_s, partial(self._sync, node, life, write_id))
+            self._at(wait_s, partial(self._sync, node, incarnation, write_id))
             return
         if self.syncs or self.random.random() < 0.2:
             node.disk.sync(write_id)
@@ -335,15 +335,15 @@
 
     # Outputs.
 
-    def _carry_out(self, node: Node, output: Output) -> None:
-        handler = _OUTPUTS.get(type(output))
+    def _execute(self, node: Node, output: Output) -> None:
+        handler = _OUTPUT_HANDLERS.get(type(output))
         if handler is not None:
             handler(self, node, output)
 
     def _send(self, node: Node, output: Send) -> None:
         envelope = output.envelope
-        target = envelope.recipient.replica_id
-        for delay_s in self.network.arrivals(node.member.replica_id, target):
+        recipient = envelope.recipient.replica_id
+        for delay_s in self.network.arrivals(node.member.replica_id, recipient):
             self._at(delay_s, partial(self._deliver, envelope))
 
     def _send_snapshot(self, node: Node, output: SendSnapshot) -> None:
@@ -353,47 +353,47 @@
     def _write(self, node: Node, output: AppendEntries | WriteState | TruncateFrom) -> None:
         node.disk.write(output)
         delay_s = self.random.uniform(0.001, node.sync_s)
-        self._at(delay_s, partial(self._sync, node, node.life, output.write_id))
+        self._at(delay_s, partial(self._sync, node, node.incarnation, output.write_id))
 
     def _install(self, node: Node, output: InstallSnapshot) -> None:
         node.applied = msgspec.msgpack.decode(output.data, type=list[LogEntry])
         for entry in node.applied:
-            self.oracle.applied(entry)
+            self.oracle.check_applied(entry)
         self._write(node, output)
 
     def _apply(self, node: Node, output: Apply) -> None:
         for entry in output.entries:
             expected = node.applied[-1].index + 1 if node.applied else 1
             if entry.index != expected:
-                raise InvariantError(f"{node.member} applied {entry} in place of {expected}")
-            self.oracle.applied(entry)
+                raise InvariantError(f"{node.member} applied {entry} in place of index {expected}")
+            self.oracle.check_applied(entry)
             node.applied.append(entry)
 
     def _outcome(self, node: Node, output: ProposalOutcome) -> None:
         if output.outcome is Outcome.COMMITTED:
-            self.oracle.committed(output.proposal_id, output.index)
+            self.oracle.check_committed(output.proposal_id, output.index)
         elif output.outcome is Outcome.REFUSED:
-            self.oracle.refuse(output.proposal_id)
+            self.oracle.record_refusal(output.proposal_id)
 
     def _read_ready(self, node: Node, output: ReadReady) -> None:
         visible_index, by_lease = self._reads[output.read_id]
-        if by_lease and not self.clocks_are_sound:
+        if by_lease and not self.clocks_are_trusted:
             return
-        self.oracle.read(output.read_id, output.index, visible_index)
+        self.oracle.check_read(output.read_id, output.index, visible_index)
 
     def _became_leader(self, node: Node, output: BecameLeader) -> None:
-        self.oracle.elected(output.term, node.member)
+        self.oracle.check_elected(output.term, node.member)
         for other in self.running():
             check_lease(self, other)
 
     def _can_serve(self) -> bool:
-        """Tell whether every membership that a running node knows has a majority."""
-        alive = [node.member for node in self.running()]
+        """Return whether a majority is running for every membership known to a running node."""
+        running = [node.member for node in self.running()]
         known = {node.core.membership.voters for node in self.running()} - {()}
-        return bool(known) and all(is_majority(voters, alive) for voters in known)
+        return bool(known) and all(is_majority(voters, running) for voters in known)
 
 
-_OUTPUTS: dict[type, Callable] = {
+_OUTPUT_HANDLERS: dict[type, Callable] = {
     Send: Cluster._send,
     SendSnapshot: Cluster._send_snapshot,
     WriteState: Cluster._write,
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/seeded_bugs.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/seeded_bugs.py
@@ -1,6 +1,6 @@
-"""Bugs put in on purpose, to see that the histories would find them.
+"""Seeded bugs that the histories must find.
 
-Each entry names a context that patches the core and arguments for the cluster.
+Each bug is a context manager that patches the core, and arguments for the cluster.
 """
 
 from contextlib import AbstractContextManager, nullcontext
@@ -9,7 +9,7 @@
 
 from damaskwind.decisions.replication import election, leading, requests
 from damaskwind.decisions.replication.events import Send
-from damaskwind.decisions.replication.leadership import Leadership, Progress, note_answer
+from damaskwind.decisions.replication.leadership import Leadership, Progress, record_response
 from damaskwind.decisions.replication.membership import majority_value
 from damaskwind.decisions.replication.messages import Envelope, Member, VoteRequest
 from damaskwind.decisions.replication.outbox import Outbox
@@ -19,28 +19,28 @@
 
 
 def vote_twice() -> AbstractContextManager:
-    """Give a second vote in the same term."""
+    """Grant a second vote in the same term."""
 
-    def may_vote_again(replica: Replica, sender: Member, request: VoteRequest) -> bool:
-        mine = (replica.log.last_term, replica.log.last_index)
+    def can_vote_in_term(replica: Replica, sender: Member, request: VoteRequest) -> bool:
+        own = (replica.log.last_term, replica.log.last_index)
         is_in_term = request.term == replica.state.term and replica.role.state != "leader"
-        return is_in_term and (request.last_term, request.last_index) >= mine
+        return is_in_term and (request.last_term, request.last_index) >= own
 
-    return mock.patch.object(election, "may_vote_again", may_vote_again)
+    return mock.patch.object(election, "can_vote_in_term", can_vote_in_term)
 
 
 def lease_from_receive_time() -> AbstractContextManager:
-    """Count the lease from when an answer came in."""
+    """Count the lease from the arrival of a response."""
 
     def note(leadership: Leadership, progress: Progress, number: int, now_s: float) -> None:
-        note_answer(leadership, progress, number, now_s)
+        record_response(leadership, progress, number, now_s)
         leadership.round_sent_s[number] = now_s
 
-    return mock.patch.object(leading, "note_answer", note)
+    return mock.patch.object(leading, "record_response", note)
 
 
 def count_learner() -> AbstractContextManager:
-    """Let the answers of learners count towards a majority of the voters."""
+    """Count responses of learners towards a majority of the voters."""
 
     def quorum_match(replica: Replica, leadership: Leadership) -> int:
         def match_index(member: Member) -> int:
@@ -62,7 +62,7 @@
 
 
 def count_before_durable() -> AbstractContextManager:
-    """Let the leader count its own entry before that is on its disk."""
+    """Let the leader count its own entry before it is durable."""
 
     def quorum_match(replica: Replica, leadership: Leadership) -> int:
         def match_index(member: Member) -> int:
@@ -77,22 +77,22 @@
 
 
 def commit_old_term() -> AbstractContextManager:
-    """Commit entries of an earlier term by counting."""
-    return mock.patch.object(leading, "is_of_own_term", lambda replica, index: True)
+    """Commit entries of an earlier term by counting replicas."""
+    return mock.patch.object(leading, "is_from_current_term", lambda replica, index: True)
 
 
 def vote_while_led() -> AbstractContextManager:
-    """Give votes although a leader is heard."""
-    return mock.patch.object(election, "heard_leader", lambda replica: False)
+    """Grant votes although a leader was seen recently."""
+    return mock.patch.object(election, "has_recent_leader", lambda replica: False)
 
 
 def change_unsettled() -> AbstractContextManager:
-    """Change members before the change under way is committed."""
+    """Change the membership before the pending change is committed."""
     return mock.patch.object(requests, "_may_change", lambda replica, leadership: True)
 
 
 def send_before_durable() -> AbstractContextManager:
-    """Send what depends on a write before the write is durable."""
+    """Send messages before the writes that they depend on are durable."""
 
     def send_now(outbox: Outbox, write_id: int, envelope: Envelope) -> None:
         outbox.emit(Send(envelope))
