--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -80,16 +80,16 @@
             payload = self.codec.encode_report(report, target)
             self.count(source, target, payload)
             report = self.codec.decode_report(source, target, payload)
-        grant = self.allocators[target].take_report(report, now_s)
+        grant = self.allocators[target].handle_report(report, now_s)
         if source != target:
             payload = self.codec.encode_grant(grant)
             self.count(target, source, payload)
             grant = self.codec.decode_grant(target, payload)
-        for router_id, recall in self.allocators[target].recalls():
+        for router_id, recall in self.allocators[target].pop_recalls():
             if router_id != target:
                 self.count(target, router_id, self.codec.encode_grant(recall))
-            self.limiters[router_id].take_grant(recall, now_s)
-        self.limiters[source].take_grant(grant, now_s)
+            self.limiters[router_id].apply_grant(recall, now_s)
+        self.limiters[source].apply_grant(grant, now_s)
         self.woken.add(source)
 
     def is_under_limit(self, account: str, now_s: float) -> bool:
@@ -110,7 +110,7 @@
             self.running[name].append((now_s + DURATION_S, account))
         elif decision.outcome == LimitOutcome.WAIT:
             item = (name, account, decision.wait_until_s)
-            self.waiting.append((decision.try_again_s, item))
+            self.waiting.append((decision.retry_at_s, item))
         else:
             self.refused += 1
             self.false_refused += self.is_under_limit(account, now_s)
--- a/packages/decisions/src/damaskwind/decisions/limits/holding.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/account_leases.py
@@ -13,18 +13,18 @@
 )
 from damaskwind.decisions.limits.token_bucket import TokenBucket
 
-__all__ = ["AccountHolding"]
+__all__ = ["AccountLeases"]
 
 LONGEST_RETRY_AFTER_S = 60.0
-SHORT_RENEWALS = 1.5
-HOPELESS_S = 1.0
+EXHAUSTED_RENEWALS = 1.5
+RECENTLY_EXHAUSTED_S = 1.0
 URGENT_GAP_S = 0.05
 LONGEST_GAP_S = 3.2
 SHORTEST_WAIT_S = 0.01
 _FLOOR = ""
 
 
-class _Held(NamedTuple):
+class _AppliedLease(NamedTuple):
     """A lease as it was applied."""
 
     units: int
@@ -34,12 +34,12 @@
     sequence: int
 
 
-def _amount(share: _Held | AccountGrant) -> int:
+def _total_amount(share: _AppliedLease | AccountGrant) -> int:
     """Return what a share is made of; 0 when it is empty."""
     return share.units + share.tokens_per_s
 
 
-class AccountHolding:
+class AccountLeases:
     """One account at one router.
 
     Shares come from the slice of the router's own failure domain first. What is
@@ -55,12 +55,12 @@
         self.reported_s = float("-inf")
         self.urgent_gap_s = URGENT_GAP_S
         self._bucket = TokenBucket(policy.burst_s, policy.credit_s)
-        self._held: dict[str, _Held] = {}
+        self._leases: dict[str, _AppliedLease] = {}
         self._used: dict[str, int] = {}
-        self._asked: dict[str, AccountDemand] = {}
-        self._short_until_s: dict[str, float] = {}
-        self._hopeless_until_s: dict[str, float] = {}
-        self._open: set[str] = set()
+        self._last_demands: dict[str, AccountDemand] = {}
+        self._exhausted_until_s: dict[str, float] = {}
+        self._recently_exhausted_until_s: dict[str, float] = {}
+        self._active_domains: set[str] = set()
         self._reachable: frozenset[str] | None = None
 
     def set_limit(
@@ -68,19 +68,21 @@
     ) -> None:
         """Follow a confirmed limit."""
         self._limit = limit
-        self._slices = {name: one for name, one in slices.items() if any(one)}
+        self._slices = {
+            name: domain_slice for name, domain_slice in slices.items() if any(domain_slice)
+        }
         self._floor = floor
         others = [name for name in self._slices if name != self.domain]
-        self._order = [self.domain, *others]
+        self._domain_order = [self.domain, *others]
 
     def units(self, now_s: float) -> int:
         """Return how many requests may be in hand."""
-        leased = sum(held.units for held in self._held.values() if held.until_s > now_s)
+        leased = sum(lease.units for lease in self._leases.values() if lease.until_s > now_s)
         return self._floor.max_concurrent_requests + leased
 
     def tokens_per_s(self, now_s: float) -> int:
         """Return the token rate that may be used."""
-        leased = sum(held.tokens_per_s for held in self._held.values() if held.until_s > now_s)
+        leased = sum(lease.tokens_per_s for lease in self._leases.values() if lease.until_s > now_s)
         return int(self._floor.max_tokens_per_s) + leased
 
     def try_admit(self, tokens: int, now_s: float) -> bool:
@@ -100,28 +102,30 @@
         self.demand.change_in_use(-1, now_s)
         used = [name for name, count in self._used.items() if count]
         if used:
-            most_over = max(used, key=lambda name: self._over(name, now_s))
-            self._used[most_over] -= 1
+            most_exceeded = max(used, key=lambda name: self._excess(name, now_s))
+            self._used[most_exceeded] -= 1
 
     def is_over_share(self, now_s: float) -> bool:
         """Tell whether more is in hand than a share that shrank meanwhile."""
-        return any(self._over(name, now_s) > 0 for name, used in self._used.items() if used)
+        return any(self._excess(name, now_s) > 0 for name, used in self._used.items() if used)
 
     def is_idle(self, now_s: float) -> bool:
         """Tell whether nothing is in hand or wanted, and every allocator knows it."""
-        if self.demand.in_use or any(not self._is_forgotten(name, now_s) for name in self._open):
+        if self.demand.in_use or any(
+            not self._has_booking_expired(name, now_s) for name in self._active_domains
+        ):
             return False
         return self._wanted(now_s) == (0, 0)
 
-    def is_hopeless(self, now_s: float) -> bool:
+    def cannot_admit_soon(self, now_s: float) -> bool:
         """Tell whether no grant that may come soon would let a request in."""
         if self._free_source(now_s) is None:
-            return self._is_short(now_s)
+            return self._is_exhausted(now_s)
         rate = self.tokens_per_s(now_s)
         wait_s = self._bucket.wait_s(rate, now_s)
         if wait_s is not None and wait_s <= self.policy.wait_s:
             return False
-        return self._is_short(now_s) or rate >= int(self._limit.max_tokens_per_s)
+        return self._is_exhausted(now_s) or rate >= int(self._limit.max_tokens_per_s)
 
     def retry_after_s(self, now_s: float) -> float:
         """Return when a refused caller may come back."""
@@ -143,74 +147,80 @@
         A further domain is asked once all before it, as far as they can be
         reached, have said that they have no more.
         """
-        self._reachable = frozenset(name for name, some in routers.items() if some)
+        self._reachable = frozenset(name for name, live_routers in routers.items() if live_routers)
         units, rate = self._wanted(now_s)
-        may_ask = True
-        for domain in self._order:
-            held = self._live(domain, now_s)
+        may_request = True
+        for domain in self._domain_order:
+            lease = self._live_lease(domain, now_s)
             if domain in self._reachable and domain in self._slices:
-                has_news = domain in self._open or self._used.get(domain)
-                if has_news or (may_ask and (units or rate)):
-                    self._open.add(domain)
-                    self._asked[domain] = self._demand(account, domain, units, rate, now_s)
-                    yield domain, self._asked[domain]
-                may_ask = may_ask and self._short_until_s.get(domain, 0.0) > now_s
-            if held:
-                units = max(0, units - held.units)
-                rate = max(0, rate - held.tokens_per_s)
-
-    def take(self, grant: ShareGrant, item: AccountGrant, until_s: float, now_s: float) -> bool:
+                must_report = domain in self._active_domains or self._used.get(domain)
+                if must_report or (may_request and (units or rate)):
+                    self._active_domains.add(domain)
+                    self._last_demands[domain] = self._make_demand(
+                        account, domain, units, rate, now_s
+                    )
+                    yield domain, self._last_demands[domain]
+                may_request = may_request and self._exhausted_until_s.get(domain, 0.0) > now_s
+            if lease:
+                units = max(0, units - lease.units)
+                rate = max(0, rate - lease.tokens_per_s)
+
+    def apply(self, grant: ShareGrant, item: AccountGrant, until_s: float, now_s: float) -> bool:
         """Apply a grant unless a newer one was; tell whether to report again soon.
 
         That is so when the share shrank and others wait for what is free now, and
         when a slice turns out to be used up, for the next one is asked then.
         """
         domain = grant.slice_domain
-        before = self._held.get(domain)
-        if before is not None and before.sequence >= grant.report_sequence:
+        previous = self._leases.get(domain)
+        if previous is not None and previous.sequence >= grant.report_sequence:
             return False
         self._bucket.fill(self.tokens_per_s(now_s), now_s)
-        if before is not None and not (_amount(before) or _amount(item)):
-            self._open.discard(domain)
-        self._held[domain] = _Held(
+        if previous is not None and not (_total_amount(previous) or _total_amount(item)):
+            self._active_domains.discard(domain)
+        self._leases[domain] = _AppliedLease(
             item.units, item.tokens_per_s, until_s, grant.allocator_id, grant.report_sequence
         )
-        shrank = item.confirm and before is not None and item.units < before.units
-        asked = self._asked.get(domain)
-        is_short = asked is not None and item.units < asked.wanted
-        self.urgent_gap_s = min(2 * self.urgent_gap_s, LONGEST_GAP_S) if is_short else URGENT_GAP_S
-        was_short = self._short_until_s.get(domain, 0.0) > now_s
-        if asked and item.more_soon and item.units < asked.wanted:
+        shrank = item.confirm and previous is not None and item.units < previous.units
+        last_demand = self._last_demands.get(domain)
+        lacks_units = last_demand is not None and item.units < last_demand.wanted
+        self.urgent_gap_s = (
+            min(2 * self.urgent_gap_s, LONGEST_GAP_S) if lacks_units else URGENT_GAP_S
+        )
+        was_exhausted = self._exhausted_until_s.get(domain, 0.0) > now_s
+        if last_demand and item.recall_pending and item.units < last_demand.wanted:
             return True
-        if asked and (item.units < asked.wanted or item.tokens_per_s < asked.wanted_tokens_per_s):
-            self._short_until_s[domain] = now_s + SHORT_RENEWALS * self.policy.renew_s
-            self._hopeless_until_s[domain] = now_s + HOPELESS_S
-            return shrank or not was_short
-        self._short_until_s.pop(domain, None)
-        self._hopeless_until_s.pop(domain, None)
+        if last_demand and (
+            item.units < last_demand.wanted or item.tokens_per_s < last_demand.wanted_tokens_per_s
+        ):
+            self._exhausted_until_s[domain] = now_s + EXHAUSTED_RENEWALS * self.policy.renew_s
+            self._recently_exhausted_until_s[domain] = now_s + RECENTLY_EXHAUSTED_S
+            return shrank or not was_exhausted
+        self._exhausted_until_s.pop(domain, None)
+        self._recently_exhausted_until_s.pop(domain, None)
         return shrank
 
-    def _is_forgotten(self, domain: str, now_s: float) -> bool:
+    def _has_booking_expired(self, domain: str, now_s: float) -> bool:
         """Tell whether an allocator that could not be told has let go by itself."""
-        held = self._held.get(domain)
-        asked_s = held.until_s if held else self.reported_s + self.policy.lease_s
-        return now_s >= asked_s + self.policy.linger_s
+        lease = self._leases.get(domain)
+        valid_until_s = lease.until_s if lease else self.reported_s + self.policy.lease_s
+        return now_s >= valid_until_s + self.policy.linger_s
 
-    def _live(self, domain: str, now_s: float) -> _Held | None:
+    def _live_lease(self, domain: str, now_s: float) -> _AppliedLease | None:
         """Return the lease from a domain's slice if it holds anything now."""
-        held = self._held.get(domain)
-        if held is None or held.until_s <= now_s or not (held.units or held.tokens_per_s):
+        lease = self._leases.get(domain)
+        if lease is None or lease.until_s <= now_s or not (lease.units or lease.tokens_per_s):
             return None
-        return held
+        return lease
 
     def _units_from(self, source: str, now_s: float) -> int:
         """Return the units of one slice's lease, or of the floor."""
         if source == _FLOOR:
             return self._floor.max_concurrent_requests
-        held = self._held.get(source)
-        return held.units if held is not None and held.until_s > now_s else 0
+        lease = self._leases.get(source)
+        return lease.units if lease is not None and lease.until_s > now_s else 0
 
-    def _over(self, source: str, now_s: float) -> int:
+    def _excess(self, source: str, now_s: float) -> int:
         """Return by how much the use of a source exceeds it; negative when it is free."""
         return self._used.get(source, 0) - self._units_from(source, now_s)
 
@@ -218,18 +228,22 @@
         """Return the floor or the first slice with a free unit."""
         if self._used.get(_FLOOR, 0) < self._floor.max_concurrent_requests:
             return _FLOOR
-        for name in self._order:
-            held = self._held.get(name)
-            if held is not None and held.until_s > now_s and self._used.get(name, 0) < held.units:
+        for name in self._domain_order:
+            lease = self._leases.get(name)
+            if (
+                lease is not None
+                and lease.until_s > now_s
+                and self._used.get(name, 0) < lease.units
+            ):
                 return name
         return None
 
-    def _is_short(self, now_s: float) -> bool:
+    def _is_exhausted(self, now_s: float) -> bool:
         """Tell whether every slice in reach said just now that it has no more."""
         domains = set(self._slices)
         if self._reachable is not None:
             domains &= self._reachable
-        return all(self._hopeless_until_s.get(name, 0.0) > now_s for name in domains)
+        return all(self._recently_exhausted_until_s.get(name, 0.0) > now_s for name in domains)
 
     def _wanted(self, now_s: float) -> tuple[int, int]:
         """Return the units and the rate wanted beyond the floor."""
@@ -237,7 +251,7 @@
         rate = self.demand.wanted_tokens_per_s(now_s)
         if units or rate:
             rate = max(1, rate, self._rate_for_debt(now_s))
-        if self._floor_gives_rate(now_s):
+        if self._floor_covers_rate(now_s):
             rate = 0
         rate = min(rate, int(self._limit.max_tokens_per_s))
         floor = self._floor
@@ -246,7 +260,7 @@
             max(0, rate - int(floor.max_tokens_per_s)),
         )
 
-    def _floor_gives_rate(self, now_s: float) -> bool:
+    def _floor_covers_rate(self, now_s: float) -> bool:
         """Tell whether the rate of the floor does, so that none need be asked for."""
         if self.demand.unmet(now_s):
             return False
@@ -255,26 +269,26 @@
 
     def _rate_for_debt(self, now_s: float) -> int:
         """Return the rate that pays the debt off, in time for those who wait if any do."""
-        within_s = self.policy.wait_s / 2 if self.demand.unmet(now_s) else self.policy.idle_s
-        return int(self._bucket.debt() / within_s)
+        repay_s = self.policy.wait_s / 2 if self.demand.unmet(now_s) else self.policy.idle_s
+        return int(self._bucket.debt() / repay_s)
 
-    def _demand(
+    def _make_demand(
         self, account: str, domain: str, units: int, rate: int, now_s: float
     ) -> AccountDemand:
         """Say what is wanted of one slice, and what is used and held of it."""
         used = self._used.get(domain, 0)
-        held = self._held.get(domain)
-        if held is None:
+        lease = self._leases.get(domain)
+        if lease is None:
             return AccountDemand(account, used, units, rate)
-        remaining_ms = max(0, int((held.until_s - now_s) * 1000))
+        remaining_ms = max(0, int((lease.until_s - now_s) * 1000))
         return AccountDemand(
             account,
             used,
             units,
             rate,
-            held.units if remaining_ms else 0,
-            held.tokens_per_s if remaining_ms else 0,
+            lease.units if remaining_ms else 0,
+            lease.tokens_per_s if remaining_ms else 0,
             remaining_ms,
-            held.allocator_id,
-            held.sequence,
+            lease.allocator_id,
+            lease.sequence,
         )
--- a/packages/decisions/src/damaskwind/decisions/limits/allocator.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/allocator.py
@@ -24,30 +24,30 @@
 
 __all__ = ["ShareAllocator"]
 
-LEASES_PER_TURN = 4
+LEASES_PER_ROUND = 4
 RECALL_PENDING_S = 0.25
 RECALL_GAP_S = 0.5
-RECALL_LIMIT = 2
-RECALL_BELOW = 0.75
+MAX_RECALLS_AT_ONCE = 2
+RECALL_MAX_USE_SHARE = 0.75
 ACCOUNT_RECALL_GAP_S = 0.5
 
 
 class _Lease:
     """A grant that its router may use until `until_s`.
 
-    Requests let in under it may run on; its units stay booked until `linger_s`.
+    Requests let in under it may run on; its units stay booked until `linger_until_s`.
     """
 
-    __slots__ = ("linger_s", "sequence", "tokens_per_s", "units", "until_s")
+    __slots__ = ("linger_until_s", "sequence", "tokens_per_s", "units", "until_s")
 
     def __init__(
-        self, sequence: int, units: int, tokens_per_s: int, until_s: float, linger_s: float
+        self, sequence: int, units: int, tokens_per_s: int, until_s: float, linger_until_s: float
     ) -> None:
         self.sequence = sequence
         self.units = units
         self.tokens_per_s = tokens_per_s
         self.until_s = until_s
-        self.linger_s = linger_s
+        self.linger_until_s = linger_until_s
 
 
 class _Share:
@@ -60,25 +60,25 @@
         self.wanted = 0
         self.wanted_tokens_per_s = 0
         self.until_s = 0.0
-        self.linger_s = 0.0
-        self.is_own = False
+        self.linger_until_s = 0.0
+        self.is_same_domain = False
         self.recalled_s = float("-inf")
 
     def stop_lingering(self) -> None:
         """Book nothing beyond the leases: the router's requests ended with it."""
-        self.linger_s = self.until_s
+        self.linger_until_s = self.until_s
         for lease in self.leases:
-            lease.linger_s = lease.until_s
+            lease.linger_until_s = lease.until_s
 
     def drop_expired(self, now_s: float) -> None:
         """Drop leases that are over, and what was reported when it is too old."""
-        self.leases = [lease for lease in self.leases if lease.linger_s > now_s]
+        self.leases = [lease for lease in self.leases if lease.linger_until_s > now_s]
         for lease in self.leases:
             if lease.until_s <= now_s:
                 lease.tokens_per_s = 0
         if now_s >= self.until_s:
             self.wanted = self.wanted_tokens_per_s = 0
-        if now_s >= self.linger_s:
+        if now_s >= self.linger_until_s:
             self.in_use = 0
 
     def drop_replaced(self, applied_sequence: int) -> None:
@@ -94,12 +94,12 @@
         return max((lease.tokens_per_s for lease in self.leases), default=0)
 
 
-class _Account:
+class _AccountShares:
     """The shares of one account, and until when some may be unseen."""
 
-    def __init__(self, blind_until_s: float) -> None:
+    def __init__(self, learning_until_s: float) -> None:
         self.shares: dict[str, _Share] = {}
-        self.blind_until_s = blind_until_s
+        self.learning_until_s = learning_until_s
         self.recalled_s = float("-inf")
 
     def drop_expired(self, now_s: float) -> None:
@@ -109,7 +109,7 @@
             if not share.leases and not share.in_use and now_s >= share.until_s:
                 del self.shares[router_id]
 
-    def has_others_short(self, share: _Share) -> bool:
+    def has_unmet_others(self, share: _Share) -> bool:
         """Tell whether another router wants more than it has."""
         return any(
             other.wanted > other.units() or other.wanted_tokens_per_s > other.tokens_per_s()
@@ -137,10 +137,10 @@
         self.router_id = router_id
         self.domain = domain
         self.policy = policy
-        self._blind_until_s = now_s if is_alone else now_s + policy.lease_s
+        self._learning_until_s = now_s if is_alone else now_s + policy.lease_s
         self._changes = LimitChanges()
         self._slices: dict[str, AccountLimit] = {}
-        self._accounts: dict[str, _Account] = {}
+        self._accounts: dict[str, _AccountShares] = {}
         self._recalls: list[tuple[str, ShareGrant]] = []
 
     def set_limits(self, limits: Mapping[str, AccountLimit], domains: Sequence[str]) -> None:
@@ -148,13 +148,13 @@
         for account in self._slices.keys() - limits.keys():
             del self._slices[account]
             self._accounts.pop(account, None)
-        for account, limit in self._changes.follow(limits, domains):
-            mine = divide_limit(account, limit, domains)[self.domain]
-            floor = floor_of(mine, self.policy)
-            kept = self.policy.floor_routers
+        for account, limit in self._changes.update(limits, domains):
+            own_slice = divide_limit(account, limit, domains)[self.domain]
+            floor = floor_of(own_slice, self.policy)
+            floor_routers = self.policy.floor_routers
             self._slices[account] = AccountLimit(
-                mine.max_concurrent_requests - kept * floor.max_concurrent_requests,
-                mine.max_tokens_per_s - kept * floor.max_tokens_per_s,
+                own_slice.max_concurrent_requests - floor_routers * floor.max_concurrent_requests,
+                own_slice.max_tokens_per_s - floor_routers * floor.max_tokens_per_s,
             )
 
     def set_routers(self, alive: Collection[str]) -> None:
@@ -165,34 +165,34 @@
         """
         for account in self._accounts.values():
             for router_id, share in account.shares.items():
-                if share.is_own and router_id not in alive:
+                if share.is_same_domain and router_id not in alive:
                     share.stop_lingering()
 
     def booked(self, account: str, now_s: float) -> AccountLimit:
         """Return the most that all routers together may be using of a slice."""
-        known = self._accounts.get(account)
-        if known is None:
+        shares_of_account = self._accounts.get(account)
+        if shares_of_account is None:
             return AccountLimit(0, 0)
-        known.drop_expired(now_s)
-        shares = known.shares.values()
+        shares_of_account.drop_expired(now_s)
+        shares = shares_of_account.shares.values()
         return AccountLimit(
             sum(share.units() for share in shares),
             sum(share.tokens_per_s() for share in shares),
         )
 
-    def take_report(self, report: DemandReport, now_s: float) -> ShareGrant | None:
+    def handle_report(self, report: DemandReport, now_s: float) -> ShareGrant | None:
         """Answer a router's demand; `None` when it is not for this domain."""
         if report.slice_domain != self.domain:
             return None
         grants = tuple(
             self._grant(report, demand, now_s)
             for demand in report.demands
-            if demand.account in self._slices and self._is_news(report, demand.account)
+            if demand.account in self._slices and self._is_newer(report, demand.account)
         )
         lease_ms = int(self.policy.lease_s * 1000)
         return ShareGrant(self.router_id, self.domain, report.sequence, lease_ms, grants)
 
-    def _is_news(self, report: DemandReport, name: str) -> bool:
+    def _is_newer(self, report: DemandReport, name: str) -> bool:
         """Tell whether a report is newer than all seen; an overtaken one would lower the use."""
         account = self._accounts.get(name)
         share = account.shares.get(report.router_id) if account else None
@@ -200,7 +200,7 @@
 
     def _grant(self, report: DemandReport, demand: AccountDemand, now_s: float) -> AccountGrant:
         """Decide one account's share for one router and book it."""
-        account = self._accounts.setdefault(demand.account, _Account(self._blind_until_s))
+        account = self._accounts.setdefault(demand.account, _AccountShares(self._learning_until_s))
         account.drop_expired(now_s)
         share = account.shares.setdefault(report.router_id, _Share())
         self._adopt(account, share, demand, now_s)
@@ -211,23 +211,30 @@
         share.wanted_tokens_per_s = demand.wanted_tokens_per_s
         units = self._units(account, report.router_id, demand.account, now_s)
         tokens_per_s = self._tokens_per_s(account, report.router_id, demand.account, now_s)
-        share.is_own = report.router_domain == self.domain
+        share.is_same_domain = report.router_domain == self.domain
         share.until_s = now_s + self.policy.lease_s
-        share.linger_s = share.until_s + self.policy.linger_s
-        lease = _Lease(report.sequence, units, tokens_per_s, share.until_s, share.linger_s)
+        share.linger_until_s = share.until_s + self.policy.linger_s
+        lease = _Lease(report.sequence, units, tokens_per_s, share.until_s, share.linger_until_s)
         share.leases.append(lease)
-        missing = 0 if now_s < account.blind_until_s else demand.wanted - units
-        more_soon = missing > 0 and self._recall(account, share, demand.account, missing, now_s)
-        confirm = account.has_others_short(share)
-        return AccountGrant(demand.account, units, tokens_per_s, confirm, more_soon)
+        missing_units = 0 if now_s < account.learning_until_s else demand.wanted - units
+        recall_pending = missing_units > 0 and self._recall(
+            account, share, demand.account, missing_units, now_s
+        )
+        confirm = account.has_unmet_others(share)
+        return AccountGrant(demand.account, units, tokens_per_s, confirm, recall_pending)
 
-    def recalls(self) -> list[tuple[str, ShareGrant]]:
+    def pop_recalls(self) -> list[tuple[str, ShareGrant]]:
         """Return whom to ask for units back, once, after a report was taken."""
         recalls, self._recalls = self._recalls, []
         return recalls
 
     def _recall(
-        self, account: _Account, asking: _Share, name: str, missing: int, now_s: float
+        self,
+        account: _AccountShares,
+        requester: _Share,
+        name: str,
+        missing_units: int,
+        now_s: float,
     ) -> bool:
         """Ask routers that hold more than they used to report; tell whether any may give.
 
@@ -236,39 +243,41 @@
         in use there is little to get back, and nobody is asked.
         """
         in_use = sum(share.in_use for share in account.shares.values())
-        if in_use > RECALL_BELOW * self._slices[name].max_concurrent_requests:
+        if in_use > RECALL_MAX_USE_SHARE * self._slices[name].max_concurrent_requests:
             return False
         spare = {
             router_id: share.units() - share.in_use
             for router_id, share in account.shares.items()
-            if share is not asking and now_s < share.until_s and share.units() > share.in_use
+            if share is not requester and now_s < share.until_s and share.units() > share.in_use
         }
         is_pending = False
-        asked = 0
-        limit = RECALL_LIMIT if now_s - account.recalled_s >= ACCOUNT_RECALL_GAP_S else 0
+        recalled = 0
+        limit = MAX_RECALLS_AT_ONCE if now_s - account.recalled_s >= ACCOUNT_RECALL_GAP_S else 0
         for router_id in sorted(spare, key=spare.__getitem__, reverse=True):
             share = account.shares[router_id]
             if now_s - share.recalled_s < RECALL_GAP_S:
                 is_pending = is_pending or now_s - share.recalled_s < RECALL_PENDING_S
-            elif missing > 0 and asked < limit:
+            elif missing_units > 0 and recalled < limit:
                 share.recalled_s = account.recalled_s = now_s
-                missing -= spare[router_id]
-                asked += 1
+                missing_units -= spare[router_id]
+                recalled += 1
                 grants = (AccountGrant(name, 0, 0),)
                 recall = ShareGrant(self.router_id, self.domain, 0, 0, grants)
                 self._recalls.append((router_id, recall))
-        return is_pending or asked > 0
+        return is_pending or recalled > 0
 
-    def _adopt(self, account: _Account, share: _Share, demand: AccountDemand, now_s: float) -> None:
+    def _adopt(
+        self, account: _AccountShares, share: _Share, demand: AccountDemand, now_s: float
+    ) -> None:
         """Book what another allocator leased to this router.
 
         Hearing of such a lease tells that others may hold more of them.
         """
         remaining_s = demand.held_remaining_ms / 1000
-        if demand.held_by == self.router_id or remaining_s <= 0 or share.leases:
+        if demand.granted_by == self.router_id or remaining_s <= 0 or share.leases:
             return
         until_s = now_s + remaining_s
-        account.blind_until_s = max(account.blind_until_s, until_s)
+        account.learning_until_s = max(account.learning_until_s, until_s)
         others = [other for other in account.shares.values() if other is not share]
         limit = self._slices[demand.account]
         free = limit.max_concurrent_requests - sum(other.units() for other in others)
@@ -278,39 +287,43 @@
         lease = _Lease(demand.applied_sequence, units, tokens_per_s, until_s, until_s)
         share.leases.append(lease)
 
-    def _turn(self, now_s: float) -> str:
+    def _round_key(self, now_s: float) -> str:
         """Name the present order for units that can't be divided."""
-        return str(int(now_s // (LEASES_PER_TURN * self.policy.lease_s)))
+        return str(int(now_s // (LEASES_PER_ROUND * self.policy.lease_s)))
 
-    def _units(self, account: _Account, router_id: str, name: str, now_s: float) -> int:
+    def _units(self, account: _AccountShares, router_id: str, name: str, now_s: float) -> int:
         """Return how many units a router gets now."""
         share = account.shares[router_id]
         total = self._slices[name].max_concurrent_requests
         booked = sum(other.units() for key, other in account.shares.items() if key != router_id)
         free = max(0, total - booked)
-        if now_s < account.blind_until_s:
+        if now_s < account.learning_until_s:
             held = max((lease.units for lease in share.leases), default=0)
             return min(share.wanted, held, free)
         wanted = {key: other.wanted for key, other in account.shares.items()}
-        return min(self._fair(total, wanted, router_id, name + self._turn(now_s)), free)
+        return min(self._fair_share(total, wanted, router_id, name + self._round_key(now_s)), free)
 
-    def _tokens_per_s(self, account: _Account, router_id: str, name: str, now_s: float) -> int:
+    def _tokens_per_s(
+        self, account: _AccountShares, router_id: str, name: str, now_s: float
+    ) -> int:
         """Return which token rate a router gets now."""
         share = account.shares[router_id]
         total = int(self._slices[name].max_tokens_per_s)
         others = (other for key, other in account.shares.items() if key != router_id)
         free = max(0, total - sum(other.tokens_per_s() for other in others))
-        if now_s < account.blind_until_s:
+        if now_s < account.learning_until_s:
             return min(share.wanted_tokens_per_s, share.tokens_per_s(), free)
         wanted = {key: other.wanted_tokens_per_s for key, other in account.shares.items()}
-        return min(self._fair(total, wanted, router_id, name + self._turn(now_s)), free)
+        return min(self._fair_share(total, wanted, router_id, name + self._round_key(now_s)), free)
 
-    def _fair(self, total: int, wanted: dict[str, int], router_id: str, turn: str) -> int:
+    def _fair_share(
+        self, total: int, wanted: dict[str, int], router_id: str, round_key: str
+    ) -> int:
         """Return a router's fair share, with something to spare while there is plenty.
 
         What is spared saves reports; half of the surplus stays for those who ask next.
         """
-        fair = fair_shares(total, wanted, turn)[router_id]
+        fair = fair_shares(total, wanted, round_key)[router_id]
         if not wanted[router_id]:
             return 0
         return fair + max(0, total - sum(wanted.values())) // (2 * len(wanted))
--- a/packages/decisions/src/damaskwind/decisions/limits/allocator_choice.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/allocator_choice.py
@@ -21,8 +21,8 @@
     >>> block_count(1), block_count(10), block_count(1400)
     (1, 8, 1024)
     """
-    wanted = max(1, -(-accounts // ACCOUNTS_PER_BLOCK))
-    return 1 << (wanted - 1).bit_length()
+    min_blocks = max(1, -(-accounts // ACCOUNTS_PER_BLOCK))
+    return 1 << (min_blocks - 1).bit_length()
 
 
 def block_of(account: str, blocks: int) -> str:
@@ -54,9 +54,9 @@
 
     def set_routers(self, routers: Mapping[str, Sequence[str]]) -> None:
         """Follow the live routers of each domain."""
-        known = {domain: tuple(sorted(names)) for domain, names in routers.items()}
-        if known != self._routers:
-            self._routers = known
+        sorted_routers = {domain: tuple(sorted(names)) for domain, names in routers.items()}
+        if sorted_routers != self._routers:
+            self._routers = sorted_routers
             self._chosen = {}
 
     def find(self, account: str, domain: str) -> str:
--- a/packages/decisions/src/damaskwind/decisions/limits/codec.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/codec.py
@@ -25,7 +25,7 @@
 
 DIGEST_MASK = 0xFFFFFFFF
 CONFIRM = 1
-MORE_SOON = 2
+RECALL_PENDING = 2
 
 Packed = TypeVar("Packed")
 _Name = int | str
@@ -42,7 +42,7 @@
     held: int = 0
     held_tokens_per_s: int = 0
     held_remaining_ms: int = 0
-    held_by: str = ""
+    granted_by: str = ""
 
 
 class _PackedReport(NamedTuple):
@@ -172,7 +172,7 @@
     def _pack_share(self, share: AccountGrant) -> tuple:
         """Pack a share; most need not be confirmed at once."""
         packed = (self._pack(share.account), share.units, share.tokens_per_s)
-        flags = CONFIRM * share.confirm + MORE_SOON * share.more_soon
+        flags = CONFIRM * share.confirm + RECALL_PENDING * share.recall_pending
         return (*packed, flags) if flags else packed
 
     def _unpack_share(self, packed: _PackedShare) -> AccountGrant:
@@ -183,19 +183,19 @@
             packed.units,
             packed.tokens_per_s,
             bool(flags & CONFIRM),
-            bool(flags & MORE_SOON),
+            bool(flags & RECALL_PENDING),
         )
 
     def _pack_demand(self, demand: AccountDemand, sequence: int, allocator_id: str) -> tuple:
         """Pack a demand, without what its own allocator knows better."""
-        is_foreign = demand.held_by not in ("", allocator_id)
-        age = sequence - demand.applied_sequence if demand.held_by else 0
+        is_other_allocator = demand.granted_by not in ("", allocator_id)
+        age = sequence - demand.applied_sequence if demand.granted_by else 0
         packed = (self._pack(demand.account), demand.in_use, demand.wanted)
         packed += (demand.wanted_tokens_per_s, age)
-        if not is_foreign:
+        if not is_other_allocator:
             return packed
         held = (demand.held, demand.held_tokens_per_s, demand.held_remaining_ms)
-        return (*packed, *held, demand.held_by)
+        return (*packed, *held, demand.granted_by)
 
     def _unpack_demand(
         self, packed: _PackedDemand, sequence: int, allocator_id: str
@@ -209,7 +209,7 @@
             packed.held,
             packed.held_tokens_per_s,
             packed.held_remaining_ms,
-            packed.held_by or (allocator_id if packed.age else ""),
+            packed.granted_by or (allocator_id if packed.age else ""),
             sequence - packed.age if packed.age else 0,
         )
 
--- a/packages/decisions/src/damaskwind/decisions/limits/demand.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/demand.py
@@ -8,8 +8,8 @@
 UNMET_S = 1.0
 UNMET_LIMIT = 256
 TOKENS_WINDOW_S = 30.0
-HEADROOM = 4.0
-NEED = 1.5
+HEADROOM_FACTOR = 4.0
+NEEDED_FACTOR = 1.5
 
 
 class Demand:
@@ -25,29 +25,29 @@
         self._unmet: deque[float] = deque(maxlen=UNMET_LIMIT)
         self._peaks: deque[tuple[float, int]] = deque()
         self._tokens = 0.0
-        self._tokens_s = 0.0
-        self._arrived_s = float("-inf")
+        self._decayed_s = 0.0
+        self._last_arrival_s = float("-inf")
 
-    def note_arrival(self, tokens: int, now_s: float) -> None:
+    def record_arrival(self, tokens: int, now_s: float) -> None:
         """Note a request and what it is expected to cost."""
         self._decay(now_s)
         self._tokens += tokens
-        self._arrived_s = now_s
+        self._last_arrival_s = now_s
 
-    def note_unmet(self, now_s: float) -> None:
+    def record_unmet(self, now_s: float) -> None:
         """Note a request that could not be let in at once."""
         self._unmet.append(now_s)
 
     def change_in_use(self, change: int, now_s: float) -> None:
         """Note a request that was let in or ended."""
-        self._note_peak(now_s)
+        self._record_peak(now_s)
         self.in_use = max(0, self.in_use + change)
-        self._note_peak(now_s)
+        self._record_peak(now_s)
 
-    def forget_peaks(self, now_s: float) -> None:
+    def reset_peaks(self, now_s: float) -> None:
         """Want no more than what is in hand or was not let in, since others lack it."""
         self._peaks.clear()
-        self._note_peak(now_s)
+        self._record_peak(now_s)
 
     def unmet(self, now_s: float) -> int:
         """Return how many requests were lately not let in at once."""
@@ -57,28 +57,28 @@
 
     def wanted(self, now_s: float) -> int:
         """Return how many requests at once to ask for."""
-        self._note_peak(now_s)
+        self._record_peak(now_s)
         return max(self._peaks[0][1], self.in_use + self.unmet(now_s))
 
     def wanted_tokens_per_s(self, now_s: float) -> int:
         """Return which rate to ask for; 0 when nothing came and nothing runs."""
-        if not self.in_use and now_s - self._arrived_s >= self.idle_s:
+        if not self.in_use and now_s - self._last_arrival_s >= self.idle_s:
             return 0
         self._decay(now_s)
-        return int(HEADROOM * self._tokens / TOKENS_WINDOW_S + 0.5)
+        return int(HEADROOM_FACTOR * self._tokens / TOKENS_WINDOW_S + 0.5)
 
     def needed_tokens_per_s(self, now_s: float) -> int:
         """Return which rate has to be there; less than is asked for."""
         self._decay(now_s)
-        return int(NEED * self._tokens / TOKENS_WINDOW_S + 0.5)
+        return int(NEEDED_FACTOR * self._tokens / TOKENS_WINDOW_S + 0.5)
 
     def _decay(self, now_s: float) -> None:
         """Let old arrivals fade."""
-        if now_s > self._tokens_s:
-            self._tokens *= exp((self._tokens_s - now_s) / TOKENS_WINDOW_S)
-            self._tokens_s = now_s
+        if now_s > self._decayed_s:
+            self._tokens *= exp((self._decayed_s - now_s) / TOKENS_WINDOW_S)
+            self._decayed_s = now_s
 
-    def _note_peak(self, now_s: float) -> None:
+    def _record_peak(self, now_s: float) -> None:
         """Keep the falling sequence of peaks of the last `idle_s`."""
         while self._peaks and self._peaks[-1][1] <= self.in_use:
             self._peaks.pop()
--- a/packages/decisions/src/damaskwind/decisions/limits/fair_share.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/fair_share.py
@@ -7,10 +7,10 @@
 __all__ = ["fair_shares"]
 
 
-def fair_shares(total: int, wanted: Mapping[str, int], turn: str) -> dict[str, int]:
+def fair_shares(total: int, wanted: Mapping[str, int], round_key: str) -> dict[str, int]:
     """Give everyone what it wants or, where that is too much, an equal part.
 
-    Units that can't be divided equally go round: `turn` names the present order.
+    Units that can't be divided equally go round: `round_key` names the present order.
 
     >>> fair_shares(10, {"a": 2, "b": 20, "c": 20}, "")
     {'a': 2, 'b': 4, 'c': 4}
@@ -18,15 +18,15 @@
     2
     """
     shares = dict.fromkeys(wanted, 0)
-    left = max(0, total)
-    open_names = [name for name, amount in wanted.items() if amount > 0]
-    while open_names and left >= len(open_names):
-        each = left // len(open_names)
-        for name in open_names:
-            given = min(each, wanted[name] - shares[name])
-            shares[name] += given
-            left -= given
-        open_names = [name for name in open_names if shares[name] < wanted[name]]
-    for name in rendezvous_order(turn, open_names)[:left]:
+    remaining = max(0, total)
+    unsatisfied = [name for name, amount in wanted.items() if amount > 0]
+    while unsatisfied and remaining >= len(unsatisfied):
+        equal_share = remaining // len(unsatisfied)
+        for name in unsatisfied:
+            granted = min(equal_share, wanted[name] - shares[name])
+            shares[name] += granted
+            remaining -= granted
+        unsatisfied = [name for name in unsatisfied if shares[name] < wanted[name]]
+    for name in rendezvous_order(round_key, unsatisfied)[:remaining]:
         shares[name] += 1
     return shares
--- a/packages/decisions/src/damaskwind/decisions/limits/limit_changes.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/limit_changes.py
@@ -16,9 +16,9 @@
 
     >>> changes = LimitChanges()
     >>> one, two = AccountLimit(1, 10.0), AccountLimit(2, 10.0)
-    >>> [name for name, _ in changes.follow({"x": one, "y": one}, ["a"])]
+    >>> [name for name, _ in changes.update({"x": one, "y": one}, ["a"])]
     ['x', 'y']
-    >>> [name for name, _ in changes.follow({"x": one, "y": two}, ["a"])]
+    >>> [name for name, _ in changes.update({"x": one, "y": two}, ["a"])]
     ['y']
     """
 
@@ -26,7 +26,7 @@
         self._domains: frozenset[str] = frozenset()
         self._limits: dict[str, AccountLimit] = {}
 
-    def follow(
+    def update(
         self, limits: Mapping[str, AccountLimit], domains: Sequence[str]
     ) -> Iterator[tuple[str, AccountLimit]]:
         """Yield each account whose limit is to be set, all once the domains changed.
--- a/packages/decisions/src/damaskwind/decisions/limits/limiter.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/limiter.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Mapping, Sequence
 
+from damaskwind.decisions.limits.account_leases import AccountLeases
 from damaskwind.decisions.limits.allocator_choice import AllocatorChoice
-from damaskwind.decisions.limits.holding import AccountHolding
 from damaskwind.decisions.limits.limit_changes import LimitChanges
 from damaskwind.decisions.limits.messages import (
     AccountDemand,
@@ -18,15 +18,15 @@
 from damaskwind.model.reason import Reason
 from damaskwind.model.verdict import Refusal, Verdict
 
-__all__ = ["AccountLimiter", "Addressed"]
+__all__ = ["AccountLimiter", "AddressedReport"]
 
 MAX_DEMANDS_PER_REPORT = 20
-RECALL_GAP_S = 0.1
-SENT_LIMIT = 4096
-RIDE_SHARE = 0.5
-RETRY_S = 0.5
+PENDING_RECALL_GAP_S = 0.1
+MAX_TRACKED_REPORTS = 4096
+MIN_RENEWAL_AGE_SHARE = 0.5
+REPORT_RETRY_S = 0.5
 
-Addressed = tuple[str, DemandReport]
+AddressedReport = tuple[str, DemandReport]
 
 
 class AccountLimiter:
@@ -45,28 +45,28 @@
         self.router_id = router_id
         self.domain = domain
         self.policy = policy
-        self._holdings: dict[str, AccountHolding] = {}
+        self._accounts: dict[str, AccountLeases] = {}
         self._due_s: dict[str, float] = {}
-        self._choice = AllocatorChoice()
+        self._allocators = AllocatorChoice()
         self._changes = LimitChanges()
         self._renewed_s: dict[str, float] = {}
-        self._awaited: set[str] = set()
+        self._awaiting_grant: set[str] = set()
         self._sequence = first_sequence
-        self._sent_s: dict[int, float] = {}
+        self._report_sent_s: dict[int, float] = {}
 
     def set_limits(self, limits: Mapping[str, AccountLimit], domains: Sequence[str]) -> None:
         """Follow the confirmed limits; `domains` must be the same on all routers."""
-        self._choice.set_accounts(limits)
-        for account, limit in self._changes.follow(limits, domains):
+        self._allocators.set_accounts(limits)
+        for account, limit in self._changes.update(limits, domains):
             slices = divide_limit(account, limit, domains)
-            holding = self._holdings.get(account)
-            if holding is None:
-                holding = self._holdings[account] = AccountHolding(self.domain, self.policy)
-            holding.set_limit(limit, slices, floor_of(slices[self.domain], self.policy))
-        for account in [name for name in self._holdings if name not in limits]:
-            del self._holdings[account]
+            leases = self._accounts.get(account)
+            if leases is None:
+                leases = self._accounts[account] = AccountLeases(self.domain, self.policy)
+            leases.set_limit(limit, slices, floor_of(slices[self.domain], self.policy))
+        for account in [name for name in self._accounts if name not in limits]:
+            del self._accounts[account]
             self._due_s.pop(account, None)
-            self._awaited.discard(account)
+            self._awaiting_grant.discard(account)
 
     def admit(
         self, account: str, tokens: int, now_s: float, wait_until_s: float | None = None
@@ -75,84 +75,84 @@
 
         `tokens` is its expected cost. A request that was told to wait is tried
         again, with the decision's `wait_until_s`, when a grant has come or another
-        request ended, and at `try_again_s` at the latest.
+        request ended, and at `retry_at_s` at the latest.
         """
-        holding = self._holdings.get(account)
-        if holding is None:
+        leases = self._accounts.get(account)
+        if leases is None:
             return self._refuse("no such account", None)
         if wait_until_s is None:
-            holding.demand.note_arrival(tokens, now_s)
-        if holding.try_admit(tokens, now_s):
+            leases.demand.record_arrival(tokens, now_s)
+        if leases.try_admit(tokens, now_s):
             self._due_s.setdefault(account, self._next_renewal_s(account, now_s))
             return LimitDecision(LimitOutcome.ADMITTED)
         until_s = wait_until_s
         if until_s is None:
-            holding.demand.note_unmet(now_s)
+            leases.demand.record_unmet(now_s)
             self._due_s.setdefault(account, self._next_renewal_s(account, now_s))
             until_s = now_s + self.policy.wait_s
-        if holding.is_hopeless(now_s) or now_s >= until_s:
-            return self._refuse("the account's limit is reached", holding.retry_after_s(now_s))
+        if leases.cannot_admit_soon(now_s) or now_s >= until_s:
+            return self._refuse("the account's limit is reached", leases.retry_after_s(now_s))
         if wait_until_s is None:
-            self._hasten(account, holding, now_s)
-        try_again_s = min(until_s, now_s + holding.debt_wait_s(now_s))
-        return LimitDecision(LimitOutcome.WAIT, until_s, try_again_s=try_again_s)
+            self._schedule_report(account, leases, now_s)
+        retry_at_s = min(until_s, now_s + leases.debt_wait_s(now_s))
+        return LimitDecision(LimitOutcome.WAIT, until_s, retry_at_s=retry_at_s)
 
     def _next_renewal_s(self, account: str, now_s: float) -> float:
         """Return when an account is reported next: with the others of its allocator."""
-        allocator = self._choice.find(account, self.domain)
+        allocator = self._allocators.find(account, self.domain)
         renewed_s = self._renewed_s.get(allocator, now_s)
         return max(now_s, renewed_s + self.policy.renew_s)
 
-    def _next_report_s(self, account: str, holding: AccountHolding, now_s: float) -> float:
+    def _next_report_s(self, account: str, leases: AccountLeases, now_s: float) -> float:
         """Return when to report again: soon while requests wait and no answer came."""
-        if not holding.demand.unmet(now_s):
+        if not leases.demand.unmet(now_s):
             return self._next_renewal_s(account, now_s)
-        self._awaited.add(account)
-        return now_s + RETRY_S
+        self._awaiting_grant.add(account)
+        return now_s + REPORT_RETRY_S
 
-    def _hasten(
-        self, account: str, holding: AccountHolding, now_s: float, gap_s: float = 0.0
+    def _schedule_report(
+        self, account: str, leases: AccountLeases, now_s: float, gap_s: float = 0.0
     ) -> None:
         """Report an account soon, but ever more seldom while its limit is used up."""
-        soon_s = max(now_s, holding.reported_s + max(gap_s, holding.urgent_gap_s))
-        self._due_s[account] = min(self._due_s.get(account, soon_s), soon_s)
+        earliest_s = max(now_s, leases.reported_s + max(gap_s, leases.urgent_gap_s))
+        self._due_s[account] = min(self._due_s.get(account, earliest_s), earliest_s)
 
     def release(self, account: str, expected_tokens: int, used_tokens: int, now_s: float) -> None:
         """Note that an admitted request ended, and what it really cost."""
-        holding = self._holdings.get(account)
-        if holding is None:
+        leases = self._accounts.get(account)
+        if leases is None:
             return
-        was_over = holding.is_over_share(now_s)
-        holding.release(expected_tokens - used_tokens, now_s)
+        was_over = leases.is_over_share(now_s)
+        leases.release(expected_tokens - used_tokens, now_s)
         self._due_s.setdefault(account, self._next_renewal_s(account, now_s))
         if was_over:
-            self._hasten(account, holding, now_s)
+            self._schedule_report(account, leases, now_s)
 
     def next_report_s(self) -> float | None:
         """Return when `reports` has something to say; `None` while nothing is."""
         return min(self._due_s.values(), default=None)
 
-    def reports(self, routers: Mapping[str, Sequence[str]], now_s: float) -> list[Addressed]:
+    def reports(self, routers: Mapping[str, Sequence[str]], now_s: float) -> list[AddressedReport]:
         """Return the reports that are due, for the routers of each domain.
 
         A domain without routers, or one that can't be reached, is left out.
         """
-        self._choice.set_routers(routers)
+        self._allocators.set_routers(routers)
         batches: dict[tuple[str, str], list[AccountDemand]] = {}
         for account in self._accounts_due(now_s):
-            holding = self._holdings[account]
-            for domain, demand in holding.demands(account, now_s, routers):
-                allocator = self._choice.find(account, domain)
+            leases = self._accounts[account]
+            for domain, demand in leases.demands(account, now_s, routers):
+                allocator = self._allocators.find(account, domain)
                 batches.setdefault((domain, allocator), []).append(demand)
-            if holding.is_idle(now_s):
+            if leases.is_idle(now_s):
                 del self._due_s[account]
             else:
-                holding.reported_s = now_s
-                self._due_s[account] = self._next_report_s(account, holding, now_s)
+                leases.reported_s = now_s
+                self._due_s[account] = self._next_report_s(account, leases, now_s)
         return [
             report
             for (domain, allocator), demands in batches.items()
-            for report in self._split(domain, allocator, demands, now_s)
+            for report in self._split_into_reports(domain, allocator, demands, now_s)
         ]
 
     def _accounts_due(self, now_s: float) -> list[str]:
@@ -162,73 +162,79 @@
         done just before.
         """
         due = [account for account, due_s in self._due_s.items() if due_s <= now_s]
-        asked = {self._choice.find(account, self.domain) for account in due}
-        recent_s = now_s - RIDE_SHARE * self.policy.renew_s
-        renewed = {name for name in asked if self._renewed_s.get(name, recent_s) <= recent_s}
-        self._renewed_s.update(dict.fromkeys(renewed, now_s))
-        if not renewed:
+        due_allocators = {self._allocators.find(account, self.domain) for account in due}
+        renewed_before_s = now_s - MIN_RENEWAL_AGE_SHARE * self.policy.renew_s
+        renewing = {
+            name
+            for name in due_allocators
+            if self._renewed_s.get(name, renewed_before_s) <= renewed_before_s
+        }
+        self._renewed_s.update(dict.fromkeys(renewing, now_s))
+        if not renewing:
             return due
-        riding = (account for account, due_s in self._due_s.items() if due_s > now_s)
+        not_due = (account for account, due_s in self._due_s.items() if due_s > now_s)
         return due + [
-            account for account in riding if self._choice.find(account, self.domain) in renewed
+            account
+            for account in not_due
+            if self._allocators.find(account, self.domain) in renewing
         ]
 
-    def _split(
+    def _split_into_reports(
         self, domain: str, allocator: str, demands: list[AccountDemand], now_s: float
-    ) -> list[Addressed]:
+    ) -> list[AddressedReport]:
         """Make reports that each fit into a datagram."""
-        made = []
+        reports = []
         for start in range(0, len(demands), MAX_DEMANDS_PER_REPORT):
-            part = tuple(demands[start : start + MAX_DEMANDS_PER_REPORT])
+            chunk = tuple(demands[start : start + MAX_DEMANDS_PER_REPORT])
             self._sequence += 1
-            self._sent_s[self._sequence] = now_s
-            report = DemandReport(self.router_id, self.domain, domain, self._sequence, part)
-            made.append((allocator, report))
-        while len(self._sent_s) > SENT_LIMIT:
-            del self._sent_s[next(iter(self._sent_s))]
-        return made
-
-    def take_grant(self, grant: ShareGrant, now_s: float) -> None:
+            self._report_sent_s[self._sequence] = now_s
+            report = DemandReport(self.router_id, self.domain, domain, self._sequence, chunk)
+            reports.append((allocator, report))
+        while len(self._report_sent_s) > MAX_TRACKED_REPORTS:
+            del self._report_sent_s[next(iter(self._report_sent_s))]
+        return reports
+
+    def apply_grant(self, grant: ShareGrant, now_s: float) -> None:
         """Apply a grant; its leases run from when the report was sent.
 
         One that recalls units makes this router report what it needs now.
         """
         if grant.lease_ms == 0:
-            self._take_recall(grant, now_s)
+            self._apply_recall(grant, now_s)
             return
-        sent_s = self._sent_s.get(grant.report_sequence)
+        sent_s = self._report_sent_s.get(grant.report_sequence)
         if sent_s is None:
             return
         until_s = sent_s + grant.lease_ms / 1000
         if until_s <= now_s:
             return
         for item in grant.grants:
-            holding = self._holdings.get(item.account)
-            if holding is None:
+            leases = self._accounts.get(item.account)
+            if leases is None:
                 continue
-            if item.account in self._awaited and item.account in self._due_s:
+            if item.account in self._awaiting_grant and item.account in self._due_s:
                 self._due_s[item.account] = self._next_renewal_s(item.account, now_s)
-            self._awaited.discard(item.account)
-            if holding.take(grant, item, until_s, now_s):
-                gap_s = RECALL_GAP_S if item.more_soon else 0.0
-                self._hasten(item.account, holding, now_s, gap_s)
+            self._awaiting_grant.discard(item.account)
+            if leases.apply(grant, item, until_s, now_s):
+                gap_s = PENDING_RECALL_GAP_S if item.recall_pending else 0.0
+                self._schedule_report(item.account, leases, now_s, gap_s)
 
-    def _take_recall(self, grant: ShareGrant, now_s: float) -> None:
+    def _apply_recall(self, grant: ShareGrant, now_s: float) -> None:
         """Report the accounts that another router lacks units of, without what was idle."""
         for item in grant.grants:
-            holding = self._holdings.get(item.account)
-            if holding is not None:
-                holding.demand.forget_peaks(now_s)
-                self._hasten(item.account, holding, now_s)
+            leases = self._accounts.get(item.account)
+            if leases is not None:
+                leases.demand.reset_peaks(now_s)
+                self._schedule_report(item.account, leases, now_s)
 
     def share(self, account: str, now_s: float) -> AccountLimit:
         """Return what this router may use of an account now, for the metrics."""
-        holding = self._holdings[account]
-        return AccountLimit(holding.units(now_s), holding.tokens_per_s(now_s))
+        leases = self._accounts[account]
+        return AccountLimit(leases.units(now_s), leases.tokens_per_s(now_s))
 
     def in_use(self, account: str) -> int:
         """Return the requests of an account in hand here."""
-        return self._holdings[account].demand.in_use
+        return self._accounts[account].demand.in_use
 
     def _refuse(self, detail: str, retry_after_s: float | None) -> LimitDecision:
         """Refuse a request that was not sent anywhere."""
--- a/packages/decisions/src/damaskwind/decisions/limits/messages.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/messages.py
@@ -53,7 +53,7 @@
     """What a router holds and wants of one account from one domain's slice.
 
     `applied_sequence` is the newest report whose grant it applied; it never goes
-    back to an older one. `held_by` is the allocator that gave what it holds.
+    back to an older one. `granted_by` is the allocator that gave what it holds.
     """
 
     account: str
@@ -63,7 +63,7 @@
     held: int = 0
     held_tokens_per_s: int = 0
     held_remaining_ms: int = 0
-    held_by: str = ""
+    granted_by: str = ""
     applied_sequence: int = 0
 
 
@@ -81,14 +81,14 @@
     """The whole share of one account that a router may use from now on.
 
     `confirm` asks to hear at once that it was applied, since others wait for units.
-    `more_soon` tells that others were just asked to give units back.
+    `recall_pending` tells that others were just asked to give units back.
     """
 
     account: str
     units: int
     tokens_per_s: int
     confirm: bool = False
-    more_soon: bool = False
+    recall_pending: bool = False
 
 
 class ShareGrant(NamedTuple):
@@ -116,10 +116,10 @@
 class LimitDecision(NamedTuple):
     """Admit, wait for a grant until `wait_until_s` at most, or refuse.
 
-    A request that waits is to be tried again at `try_again_s` even without a grant.
+    A request that waits is to be tried again at `retry_at_s` even without a grant.
     """
 
     outcome: LimitOutcome
     wait_until_s: float = 0.0
     refusal: Refusal | None = None
-    try_again_s: float = 0.0
+    retry_at_s: float = 0.0
--- a/packages/decisions/src/damaskwind/decisions/limits/slices.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/slices.py
@@ -38,8 +38,8 @@
 
 def _divide(total: int, ordered: Sequence[str]) -> dict[str, int]:
     """Divide whole units evenly; the first names get what is left over."""
-    each, left = divmod(total, len(ordered))
-    return {name: each + (index < left) for index, name in enumerate(ordered)}
+    quotient, remainder = divmod(total, len(ordered))
+    return {name: quotient + (index < remainder) for index, name in enumerate(ordered)}
 
 
 def divide_limit(
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/fleet.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/fleet.py
@@ -80,7 +80,7 @@
             self.served[name] = self.served.get(name, 0) + 1
         elif decision.outcome == LimitOutcome.WAIT:
             item = (name, account, duration_s, tokens, decision.wait_until_s)
-            self.waiting.append((decision.try_again_s, item))
+            self.waiting.append((decision.retry_at_s, item))
         else:
             self.refused[name] = self.refused.get(name, 0) + 1
 
@@ -99,11 +99,11 @@
         """Try the requests whose time has come, or whose router had a grant or an end."""
         waiting, self.waiting = self.waiting, []
         woken, self.woken = self.woken, set()
-        for try_again_s, item in waiting:
-            if try_again_s <= self.now_s or item[0] in woken:
+        for retry_at_s, item in waiting:
+            if retry_at_s <= self.now_s or item[0] in woken:
                 self.attempt(*item)
             else:
-                self.waiting.append((try_again_s, item))
+                self.waiting.append((retry_at_s, item))
 
     def finish(self, name, limiter):
         ended = [account for at_s, account in self.running[name] if at_s <= self.now_s]
@@ -125,8 +125,8 @@
         allocator = self.allocators.get(target)
         if allocator is None:
             return
-        grant = allocator.take_report(report, self.now_s)
-        for router_id, recall in allocator.recalls():
+        grant = allocator.handle_report(report, self.now_s)
+        for router_id, recall in allocator.pop_recalls():
             holder = self.limiters.get(router_id)
             if holder is not None:
                 self.post(
@@ -137,7 +137,7 @@
             self.post(target, source, lambda: self.take(source, limiter, grant))
 
     def take(self, source, limiter, grant):
-        limiter.take_grant(grant, self.now_s)
+        limiter.apply_grant(grant, self.now_s)
         self.woken.add(source)
 
     def allocator_of(self, account, domain):
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/test_allocator.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/test_allocator.py
@@ -31,11 +31,11 @@
 class TakesOvertakenReports(ShareAllocator):
     """Lets an old report lower the use that a newer one told."""
 
-    def _is_news(self, report, name):
+    def _is_newer(self, report, name):
         return True
 
 
-class Asking:
+class AllocatorClient:
     """Ask one allocator with a slice of two units."""
 
     def __init__(self, allocator_class, is_alone=False):
@@ -45,31 +45,31 @@
     def units(self, router, sequence, now_s, in_use=0, wanted=0, **held):
         demand = AccountDemand("x", in_use, wanted, 0, **held)
         report = DemandReport(router, "a", "a", sequence, (demand,))
-        grants = self.allocator.take_report(report, now_s).grants
+        grants = self.allocator.handle_report(report, now_s).grants
         return grants[0].units if grants else None
 
 
 class ShareAllocatorTest(TestCase):
     def test_new_allocator_grants_nothing_unseen_for_one_lease(self):
         for allocator_class, first in ((ShareAllocator, 0), (NeverWaits, 2)):
-            asking = Asking(allocator_class)
-            self.assertEqual(asking.units("r", 1, START_S + 0.1, wanted=2), first)
-            self.assertEqual(asking.units("r", 2, START_S + POLICY.lease_s, wanted=2), 2)
+            client = AllocatorClient(allocator_class)
+            self.assertEqual(client.units("r", 1, START_S + 0.1, wanted=2), first)
+            self.assertEqual(client.units("r", 2, START_S + POLICY.lease_s, wanted=2), 2)
 
     def test_late_news_of_another_allocator_is_waited_out(self):
         later_s = START_S + 60.0
-        old = {"held": 1, "held_remaining_ms": 4000, "held_by": "before", "applied_sequence": 1}
+        old = {"held": 1, "held_remaining_ms": 4000, "granted_by": "before", "applied_sequence": 1}
         for allocator_class, other in ((ShareAllocator, 0), (AdoptsNothing, 1)):
-            asking = Asking(allocator_class)
-            self.assertEqual(asking.units("r1", 2, later_s, wanted=1, **old), 1)
-            self.assertEqual(asking.units("r2", 1, later_s, wanted=1), other)
-            self.assertEqual(asking.units("r2", 2, later_s + 4.0, wanted=1), 1)
+            client = AllocatorClient(allocator_class)
+            self.assertEqual(client.units("r1", 2, later_s, wanted=1, **old), 1)
+            self.assertEqual(client.units("r2", 1, later_s, wanted=1), other)
+            self.assertEqual(client.units("r2", 2, later_s + 4.0, wanted=1), 1)
 
     def test_overtaken_report_does_not_lower_the_use(self):
         for allocator_class, other in ((ShareAllocator, 0), (TakesOvertakenReports, 2)):
-            asking = Asking(allocator_class, is_alone=True)
-            self.assertEqual(asking.units("r1", 1, START_S, wanted=2), 2)
-            asking.units("r1", 3, START_S, in_use=2, applied_sequence=1)
-            asking.units("r1", 4, START_S, in_use=2, applied_sequence=3)
-            asking.units("r1", 2, START_S, in_use=0, applied_sequence=0)
-            self.assertEqual(asking.units("r2", 1, START_S, wanted=2), other)
+            client = AllocatorClient(allocator_class, is_alone=True)
+            self.assertEqual(client.units("r1", 1, START_S, wanted=2), 2)
+            client.units("r1", 3, START_S, in_use=2, applied_sequence=1)
+            client.units("r1", 4, START_S, in_use=2, applied_sequence=3)
+            client.units("r1", 2, START_S, in_use=0, applied_sequence=0)
+            self.assertEqual(client.units("r2", 1, START_S, wanted=2), other)
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/test_limit_changes.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/test_limit_changes.py
@@ -42,7 +42,7 @@
         """Return the units that the allocator gives a router that wants all."""
         demand = AccountDemand(account, 0, 10**6, 0)
         report = DemandReport("a/1", "a", "a", sequence, (demand,))
-        granted = self.allocator.take_report(report, float(sequence)).grants
+        granted = self.allocator.handle_report(report, float(sequence)).grants
         return granted[0].units if granted else 0
 
 
--- a/packages/router/src/damaskwind/router/account_limits.py
+++ b/packages/router/src/damaskwind/router/account_limits.py
@@ -116,7 +116,7 @@
             if decision.refusal is not None:
                 raise RefusedError(decision.refusal)
             wait_until_s = decision.wait_until_s
-            await self._grant_or_time(decision.try_again_s - now_s, work)
+            await self._grant_or_time(decision.retry_at_s - now_s, work)
 
     def release(self, work: Work, used_tokens: int | None) -> None:
         """Note that an admitted request ended and what it cost, if that is known."""
@@ -204,8 +204,8 @@
     def _take_report(self, router_id: str, report: DemandReport) -> None:
         """Answer a report with what its router may use."""
         self._allocator.set_routers(frozenset(self._routers()[self._domain]))
-        grant = self._allocator.take_report(report, self._clock.seconds())
-        for holder_id, recall in self._allocator.recalls():
+        grant = self._allocator.handle_report(report, self._clock.seconds())
+        for holder_id, recall in self._allocator.pop_recalls():
             self._give(holder_id, recall)
         if grant is not None:
             self._give(router_id, grant)
@@ -229,6 +229,6 @@
 
     def _take_grant(self, grant: ShareGrant) -> None:
         """Apply a grant and let waiting requests try again."""
-        self._limiter.take_grant(grant, self._clock.seconds())
+        self._limiter.apply_grant(grant, self._clock.seconds())
         self._plan_report()
         self._wake()
