--- a/benchmarks/overload/plain_ways.py
+++ b/benchmarks/overload/plain_ways.py
@@ -4,10 +4,10 @@
 from random import Random
 from typing import Any, Protocol
 
-from damaskwind.decisions.admission.pool_admission import PoolAdmission, Step, TargetPlaces
-from damaskwind.decisions.admission.service_pace import ServicePace, ServiceSeen
+from damaskwind.decisions.admission.pool_admission import AdmissionStep, PoolAdmission, TargetSlots
+from damaskwind.decisions.admission.service_pace import ServiceStats, ServiceThrottle
 from damaskwind.decisions.admission.start_window import WindowPolicy
-from damaskwind.decisions.admission.waiting_line import Ticket
+from damaskwind.decisions.admission.waiting_line import PoolRequest
 from damaskwind.decisions.load.held_requests import LoadEstimator
 from damaskwind.decisions.placement.affinity import AffinityPolicy, Candidate, choose_target
 
@@ -52,7 +52,9 @@
         part = FIRST_PER_TARGET / routers
         self.entry = PoolAdmission(
             random,
-            WindowPolicy(first=max(2.0, part), first_of_pool=max(2.0, part * len(domains))),
+            WindowPolicy(
+                initial_limit=max(2.0, part), initial_pool_limit=max(2.0, part * len(domains))
+            ),
         )
         self.is_looking = False
         self.busy: dict[str, float] = {}
@@ -65,31 +67,31 @@
     def exchange(self, told, now_s: float) -> None:
         """Nothing is told of plain services."""
 
-    def places(self) -> list[TargetPlaces]:
-        return [TargetPlaces(name, float(self.figures.places)) for name in self.domains]
+    def places(self) -> list[TargetSlots]:
+        return [TargetSlots(name, float(self.figures.places)) for name in self.domains]
 
     def offer(self, number, objective_s, left_s, came_back, now_s, go_on, play) -> None:
-        ticket = Ticket(number, 2, "a", now_s, now_s + left_s, objective_s, came_back, "")
+        ticket = PoolRequest(number, 2, "a", now_s, now_s + left_s, objective_s, came_back, "")
         self.waiting[number] = go_on
         admitted = self.entry.offer(ticket, self.places(), now_s)
-        if admitted.step is Step.START:
+        if admitted.step is AdmissionStep.START:
             self.waiting.pop(number)(None)
             return
         for refusal in admitted.turned_away:
-            self.waiting.pop(refusal.number)(refusal.return_s)
-        if admitted.step is Step.WAIT:
-            play.at(admitted.until_s, lambda: self.give_up(number, play))
+            self.waiting.pop(refusal.number)(refusal.retry_after_s)
+        if admitted.step is AdmissionStep.WAIT:
+            play.at(admitted.wait_until_s, lambda: self.give_up(number, play))
             self.look_later(play)
 
     def give_up(self, number: int, play) -> None:
-        refusal = self.entry.give_up(number, play.now_s)
+        refusal = self.entry.expire(number, play.now_s)
         if refusal is not None:
-            self.waiting.pop(number)(refusal.return_s)
+            self.waiting.pop(number)(refusal.retry_after_s)
 
     def look(self, now_s: float) -> None:
-        if not len(self.entry.line):
+        if not len(self.entry.queue):
             return
-        for number in self.entry.look(self.places(), now_s):
+        for number in self.entry.admit_waiting(self.places(), now_s):
             self.waiting.pop(number)(None)
 
     def look_later(self, play) -> None:
@@ -101,7 +103,7 @@
         def look() -> None:
             self.is_looking = False
             self.look(play.now_s)
-            if len(self.entry.line):
+            if len(self.entry.queue):
                 self.look_later(play)
 
         play.at(play.now_s + LOOK_S, look)
@@ -129,18 +131,18 @@
     def shed(self, number, name, now_s) -> None:
         self.loads.ended(name, False)
         self.entry.ended(number)
-        self.entry.turned_away_by_target(name, now_s)
+        self.entry.rejected_by_target(name, now_s)
         self.busy[name] = now_s + BUSY_S
         self.look(now_s)
 
     def answered(self, number, name, sent_s, now_s) -> None:
         self.loads.ended(name, False)
-        self.entry.begun(number, now_s)
+        self.entry.answer_started(number, now_s)
         self.entry.ended(number)
         self.look(now_s)
 
     def return_s(self, objective_s, left_s, now_s) -> float:
-        return self.entry.return_s(objective_s, left_s, now_s)
+        return self.entry.retry_after_s(objective_s, left_s, now_s)
 
 
 @way("pace")
@@ -152,20 +154,20 @@
 
     def __init__(self, *arguments) -> None:
         super().__init__(*arguments)
-        self.pace = ServicePace()
-        self.told = ServiceSeen()
-        self.seen = ServiceSeen()
+        self.pace = ServiceThrottle()
+        self.told = ServiceStats()
+        self.seen = ServiceStats()
 
     def exchange(self, told, now_s: float) -> None:
-        self.told, self.seen = self.seen, ServiceSeen()
-        total = ServiceSeen()
+        self.told, self.seen = self.seen, ServiceStats()
+        total = ServiceStats()
         for item in told:
             total = total.plus(item)
-        self.pace.take(total, self.figures.places * len(self.domains), now_s)
+        self.pace.update(total, self.figures.places * len(self.domains), now_s)
 
     def offer(self, number, objective_s, left_s, came_back, now_s, go_on, play) -> None:
-        self.seen = self.seen.plus(ServiceSeen(asked=1))
-        if self.random.random() < self.pace.part:
+        self.seen = self.seen.plus(ServiceStats(asked=1))
+        if self.random.random() < self.pace.admitted_share:
             super().offer(number, objective_s, left_s, came_back, now_s, go_on, play)
             return
         go_on(self.random.uniform(*self.RETURN_PARTS) * objective_s)
@@ -173,9 +175,9 @@
     def answered(self, number, name, sent_s, now_s) -> None:
         is_late = now_s - sent_s > self.LATE_PART * self.figures.objective_s
         busy_ms = round((now_s - sent_s) * 1000)
-        self.seen = self.seen.plus(ServiceSeen(answered=1, late=int(is_late), busy_ms=busy_ms))
+        self.seen = self.seen.plus(ServiceStats(answered=1, late=int(is_late), busy_ms=busy_ms))
         super().answered(number, name, sent_s, now_s)
 
     def shed(self, number, name, now_s) -> None:
-        self.seen = self.seen.plus(ServiceSeen(turned_away=1))
+        self.seen = self.seen.plus(ServiceStats(turned_away=1))
         super().shed(number, name, now_s)
--- a/benchmarks/overload/simulation.py
+++ b/benchmarks/overload/simulation.py
@@ -11,12 +11,12 @@
 from benchmarks.overload.engines import Engine, EngineFigures, Job
 from benchmarks.overload.patterns import AFTER_S, BEFORE_S, KINDS, SURGE_S, Arrival, Pattern
 from damaskwind.decisions.admission.pool_admission import (
+    AdmissionStep,
     PoolAdmission,
-    Step,
-    TargetPlaces,
+    TargetSlots,
 )
 from damaskwind.decisions.admission.start_window import WindowPolicy
-from damaskwind.decisions.admission.waiting_line import Ticket
+from damaskwind.decisions.admission.waiting_line import PoolRequest
 from damaskwind.decisions.load.held_requests import LoadEstimator, TargetLoad
 from damaskwind.decisions.load.held_sums import HeldSums
 from damaskwind.decisions.placement.affinity import (
@@ -73,7 +73,7 @@
         self.came_back = came_back
         self.job: Job | None = None
         self.is_over = False
-        self.ticket: Ticket | None = None
+        self.ticket: PoolRequest | None = None
         self.target = ""
 
 
@@ -88,7 +88,10 @@
         self.loads = LoadEstimator()
         self.entry = PoolAdmission(
             random,
-            WindowPolicy(first=first, first_of_pool=max(2.0, FIRST_PER_TARGET * engines / routers)),
+            WindowPolicy(
+                initial_limit=first,
+                initial_pool_limit=max(2.0, FIRST_PER_TARGET * engines / routers),
+            ),
         )
 
 
@@ -168,7 +171,7 @@
             self._send(router, call, home)
             return
         deadline_s = arrival.at_s + kind.deadline_s
-        call.ticket = Ticket(
+        call.ticket = PoolRequest(
             call.number,
             kind.rank,
             arrival.account,
@@ -179,18 +182,18 @@
             home,
         )
         admitted = router.entry.offer(call.ticket, self._places(router), self.now_s)
-        if admitted.step is Step.START:
+        if admitted.step is AdmissionStep.START:
             self._send(router, call, home)
         for refusal in admitted.turned_away:
-            self._refuse(self._calls[refusal.number][1], refusal.return_s)
-        if admitted.step is Step.WAIT:
-            self._at(admitted.until_s, lambda: self._give_up(router, call))
+            self._refuse(self._calls[refusal.number][1], refusal.retry_after_s)
+        if admitted.step is AdmissionStep.WAIT:
+            self._at(admitted.wait_until_s, lambda: self._give_up(router, call))
             self._look_later(router)
 
     def _give_up(self, router: _Router, call: _Call) -> None:
-        refusal = router.entry.give_up(call.number, self.now_s)
+        refusal = router.entry.expire(call.number, self.now_s)
         if refusal is not None:
-            self._refuse(call, refusal.return_s)
+            self._refuse(call, refusal.retry_after_s)
 
     def _refuse(self, call: _Call, return_s: float) -> None:
         """Turn a caller away; each comes back once."""
@@ -206,11 +209,11 @@
         self.outcomes.append(Outcome(arrival, "came back", held_s, held_s))
         self._at(self.now_s + return_s, lambda: self._arrive(arrival, True))
 
-    def _places(self, router: _Router) -> list[TargetPlaces]:
+    def _places(self, router: _Router) -> list[TargetSlots]:
         loads = self._loads(router)
         known = router.loads.known(self._engines, self.now_s)
         return [
-            TargetPlaces(name, self._figures.slots - loads[name] * (name in known))
+            TargetSlots(name, self._figures.slots - loads[name] * (name in known))
             for name, engine in self._engines.items()
             if engine.is_up
         ]
@@ -270,7 +273,7 @@
                 continue
             call.is_over = True
             router.loads.reported(engine.name, word, self.now_s)
-            router.entry.begun(job.number, self.now_s)
+            router.entry.answer_started(job.number, self.now_s)
             took_s = self.now_s - call.arrival.at_s
             end = "in time" if took_s <= call.arrival.kind.objective_s else "late"
             self.outcomes.append(Outcome(call.arrival, end, took_s, None))
@@ -287,16 +290,16 @@
 
     def _look(self, router: _Router) -> None:
         """Send those for whom there is room now."""
-        if not len(router.entry.line):
+        if not len(router.entry.queue):
             return
-        for number in router.entry.look(self._places(router), self.now_s):
+        for number in router.entry.admit_waiting(self._places(router), self.now_s):
             call = self._calls[number][1]
             self._send(router, call, self._choose(router, call))
         self._look_later(router)
 
     def _look_later(self, router: _Router) -> None:
         """Look again soon: places come free without an event of this router's."""
-        if router.is_looking or not len(router.entry.line):
+        if router.is_looking or not len(router.entry.queue):
             return
         router.is_looking = True
 
--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -29,7 +29,7 @@
 from damaskwind.control.state.fleet_state import FleetState
 from damaskwind.control.state.published_configuration import PublishedConfiguration
 from damaskwind.control.storage.files import FileSystem
-from damaskwind.decisions.admission.service_tally import ServiceCount
+from damaskwind.decisions.admission.service_tally import ServiceReport
 from damaskwind.decisions.fatal_requests.suspicion import MOST_REQUESTS, Standing
 from damaskwind.decisions.following.reading_places import ReadingPlaces
 from damaskwind.decisions.load.held_sums import HeldCount
@@ -313,7 +313,7 @@
         """Return nothing: replicas send nothing to targets."""
         return ()
 
-    def service_counts(self) -> tuple[ServiceCount, ...]:
+    def service_counts(self) -> tuple[ServiceReport, ...]:
         """Return nothing, for the same reason."""
         return ()
 
--- a/packages/decisions/src/damaskwind/decisions/admission/drain_rate.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/drain_rate.py
@@ -3,7 +3,7 @@
 __all__ = ["DrainRate"]
 
 SMOOTHING = 0.1
-LEAST_SAMPLES = 5
+MIN_SAMPLES = 5
 
 
 class DrainRate:
@@ -14,7 +14,7 @@
 
     >>> rate = DrainRate()
     >>> for number in range(7):
-    ...     rate.count(number * 0.5, backlog=True)
+    ...     rate.record_departure(number * 0.5, backlog=True)
     >>> rate.per_s()
     2.0
     """
@@ -24,17 +24,17 @@
         self._last_s: float | None = None
         self._samples = 0
 
-    def count(self, now_s: float, backlog: bool) -> None:
+    def record_departure(self, now_s: float, backlog: bool) -> None:
         """Count a departure; `backlog` tells whether others still wait."""
         if self._last_s is not None:
             gap_s = now_s - self._last_s
-            before_s = gap_s if self._gap_s is None else self._gap_s
-            self._gap_s = before_s + SMOOTHING * (gap_s - before_s)
+            previous_s = gap_s if self._gap_s is None else self._gap_s
+            self._gap_s = previous_s + SMOOTHING * (gap_s - previous_s)
             self._samples += 1
         self._last_s = now_s if backlog else None
 
     def per_s(self) -> float | None:
         """Return the estimate, or `None` before there are enough departures."""
-        if self._samples < LEAST_SAMPLES or not self._gap_s:
+        if self._samples < MIN_SAMPLES or not self._gap_s:
             return None
         return 1.0 / self._gap_s
--- a/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
@@ -23,26 +23,26 @@
 from typing import NamedTuple
 
 from damaskwind.decisions.admission.drain_rate import DrainRate
-from damaskwind.decisions.admission.return_time import return_after_s
+from damaskwind.decisions.admission.return_time import draw_retry_after_s
 from damaskwind.decisions.admission.start_window import (
     DEFAULT_POLICY,
-    Beginnings,
+    StartDelays,
     StartWindow,
     WindowPolicy,
 )
-from damaskwind.decisions.admission.waiting_line import Ticket, WaitingLine
+from damaskwind.decisions.admission.waiting_line import FairQueue, PoolRequest
 
-__all__ = ["Admitted", "PoolAdmission", "Step", "TargetPlaces", "TurnedAway"]
+__all__ = ["AdmissionDecision", "AdmissionStep", "PoolAdmission", "PoolRejection", "TargetSlots"]
 
 # A request may be expected to wait for this part of its objective: the rest is for
 # the answer's beginning, which the window holds at some half of it.
-WAIT_PART = 0.4
+MAX_WAIT_FRACTION = 0.4
 # One that came back is late already and asks no third time: it may wait for this part
 # of its time, but no longer than half of what callers of silent streams bear (2 s).
-CAME_BACK_LEFT_PART = 0.3
-CAME_BACK_MOST_S = 1.0
+RETRY_WAIT_FRACTION = 0.3
+RETRY_MAX_WAIT_S = 1.0
 # Without a departure seen, one takes about so long.
-FIRST_GAP_S = 0.05
+INITIAL_GAP_S = 0.05
 # So long after a request that came for the first time was turned away, more of them
 # are on their way, and those that came back keep to their share of the places.
 SURGE_S = 0.3
@@ -50,14 +50,14 @@
 SURGE_GAP_S = 2.0
 
 
-class TargetPlaces(NamedTuple):
+class TargetSlots(NamedTuple):
     """A target that takes work, and how many of its places are free by its own word."""
 
     target_id: str
     free: float
 
 
-class Step(StrEnum):
+class AdmissionStep(StrEnum):
     """What becomes of a request now."""
 
     START = "start"
@@ -65,122 +65,124 @@
     TURN_AWAY = "turn away"
 
 
-class TurnedAway(NamedTuple):
+class PoolRejection(NamedTuple):
     """A request that is given up on, not run, and when its caller should come back."""
 
     number: int
-    return_s: float
+    retry_after_s: float
     why: str
 
 
-class Admitted(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """What was decided, what was expected, and who had to give way.
 
-    `expected_s` is the wait that was predicted, `until_s` the time at which a
+    `expected_wait_s` is the wait that was predicted, `wait_until_s` the time at which a
     request that waits is to be given up on, `room` how many more the targets could
     take, and `begun_part` the part of the objective that answers took lately to begin.
     """
 
-    step: Step
-    expected_s: float
-    until_s: float
+    step: AdmissionStep
+    expected_wait_s: float
+    wait_until_s: float
     room: int
     begun_part: float
-    turned_away: tuple[TurnedAway, ...] = ()
+    turned_away: tuple[PoolRejection, ...] = ()
 
 
 class PoolAdmission:
     """One router's entry to one pool.
 
-    >>> entry = PoolAdmission(Random(1), WindowPolicy(first=1.0))
-    >>> first, second = (Ticket(n, 0, "a", 0.0, 4.0, 1.0) for n in (1, 2))
-    >>> places = [TargetPlaces("t", 8.0)]
-    >>> entry.offer(first, places, 0.0).step.value, entry.offer(second, places, 0.0).step.value
+    >>> pool = PoolAdmission(Random(1), WindowPolicy(initial_limit=1.0))
+    >>> first, second = (PoolRequest(n, 0, "a", 0.0, 4.0, 1.0) for n in (1, 2))
+    >>> slots = [TargetSlots("t", 8.0)]
+    >>> pool.offer(first, slots, 0.0).step.value, pool.offer(second, slots, 0.0).step.value
     ('start', 'wait')
-    >>> entry.sent(1, "t", 1.0, 0.0); entry.begun(1, 0.05); entry.look(places, 0.05)
+    >>> pool.sent(1, "t", 1.0, 0.0); pool.answer_started(1, 0.05); pool.admit_waiting(slots, 0.05)
     (2,)
     """
 
     def __init__(self, random: Random, policy: WindowPolicy = DEFAULT_POLICY) -> None:
-        self.line = WaitingLine()
+        self.queue = FairQueue()
         self._policy = policy
         self._random = random
-        self._beginnings = Beginnings(policy.memory_s)
+        self._start_delays = StartDelays(policy.memory_s)
         self._windows: dict[str, StartWindow] = {}
-        of_pool = policy._replace(first=policy.first_of_pool, counts_overdue=False)
-        self._whole = StartWindow(of_pool, self._beginnings)
-        self._whole_rate = DrainRate()
-        self._started: set[int] = set()
-        self._at: dict[int, str] = {}
+        pool_policy = policy._replace(initial_limit=policy.initial_pool_limit, counts_overdue=False)
+        self._pool_window = StartWindow(pool_policy, self._start_delays)
+        self._pool_rate = DrainRate()
+        self._admitted_unsent: set[int] = set()
+        self._target_of: dict[int, str] = {}
         self._rates: dict[str, DrainRate] = {}
-        self._refusing_since_s: float | None = None
-        self._refused_s = float("-inf")
-        self._first_refused_s = float("-inf")
+        self._surge_started_s: float | None = None
+        self._last_rejected_s = float("-inf")
+        self._first_attempt_rejected_s = float("-inf")
 
-    def offer(self, ticket: Ticket, places: Sequence[TargetPlaces], now_s: float) -> Admitted:
+    def offer(
+        self, request: PoolRequest, target_slots: Sequence[TargetSlots], now_s: float
+    ) -> AdmissionDecision:
         """Decide on a request that has just come."""
-        room = self._room(ticket.target_id, places, now_s)
-        begun_part = self._begun_part(now_s)
-        waits_its_turn = ticket.came_back and self._is_surge(now_s)
-        if room > 0 and not waits_its_turn and not self.line.waiting_for(ticket.target_id):
-            self._start(ticket, now_s)
-            return Admitted(Step.START, 0.0, now_s, room, begun_part)
-        self.line.add(ticket)
-        expected_s = self._expected_s(ticket, now_s)
-        turned_away = self._turn_away_hopeless(now_s)
-        is_out = any(item.number == ticket.number for item in turned_away)
-        step = Step.TURN_AWAY if is_out else Step.WAIT
-        until_s = self._until_s(ticket)
-        return Admitted(step, expected_s, until_s, room, begun_part, turned_away)
+        room = self._headroom(request.target_id, target_slots, now_s)
+        begun_part = self._median_start_fraction(now_s)
+        must_queue = request.came_back and self._is_surge(now_s)
+        if room > 0 and not must_queue and not self.queue.waiting_for(request.target_id):
+            self._admit(request, now_s)
+            return AdmissionDecision(AdmissionStep.START, 0.0, now_s, room, begun_part)
+        self.queue.add(request)
+        expected_wait_s = self._expected_wait_s(request, now_s)
+        turned_away = self._reject_late(now_s)
+        is_rejected = any(item.number == request.number for item in turned_away)
+        step = AdmissionStep.TURN_AWAY if is_rejected else AdmissionStep.WAIT
+        wait_until_s = self._wait_until_s(request)
+        return AdmissionDecision(step, expected_wait_s, wait_until_s, room, begun_part, turned_away)
 
     def waiting_for(self, target_id: str) -> int:
         """Return how many requests wait here for a target."""
-        return self.line.waiting_for(target_id)
+        return self.queue.waiting_for(target_id)
 
     def sent(self, number: int, target_id: str, objective_s: float, now_s: float) -> None:
         """Note where a request is sent, for the first time or once more."""
-        self._started.discard(number)
-        if self._at.get(number) == target_id:
+        self._admitted_unsent.discard(number)
+        if self._target_of.get(number) == target_id:
             return
         self.ended(number)
-        self._at[number] = target_id
+        self._target_of[number] = target_id
         self._window(target_id).sent(number, now_s, objective_s)
-        self._whole.sent(number, now_s, objective_s)
+        self._pool_window.sent(number, now_s, objective_s)
 
-    def begun(self, number: int, now_s: float) -> None:
+    def answer_started(self, number: int, now_s: float) -> None:
         """Note that an answer began."""
-        target_id = self._at.get(number)
+        target_id = self._target_of.get(number)
         if target_id is not None:
-            self._window(target_id).begun(number, now_s)
-            self._whole.begun(number, now_s)
+            self._window(target_id).answer_started(number, now_s)
+            self._pool_window.answer_started(number, now_s)
 
     def ended(self, number: int) -> None:
         """Note that no answer of the last send will begin any more."""
-        self._started.discard(number)
-        target_id = self._at.pop(number, None)
+        self._admitted_unsent.discard(number)
+        target_id = self._target_of.pop(number, None)
         if target_id is not None:
             self._window(target_id).ended(number)
-            self._whole.ended(number)
+            self._pool_window.ended(number)
 
-    def look(self, places: Sequence[TargetPlaces], now_s: float) -> tuple[int, ...]:
+    def admit_waiting(self, target_slots: Sequence[TargetSlots], now_s: float) -> tuple[int, ...]:
         """Return who may be sent now."""
-        started: list[int] = []
+        admitted: list[int] = []
 
         def can_run(target_id: str) -> bool:
-            return self._room(target_id, places, now_s) > 0
+            return self._headroom(target_id, target_slots, now_s) > 0
 
         is_surge = self._is_surge(now_s)
-        while (ticket := self.line.take_next(now_s, can_run, is_surge)) is not None:
-            is_backlog = bool(self.line.waiting_for(ticket.target_id))
-            self._rate(ticket.target_id).count(now_s, backlog=is_backlog)
-            self._whole_rate.count(now_s, backlog=bool(len(self.line)))
-            self._start(ticket, now_s)
-            started.append(ticket.number)
-        return tuple(started)
-
-    def turned_away_by_target(self, target_id: str, now_s: float) -> None:
+        while (request := self.queue.pop_next(now_s, can_run, is_surge)) is not None:
+            has_backlog = bool(self.queue.waiting_for(request.target_id))
+            self._rate(request.target_id).record_departure(now_s, backlog=has_backlog)
+            self._pool_rate.record_departure(now_s, backlog=bool(len(self.queue)))
+            self._admit(request, now_s)
+            admitted.append(request.number)
+        return tuple(admitted)
+
+    def rejected_by_target(self, target_id: str, now_s: float) -> None:
         """Note that a target had no place for a request."""
-        self._window(target_id).turned_away(now_s)
+        self._window(target_id).rejected(now_s)
 
     def forget(self, target_id: str) -> None:
         """Drop what was learned of a target that is gone."""
@@ -189,23 +191,23 @@
 
     def withdraw(self, number: int) -> None:
         """Take out a request that waits and whose caller left."""
-        self.line.remove(number)
+        self.queue.remove(number)
 
-    def release(self) -> tuple[int, ...]:
+    def release_all(self) -> tuple[int, ...]:
         """Take out all who wait, for nothing that they could wait for is left."""
-        return tuple(ticket.number for ticket in self.line.clear())
+        return tuple(request.number for request in self.queue.clear())
 
-    def give_up(self, number: int, now_s: float) -> TurnedAway | None:
-        """Turn away a request that has waited until its `until_s`."""
-        ticket = self.line.remove(number)
-        return None if ticket is None else self._turn_away(ticket, "waited in vain", now_s)
+    def expire(self, number: int, now_s: float) -> PoolRejection | None:
+        """Turn away a request that has waited until its `wait_until_s`."""
+        request = self.queue.remove(number)
+        return None if request is None else self._reject(request, "waited in vain", now_s)
 
-    def _start(self, ticket: Ticket, now_s: float) -> None:
-        self.line.note_served(ticket.account, now_s)
-        if ticket.target_id:
-            self.sent(ticket.number, ticket.target_id, ticket.objective_s, now_s)
+    def _admit(self, request: PoolRequest, now_s: float) -> None:
+        self.queue.record_served(request.account, now_s)
+        if request.target_id:
+            self.sent(request.number, request.target_id, request.objective_s, now_s)
         else:
-            self._started.add(ticket.number)
+            self._admitted_unsent.add(request.number)
 
     def _rate(self, target_id: str) -> DrainRate:
         """Return how fast those who wait for a target go on."""
@@ -215,77 +217,81 @@
         """Return a target's window, made when it is first asked for."""
         window = self._windows.get(target_id)
         if window is None:
-            window = self._windows[target_id] = StartWindow(self._policy, self._beginnings)
+            window = self._windows[target_id] = StartWindow(self._policy, self._start_delays)
         return window
 
-    def _room_at(self, places: TargetPlaces, now_s: float) -> int:
+    def _target_headroom(self, target_slots: TargetSlots, now_s: float) -> int:
         """Return how many more a target may be sent."""
-        return min(self._window(places.target_id).room(now_s), ceil(places.free))
+        return min(self._window(target_slots.target_id).headroom(now_s), ceil(target_slots.free))
 
-    def _room(self, target_id: str, places: Sequence[TargetPlaces], now_s: float) -> int:
+    def _headroom(self, target_id: str, target_slots: Sequence[TargetSlots], now_s: float) -> int:
         """Return how many more may be sent to a target, or to any, less those on their way."""
         if not target_id:
-            room = sum(max(0, self._room_at(item, now_s)) for item in places)
-            return min(room, self._whole.room(now_s)) - len(self._started)
-        home = next((item for item in places if item.target_id == target_id), None)
+            room = sum(max(0, self._target_headroom(item, now_s)) for item in target_slots)
+            return min(room, self._pool_window.headroom(now_s)) - len(self._admitted_unsent)
+        preferred = next((item for item in target_slots if item.target_id == target_id), None)
         # A home that is gone meanwhile holds nobody up: the request is placed anew.
-        room = 1 if home is None else self._room_at(home, now_s)
-        return min(room, self._whole.room(now_s))
+        room = 1 if preferred is None else self._target_headroom(preferred, now_s)
+        return min(room, self._pool_window.headroom(now_s))
 
-    def _begun_part(self, now_s: float) -> float:
+    def _median_start_fraction(self, now_s: float) -> float:
         """Return the median part of the objective that the pool's answers took to begin."""
-        parts = self._beginnings.recent(now_s)
-        return median(parts) if parts else 0.0
+        fractions = self._start_delays.recent(now_s)
+        return median(fractions) if fractions else 0.0
 
-    def _until_s(self, ticket: Ticket) -> float:
+    def _wait_until_s(self, request: PoolRequest) -> float:
         """Return until when it makes sense that a request waits."""
-        wait_s = WAIT_PART * ticket.objective_s
-        if ticket.came_back:
-            left_s = ticket.deadline_s - ticket.arrived_s
-            wait_s = max(wait_s, min(CAME_BACK_LEFT_PART * left_s, CAME_BACK_MOST_S))
-        return min(ticket.arrived_s + wait_s, ticket.deadline_s)
+        wait_s = MAX_WAIT_FRACTION * request.objective_s
+        if request.came_back:
+            left_s = request.deadline_s - request.arrived_s
+            wait_s = max(wait_s, min(RETRY_WAIT_FRACTION * left_s, RETRY_MAX_WAIT_S))
+        return min(request.arrived_s + wait_s, request.deadline_s)
 
     def _gap_s(self, target_id: str) -> float:
         """Return the time between two departures to a target."""
         per_s = self._rate(target_id).per_s()
-        return FIRST_GAP_S if per_s is None else 1.0 / per_s
+        return INITIAL_GAP_S if per_s is None else 1.0 / per_s
 
     def _is_surge(self, now_s: float) -> bool:
         """Tell whether requests that came for the first time are being turned away."""
-        return now_s - self._first_refused_s < SURGE_S
+        return now_s - self._first_attempt_rejected_s < SURGE_S
 
-    def _expected_s(self, ticket: Ticket, now_s: float) -> float:
+    def _expected_wait_s(self, request: PoolRequest, now_s: float) -> float:
         """Return how long a request will probably wait."""
-        same = [item for item in self.line.ordered(now_s) if item.target_id == ticket.target_id]
-        return (same.index(ticket) + 0.5) * self._gap_s(ticket.target_id)
+        same_target = [
+            item for item in self.queue.ordered(now_s) if item.target_id == request.target_id
+        ]
+        return (same_target.index(request) + 0.5) * self._gap_s(request.target_id)
 
-    def _turn_away_hopeless(self, now_s: float) -> tuple[TurnedAway, ...]:
+    def _reject_late(self, now_s: float) -> tuple[PoolRejection, ...]:
         """Turn away whoever can't be sent in time at the present pace."""
-        turned_away: list[TurnedAway] = []
+        turned_away: list[PoolRejection] = []
         ahead: Counter[str] = Counter()
-        whole_per_s = self._whole_rate.per_s()
-        for place, ticket in enumerate(self.line.ordered(now_s)):
-            expected_s = (ahead[ticket.target_id] + 0.5) * self._gap_s(ticket.target_id)
-            if whole_per_s is not None:
-                expected_s = max(expected_s, (place - len(turned_away) + 0.5) / whole_per_s)
-            if now_s + expected_s > self._until_s(ticket):
-                turned_away.append(self._turn_away(ticket, "no place in time", now_s))
+        pool_per_s = self._pool_rate.per_s()
+        for position, request in enumerate(self.queue.ordered(now_s)):
+            expected_wait_s = (ahead[request.target_id] + 0.5) * self._gap_s(request.target_id)
+            if pool_per_s is not None:
+                expected_wait_s = max(
+                    expected_wait_s, (position - len(turned_away) + 0.5) / pool_per_s
+                )
+            if now_s + expected_wait_s > self._wait_until_s(request):
+                turned_away.append(self._reject(request, "no place in time", now_s))
             else:
-                ahead[ticket.target_id] += 1
+                ahead[request.target_id] += 1
         return tuple(turned_away)
 
-    def return_s(self, objective_s: float, left_s: float, now_s: float) -> float:
+    def retry_after_s(self, objective_s: float, left_s: float, now_s: float) -> float:
         """Return when a caller that is turned away now should come back."""
-        if now_s - self._refused_s > SURGE_GAP_S:
-            self._refusing_since_s = now_s
-        self._refused_s = now_s
-        since_s = now_s if self._refusing_since_s is None else self._refusing_since_s
-        return return_after_s(objective_s, left_s, now_s - since_s, self._random)
+        if now_s - self._last_rejected_s > SURGE_GAP_S:
+            self._surge_started_s = now_s
+        self._last_rejected_s = now_s
+        surge_started_s = now_s if self._surge_started_s is None else self._surge_started_s
+        return draw_retry_after_s(objective_s, left_s, now_s - surge_started_s, self._random)
 
-    def _turn_away(self, ticket: Ticket, why: str, now_s: float) -> TurnedAway:
+    def _reject(self, request: PoolRequest, why: str, now_s: float) -> PoolRejection:
         """Give up on a request that waits."""
-        self.line.remove(ticket.number)
-        if not ticket.came_back:
-            self._first_refused_s = now_s
-        return_s = self.return_s(ticket.objective_s, ticket.deadline_s - now_s, now_s)
-        return TurnedAway(ticket.number, return_s, why)
+        self.queue.remove(request.number)
+        if not request.came_back:
+            self._first_attempt_rejected_s = now_s
+        retry_after_s = self.retry_after_s(request.objective_s, request.deadline_s - now_s, now_s)
+        return PoolRejection(request.number, retry_after_s, why)
--- a/packages/decisions/src/damaskwind/decisions/admission/queue.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/queue.py
@@ -17,12 +17,12 @@
 from damaskwind.model.reason import Reason
 from damaskwind.model.verdict import Refusal, Verdict
 
-__all__ = ["AdmissionQueue", "GivenUp", "Offer", "QueuedRequest"]
+__all__ = ["AdmissionQueue", "OfferResult", "QueuedRequest", "RefusedRequest"]
 
 SCAN_LIMIT = 32
 RESERVE_S = 0.1
-LEAST_RETRY_AFTER_S = 1.0
-LONGEST_RETRY_AFTER_S = 60.0
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 60.0
 
 
 class QueuedRequest(NamedTuple):
@@ -34,28 +34,28 @@
     deadline_s: float
 
 
-class GivenUp(NamedTuple):
+class RefusedRequest(NamedTuple):
     """A request that leaves the queue unserved, with the answer it gets now."""
 
     request: QueuedRequest
     refusal: Refusal
 
 
-class Offer(NamedTuple):
+class OfferResult(NamedTuple):
     """Whether a request was queued, and who was given up on to make room.
 
-    A request that was not queued is itself among `given_up`.
+    A request that was not queued is itself among `refused`.
     """
 
     queued: bool
-    given_up: tuple[GivenUp, ...] = ()
+    refused: tuple[RefusedRequest, ...] = ()
 
 
-class _Waiting(NamedTuple):
+class _QueueEntry(NamedTuple):
     """A queued request and the time at which it is given up on."""
 
     request: QueuedRequest
-    give_up_s: float
+    expires_s: float
 
 
 class _ClassQueue:
@@ -63,8 +63,8 @@
 
     def __init__(self, priority_class: PriorityClass) -> None:
         self.priority_class = priority_class
-        self.waiting: deque[_Waiting] = deque()
-        self.passed = 0.0
+        self.waiting: deque[_QueueEntry] = deque()
+        self.pass_value = 0.0
 
 
 class AdmissionQueue:
@@ -93,42 +93,42 @@
             if not self._queues[name].waiting:
                 del self._queues[name]
 
-    def offer(self, request: QueuedRequest, now_s: float) -> Offer:
+    def offer(self, request: QueuedRequest, now_s: float) -> OfferResult:
         """Queue a request, or say at once that it is given up on."""
         queue = self._queues[request.priority_class]
-        give_up_s = min(
+        expires_s = min(
             now_s + queue.priority_class.queue_timeout_s, request.deadline_s - RESERVE_S
         )
-        if now_s + self._expected_wait_s(queue) >= give_up_s:
-            return Offer(False, (self._give_up(request, "no target in time"),))
+        if now_s + self._expected_wait_s(queue) >= expires_s:
+            return OfferResult(False, (self._refuse(request, "no target in time"),))
         if len(queue.waiting) >= queue.priority_class.queue_limit_requests:
-            return Offer(False, (self._give_up(request, "its class's queue is full"),))
-        shed: tuple[GivenUp, ...] = ()
+            return OfferResult(False, (self._refuse(request, "its class's queue is full"),))
+        shed: tuple[RefusedRequest, ...] = ()
         if len(self) >= self.limit_requests:
             victim = self._shed_below(queue.priority_class.rank)
             if victim is None:
-                return Offer(False, (self._give_up(request, "the queue is full"),))
+                return OfferResult(False, (self._refuse(request, "the queue is full"),))
             shed = (victim,)
-        self._append(queue, _Waiting(request, give_up_s))
-        return Offer(True, shed)
+        self._append(queue, _QueueEntry(request, expires_s))
+        return OfferResult(True, shed)
 
-    def _append(self, queue: _ClassQueue, waiting: _Waiting) -> None:
+    def _append(self, queue: _ClassQueue, entry: _QueueEntry) -> None:
         """Put a request last; a class that was idle earns no credit for that."""
         if not queue.waiting:
-            busy = [other.passed for other in self._queues.values() if other.waiting]
-            queue.passed = max(queue.passed, min(busy, default=queue.passed))
-        queue.waiting.append(waiting)
+            backlogged = [other.pass_value for other in self._queues.values() if other.waiting]
+            queue.pass_value = max(queue.pass_value, min(backlogged, default=queue.pass_value))
+        queue.waiting.append(entry)
 
     def _expected_wait_s(self, queue: _ClassQueue) -> float:
         """Estimate the wait at the end of a class from its share of the drain rate."""
         per_s = self._rate.per_s()
         if per_s is None or not queue.waiting:
             return 0.0
-        busy = [other for other in self._queues.values() if other.waiting]
-        weights = sum(other.priority_class.weight for other in busy)
+        backlogged = [other for other in self._queues.values() if other.waiting]
+        weights = sum(other.priority_class.weight for other in backlogged)
         return len(queue.waiting) / (per_s * queue.priority_class.weight / weights)
 
-    def _shed_below(self, rank: int) -> GivenUp | None:
+    def _shed_below(self, rank: int) -> RefusedRequest | None:
         """Give up on the newest request of the lowest class below `rank`."""
         lower = [
             queue
@@ -138,16 +138,16 @@
         if not lower:
             return None
         lowest = max(lower, key=lambda queue: queue.priority_class.rank)
-        return self._give_up(lowest.waiting.pop().request, "shed for a higher class")
+        return self._refuse(lowest.waiting.pop().request, "shed for a higher class")
 
-    def _give_up(self, request: QueuedRequest, detail: str) -> GivenUp:
+    def _refuse(self, request: QueuedRequest, detail: str) -> RefusedRequest:
         """Make the final answer: nothing was sent, come back after the backlog."""
         per_s = self._rate.per_s()
         fallback_s = self._queues[request.priority_class].priority_class.queue_timeout_s
         backlog_s = len(self) / per_s if per_s else fallback_s
-        retry_after_s = min(LONGEST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, backlog_s))
+        retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, backlog_s))
         refusal = Refusal(Reason.OVERLOADED, Verdict.NOT_RUN, detail, retry_after_s)
-        return GivenUp(request, refusal)
+        return RefusedRequest(request, refusal)
 
     def next_ready(
         self, now_s: float, can_run: Callable[[QueuedRequest], bool] = lambda request: True
@@ -157,40 +157,40 @@
         Within a class at most the first `SCAN_LIMIT` requests are looked at, so
         that one request without a target does not hold up those behind it.
         """
-        order = sorted(
+        by_pass_value = sorted(
             (queue for queue in self._queues.values() if queue.waiting),
-            key=lambda queue: (queue.passed, queue.priority_class.rank),
+            key=lambda queue: (queue.pass_value, queue.priority_class.rank),
         )
-        for queue in order:
+        for queue in by_pass_value:
             for index in range(min(SCAN_LIMIT, len(queue.waiting))):
-                waiting = queue.waiting[index]
-                if now_s < waiting.give_up_s and can_run(waiting.request):
+                entry = queue.waiting[index]
+                if now_s < entry.expires_s and can_run(entry.request):
                     del queue.waiting[index]
-                    queue.passed += 1.0 / queue.priority_class.weight
-                    self._rate.count(now_s, backlog=bool(len(self)))
-                    return waiting.request
+                    queue.pass_value += 1.0 / queue.priority_class.weight
+                    self._rate.record_departure(now_s, backlog=bool(len(self)))
+                    return entry.request
         return None
 
-    def expire(self, now_s: float) -> tuple[GivenUp, ...]:
+    def expire(self, now_s: float) -> tuple[RefusedRequest, ...]:
         """Give up on every request whose time in the queue is over."""
-        over = []
+        expired = []
         for queue in self._queues.values():
-            late = [waiting for waiting in queue.waiting if waiting.give_up_s <= now_s]
-            if late:
-                queue.waiting = deque(w for w in queue.waiting if w.give_up_s > now_s)
-                over += late
-        return tuple(self._give_up(waiting.request, "no target in time") for waiting in over)
+            class_expired = [entry for entry in queue.waiting if entry.expires_s <= now_s]
+            if class_expired:
+                queue.waiting = deque(kept for kept in queue.waiting if kept.expires_s > now_s)
+                expired += class_expired
+        return tuple(self._refuse(entry.request, "no target in time") for entry in expired)
 
     def next_expiry_s(self) -> float | None:
         """Return when `expire` has something to do next."""
-        times = [waiting.give_up_s for queue in self._queues.values() for waiting in queue.waiting]
+        times = [entry.expires_s for queue in self._queues.values() for entry in queue.waiting]
         return min(times, default=None)
 
     def remove(self, request_id: str) -> bool:
         """Take out a request whose caller went away."""
         for queue in self._queues.values():
-            for index, waiting in enumerate(queue.waiting):
-                if waiting.request.request_id == request_id:
+            for index, entry in enumerate(queue.waiting):
+                if entry.request.request_id == request_id:
                     del queue.waiting[index]
                     return True
         return False
--- a/packages/decisions/src/damaskwind/decisions/admission/return_time.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/return_time.py
@@ -11,40 +11,42 @@
 
 from random import Random
 
-__all__ = ["return_after_rest_s", "return_after_s"]
+__all__ = ["draw_retry_after_pause_s", "draw_retry_after_s"]
 
 # A caller comes back after this part of its objective at the earliest: early enough
 # to be served within it, late enough that a place may be free.
-SOONEST_OBJECTIVES = 0.3
-SOONEST_S = 0.05
-LEFT_SHARE = 1.0 / 3.0
+MIN_OBJECTIVE_FRACTION = 0.3
+MIN_RETRY_AFTER_S = 0.05
+MAX_REMAINING_FRACTION = 1.0 / 3.0
 # A surge younger than this may be a clump of requests that came together.
-CLUMP_S = 0.3
+BURST_S = 0.3
 
 
-def return_after_s(objective_s: float, left_s: float, lasted_s: float, random: Random) -> float:
+def draw_retry_after_s(
+    objective_s: float, remaining_s: float, surge_age_s: float, random: Random
+) -> float:
     """Return the seconds after which to come back.
 
-    `left_s` is the time that the caller has, `lasted_s` for how long requests
+    `remaining_s` is the time that the caller has, `surge_age_s` for how long requests
     have been turned away.
 
-    >>> return_after_s(1.0, 9.0, 0.0, Random(1))
+    >>> draw_retry_after_s(1.0, 9.0, 0.0, Random(1))
     0.3
-    >>> 1.65 <= return_after_s(1.0, 9.0, 2.0, Random(1)) <= 3.0
+    >>> 1.65 <= draw_retry_after_s(1.0, 9.0, 2.0, Random(1)) <= 3.0
     True
     """
-    soonest_s = max(SOONEST_OBJECTIVES * objective_s, SOONEST_S)
-    if lasted_s < CLUMP_S:
-        return round(soonest_s, 3)
-    latest_s = max(LEFT_SHARE * left_s, soonest_s)
-    earliest_s = min(max(lasted_s, soonest_s), (soonest_s + latest_s) / 2)
-    return round(random.uniform(earliest_s, latest_s), 3)
+    min_s = max(MIN_OBJECTIVE_FRACTION * objective_s, MIN_RETRY_AFTER_S)
+    if surge_age_s < BURST_S:
+        return round(min_s, 3)
+    upper_s = max(MAX_REMAINING_FRACTION * remaining_s, min_s)
+    lower_s = min(max(surge_age_s, min_s), (min_s + upper_s) / 2)
+    return round(random.uniform(lower_s, upper_s), 3)
 
 
-def return_after_rest_s(rest_left_s: float, objective_s: float, random: Random) -> float:
+def draw_retry_after_pause_s(pause_left_s: float, objective_s: float, random: Random) -> float:
     """Return when to come back to targets that all want no requests for so long.
 
-    >>> 2.5 <= return_after_rest_s(2.5, 0.2, Random(1)) <= 2.7
+    >>> 2.5 <= draw_retry_after_pause_s(2.5, 0.2, Random(1)) <= 2.7
     True
     """
-    return round(rest_left_s + random.uniform(0.0, objective_s), 3)
+    return round(pause_left_s + random.uniform(0.0, objective_s), 3)
--- a/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
@@ -3,187 +3,187 @@
 from random import Random
 from unittest import TestCase
 
-from damaskwind.decisions.admission.pool_admission import PoolAdmission, Step, TargetPlaces
-from damaskwind.decisions.admission.return_time import return_after_s
+from damaskwind.decisions.admission.pool_admission import AdmissionStep, PoolAdmission, TargetSlots
+from damaskwind.decisions.admission.return_time import draw_retry_after_s
 from damaskwind.decisions.admission.start_window import StartWindow, WindowPolicy
-from damaskwind.decisions.admission.waiting_line import Ticket, WaitingLine
+from damaskwind.decisions.admission.waiting_line import FairQueue, PoolRequest
 
-PLACES = [TargetPlaces("a", 64.0), TargetPlaces("b", 64.0)]
+TARGET_SLOTS = [TargetSlots("a", 64.0), TargetSlots("b", 64.0)]
 
 
-def ticket(number, rank=1, account="x", arrived_s=0.0, left_s=8.0, **changes):
+def request(number, rank=1, account="x", arrived_s=0.0, left_s=8.0, **changes):
     fields = {"objective_s": 1.0, "target_id": "a", **changes}
-    return Ticket(number, rank, account, arrived_s, arrived_s + left_s, **fields)
+    return PoolRequest(number, rank, account, arrived_s, arrived_s + left_s, **fields)
 
 
 class WindowTest(TestCase):
     def test_answers_that_come_late_shrink_the_bound_and_early_ones_let_it_grow(self):
-        window = StartWindow(WindowPolicy(first=8.0))
+        window = StartWindow(WindowPolicy(initial_limit=8.0))
         for number in range(20):
             window.sent(number, number * 0.2, 1.0)
-            window.begun(number, number * 0.2 + 0.9)
+            window.answer_started(number, number * 0.2 + 0.9)
         self.assertLess(window.limit, 4.0)
         before = window.limit
         for number in range(100, 200):
             at_s = 10.0 + number * 0.05
             window.sent(number, at_s, 1.0)
             window.sent(number + 1000, at_s, 1.0)
-            window.begun(number, at_s + 0.04)
-            window.begun(number + 1000, at_s + 0.04)
+            window.answer_started(number, at_s + 0.04)
+            window.answer_started(number + 1000, at_s + 0.04)
         self.assertGreater(window.limit, before)
 
     def test_silence_shrinks_the_bound_before_any_answer_tells(self):
-        window = StartWindow(WindowPolicy(first=8.0))
+        window = StartWindow(WindowPolicy(initial_limit=8.0))
         for number in range(8):
             window.sent(number, 0.0, 1.0)
-        rooms = [window.room(0.7 + step * 0.2) for step in range(10)]
+        headrooms = [window.headroom(0.7 + step * 0.2) for step in range(10)]
         self.assertLess(window.limit, 2.0)
         self.assertGreaterEqual(window.limit, 1.0)
         # What is lost holds no place for ever: the target is asked again.
-        self.assertGreater(rooms[-1], 0)
+        self.assertGreater(headrooms[-1], 0)
 
     def test_a_router_with_few_answers_goes_by_those_of_the_whole_pool(self):
-        entry = PoolAdmission(Random(1), WindowPolicy(first=4.0))
+        admission = PoolAdmission(Random(1), WindowPolicy(initial_limit=4.0))
         for number in range(12):
-            entry.sent(number, f"t{number}", 1.0, 0.0)
-            entry.begun(number, 0.9)
-        entry.sent(99, "t0", 1.0, 1.0)
-        entry.begun(99, 1.1)
-        self.assertLess(entry._window("t0").limit, 4.0)
+            admission.sent(number, f"t{number}", 1.0, 0.0)
+            admission.answer_started(number, 0.9)
+        admission.sent(99, "t0", 1.0, 1.0)
+        admission.answer_started(99, 1.1)
+        self.assertLess(admission._window("t0").limit, 4.0)
 
 
 class WholePoolTest(TestCase):
     """One router in many: one request at each target is more than its part."""
 
     def setUp(self):
-        policy = WindowPolicy(first=2.0, first_of_pool=3.0)
-        self.entry = PoolAdmission(Random(1), policy)
-        self.places = [TargetPlaces(f"t{number}", 64.0) for number in range(10)]
+        policy = WindowPolicy(initial_limit=2.0, initial_pool_limit=3.0)
+        self.admission = PoolAdmission(Random(1), policy)
+        self.target_slots = [TargetSlots(f"t{number}", 64.0) for number in range(10)]
 
     def offer(self, number, now_s=0.0):
-        asked = ticket(number, target_id=f"t{number % 10}", arrived_s=now_s)
-        return self.entry.offer(asked, self.places, now_s).step
+        asked = request(number, target_id=f"t{number % 10}", arrived_s=now_s)
+        return self.admission.offer(asked, self.target_slots, now_s).step
 
     def test_targets_share_one_bound(self):
         steps = [self.offer(number) for number in range(5)]
-        self.assertEqual(steps, [Step.START] * 3 + [Step.WAIT] * 2)
-        self.entry.begun(0, 0.05)
+        self.assertEqual(steps, [AdmissionStep.START] * 3 + [AdmissionStep.WAIT] * 2)
+        self.admission.answer_started(0, 0.05)
         # One place came free, and the bound grew by a part since the answer began early.
-        self.assertEqual(self.entry.look(self.places, 0.05), (3, 4))
-        self.assertEqual(self.offer(5, now_s=0.05), Step.WAIT)
+        self.assertEqual(self.admission.admit_waiting(self.target_slots, 0.05), (3, 4))
+        self.assertEqual(self.offer(5, now_s=0.05), AdmissionStep.WAIT)
 
     def test_targets_that_are_silent_do_not_shrink_it_for_the_others(self):
         for number in range(3):
             self.offer(number)
         # Their targets are behind a cut: what is overdue by its objective holds no place.
-        self.assertEqual(self.offer(3, now_s=1.1), Step.START)
-        self.assertEqual(self.offer(4, now_s=1.1), Step.START)
+        self.assertEqual(self.offer(3, now_s=1.1), AdmissionStep.START)
+        self.assertEqual(self.offer(4, now_s=1.1), AdmissionStep.START)
 
 
 class SurgeTest(TestCase):
     """More comes than its target can begin."""
 
     def setUp(self):
-        self.entry = PoolAdmission(Random(1), WindowPolicy(first=2.0))
+        self.admission = PoolAdmission(Random(1), WindowPolicy(initial_limit=2.0))
 
     def offer(self, item, now_s=0.0):
-        return self.entry.offer(item, PLACES, now_s)
+        return self.admission.offer(item, TARGET_SLOTS, now_s)
 
     def test_what_has_room_goes_on_and_the_next_waits(self):
-        steps = [self.offer(ticket(number)).step for number in range(3)]
-        self.assertEqual(steps, [Step.START, Step.START, Step.WAIT])
+        steps = [self.offer(request(number)).step for number in range(3)]
+        self.assertEqual(steps, [AdmissionStep.START, AdmissionStep.START, AdmissionStep.WAIT])
 
     def test_who_waits_for_one_target_holds_up_none_for_another(self):
         for number in range(3):
-            self.offer(ticket(number))
-        self.assertIs(self.offer(ticket(9, target_id="b")).step, Step.START)
+            self.offer(request(number))
+        self.assertIs(self.offer(request(9, target_id="b")).step, AdmissionStep.START)
 
     def test_who_cannot_be_served_in_time_is_turned_away_at_once_with_a_time(self):
-        outcomes = [self.offer(ticket(number)) for number in range(30)]
+        outcomes = [self.offer(request(number)) for number in range(30)]
         refused = [item for outcome in outcomes for item in outcome.turned_away]
         self.assertGreater(len(refused), 15)
-        self.assertTrue(all(item.return_s > 0 for item in refused))
-        self.assertLess(len(self.entry.line), 12)
+        self.assertTrue(all(item.retry_after_s > 0 for item in refused))
+        self.assertLess(len(self.admission.queue), 12)
 
     def test_more_urgent_request_goes_first_and_pushes_out_the_least_urgent(self):
         for number in range(12):
-            self.offer(ticket(number, rank=2))
-        waiting = len(self.entry.line)
-        outcome = self.offer(ticket(50, rank=0))
-        self.assertIs(outcome.step, Step.WAIT)
+            self.offer(request(number, rank=2))
+        waiting = len(self.admission.queue)
+        outcome = self.offer(request(50, rank=0))
+        self.assertIs(outcome.step, AdmissionStep.WAIT)
         self.assertNotIn(50, [item.number for item in outcome.turned_away])
-        self.assertLessEqual(len(self.entry.line), waiting + 1)
-        self.entry.ended(0)
-        self.assertEqual(self.entry.look(PLACES, 0.05), (50,))
+        self.assertLessEqual(len(self.admission.queue), waiting + 1)
+        self.admission.ended(0)
+        self.assertEqual(self.admission.admit_waiting(TARGET_SLOTS, 0.05), (50,))
 
     def test_target_that_says_it_is_full_gets_nothing_more(self):
-        full = [TargetPlaces("a", 0.0)]
-        self.assertIs(self.entry.offer(ticket(1), full, 0.0).step, Step.WAIT)
-        self.assertEqual(self.entry.look(PLACES, 0.1), (1,))
+        full = [TargetSlots("a", 0.0)]
+        self.assertIs(self.admission.offer(request(1), full, 0.0).step, AdmissionStep.WAIT)
+        self.assertEqual(self.admission.admit_waiting(TARGET_SLOTS, 0.1), (1,))
 
     def test_home_that_is_gone_holds_nobody_up(self):
         for number in range(3):
-            self.offer(ticket(number))
-        self.assertEqual(self.entry.look([TargetPlaces("b", 8.0)], 0.1), (2,))
+            self.offer(request(number))
+        self.assertEqual(self.admission.admit_waiting([TargetSlots("b", 8.0)], 0.1), (2,))
 
     def test_who_came_back_keeps_to_a_share_while_new_ones_are_turned_away(self):
         # Else a surge ends with nobody served in time: those that came back are late.
         for number in range(20):
-            self.offer(ticket(number))
-        back = self.offer(ticket(100, came_back=True, left_s=5.0), 0.1)
-        self.assertIs(back.step, Step.WAIT)
-        self.entry.ended(0)
-        self.assertNotIn(100, self.entry.look(PLACES, 0.1))
+            self.offer(request(number))
+        back = self.offer(request(100, came_back=True, left_s=5.0), 0.1)
+        self.assertIs(back.step, AdmissionStep.WAIT)
+        self.admission.ended(0)
+        self.assertNotIn(100, self.admission.admit_waiting(TARGET_SLOTS, 0.1))
 
     def test_after_the_surge_who_came_back_goes_on_at_once(self):
         for number in range(20):
-            self.offer(ticket(number))
+            self.offer(request(number))
         for number in range(20):
-            self.entry.withdraw(number)
-            self.entry.ended(number)
-        back = self.offer(ticket(100, came_back=True, left_s=5.0), 2.0)
-        self.assertIs(back.step, Step.START)
+            self.admission.withdraw(number)
+            self.admission.ended(number)
+        back = self.offer(request(100, came_back=True, left_s=5.0), 2.0)
+        self.assertIs(back.step, AdmissionStep.START)
 
 
-class LineTest(TestCase):
+class FairQueueTest(TestCase):
     def test_account_far_over_its_share_waits_behind_the_others(self):
-        line = WaitingLine()
+        queue = FairQueue()
         for number in range(60):
-            line.note_served("large", 0.0)
+            queue.record_served("large", 0.0)
             if number < 6:
-                line.note_served(f"small-{number}", 0.0)
-        line.add(ticket(1, account="large"))
-        line.add(ticket(2, account="small-1", arrived_s=0.1))
-        order = [item.number for item in line.ordered(0.2)]
+                queue.record_served(f"small-{number}", 0.0)
+        queue.add(request(1, account="large"))
+        queue.add(request(2, account="small-1", arrived_s=0.1))
+        order = [item.number for item in queue.ordered(0.2)]
         self.assertEqual(order, [2, 1])
 
     def test_alone_an_account_may_take_what_there_is(self):
-        line = WaitingLine()
+        queue = FairQueue()
         for _ in range(60):
-            line.note_served("large", 0.0)
-        line.add(ticket(1, account="large"))
-        self.assertEqual(line.take_next(0.2, lambda target_id: True).number, 1)
+            queue.record_served("large", 0.0)
+        queue.add(request(1, account="large"))
+        self.assertEqual(queue.pop_next(0.2, lambda target_id: True).number, 1)
 
     def test_no_rank_starves(self):
-        line = WaitingLine()
-        line.add(ticket(1, rank=2, left_s=3.0))
+        queue = FairQueue()
+        queue.add(request(1, rank=2, left_s=3.0))
         for number in range(2, 10):
-            line.add(ticket(number, rank=0, left_s=4.0))
-        taken = [line.take_next(0.0, lambda target_id: True).number for _ in range(4)]
+            queue.add(request(number, rank=0, left_s=4.0))
+        taken = [queue.pop_next(0.0, lambda target_id: True).number for _ in range(4)]
         self.assertIn(1, taken)
 
 
-class ReturnTest(TestCase):
+class RetryAfterTest(TestCase):
     def test_returns_are_spread_and_never_beyond_what_callers_honour(self):
         random = Random(1)
-        times = [return_after_s(0.5, 9.0, 2.0, random) for _ in range(200)]
+        times = [draw_retry_after_s(0.5, 9.0, 2.0, random) for _ in range(200)]
         self.assertLessEqual(max(times), 3.0)
         self.assertGreater(max(times) - min(times), 0.8)
 
     def test_hostile_times_neither_crash_nor_lie(self):
         for left_s in (-5.0, 0.0, 1e9):
-            self.assertGreater(return_after_s(0.4, left_s, 5.0, Random(1)), 0.0)
-        entry = PoolAdmission(Random(1), WindowPolicy(first=1.0))
-        entry.offer(ticket(1), PLACES, 0.0)
-        outcome = entry.offer(ticket(2, left_s=-1.0), PLACES, 0.0)
-        self.assertIs(outcome.step, Step.TURN_AWAY)
+            self.assertGreater(draw_retry_after_s(0.4, left_s, 5.0, Random(1)), 0.0)
+        admission = PoolAdmission(Random(1), WindowPolicy(initial_limit=1.0))
+        admission.offer(request(1), TARGET_SLOTS, 0.0)
+        outcome = admission.offer(request(2, left_s=-1.0), TARGET_SLOTS, 0.0)
+        self.assertIs(outcome.step, AdmissionStep.TURN_AWAY)
--- a/packages/decisions/src/damaskwind/decisions/admission/tests/test_queue.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/tests/test_queue.py
@@ -50,10 +50,10 @@
         self.fill(queue, "normal", 2)
         offer = queue.offer(request("u", "urgent"), 0.0)
         self.assertTrue(offer.queued)
-        self.assertEqual([given.request.request_id for given in offer.given_up], ["batch1"])
+        self.assertEqual([item.request.request_id for item in offer.refused], ["batch1"])
         lowest = queue.offer(request("b", "batch"), 0.0)
         self.assertFalse(lowest.queued)
-        refusal = lowest.given_up[0].refusal
+        refusal = lowest.refused[0].refusal
         self.assertEqual((refusal.reason, refusal.verdict), (Reason.OVERLOADED, Verdict.NOT_RUN))
         self.assertGreaterEqual(refusal.retry_after_s, 1.0)
         self.assertEqual(len(queue), 4)
@@ -65,7 +65,7 @@
         queue.offer(request("stays", "batch"), 0.0)
         self.assertLess(queue.next_expiry_s(), 3.0)
         first = queue.expire(queue.next_expiry_s())
-        self.assertEqual([given.request.request_id for given in first], ["late"])
+        self.assertEqual([item.request.request_id for item in first], ["late"])
         self.assertEqual([g.request.request_id for g in queue.expire(5.0)], ["class"])
         self.assertEqual(queue.next_ready(5.0).request_id, "stays")
 
@@ -76,7 +76,7 @@
             queue.next_ready(number * 0.5)
         offer = queue.offer(request("new"), 5.0)
         self.assertFalse(offer.queued)
-        self.assertAlmostEqual(offer.given_up[0].refusal.retry_after_s, 15.0, delta=0.5)
+        self.assertAlmostEqual(offer.refused[0].refusal.retry_after_s, 15.0, delta=0.5)
         self.assertTrue(queue.offer(request("other", "urgent"), 5.0).queued)
 
     def test_blocked_request_does_not_hold_up_those_behind(self):
--- a/packages/decisions/src/damaskwind/decisions/admission/waiting_line.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/waiting_line.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-__all__ = ["Ticket", "WaitingLine"]
+__all__ = ["FairQueue", "PoolRequest"]
 
 # One place in so many goes to the earliest deadline whatever its rank: a fourth of
 # the places keeps every kind above the quarter below which it counts as starved.
-OPEN_TURN = 4
+DEADLINE_TURN = 4
 # An account is over its share beyond so many times the mean of those served lately:
 # shares are uneven by nature, the largest of ten has some three times the mean.
 SHARE_MULTIPLE = 4.0
@@ -24,7 +24,7 @@
 SHARE_MEMORY_S = 4.0
 
 
-class Ticket(NamedTuple):
+class PoolRequest(NamedTuple):
     """A request that asks for a place; `rank` 0 is the most urgent.
 
     `arrived_s` and `deadline_s` are monotonic; `objective_s` counts from its
@@ -42,57 +42,64 @@
     target_id: str = ""
 
 
-class _Served(NamedTuple):
+class _ServedWork(NamedTuple):
     """Work served to an account, decayed up to a time."""
 
-    amount: float
+    work: float
     at_s: float
 
 
-class WaitingLine:
+class FairQueue:
     """The tickets that wait.
 
-    >>> line = WaitingLine()
-    >>> line.add(Ticket(1, 2, "a", 0.0, 9.0, 1.0)); line.add(Ticket(2, 0, "b", 0.1, 4.0, 1.0))
-    >>> [ticket.number for ticket in line.ordered(0.2)]
+    >>> queue = FairQueue()
+    >>> queue.add(PoolRequest(1, 2, "a", 0.0, 9.0, 1.0))
+    >>> queue.add(PoolRequest(2, 0, "b", 0.1, 4.0, 1.0))
+    >>> [request.number for request in queue.ordered(0.2)]
     [2, 1]
     """
 
     def __init__(self) -> None:
-        self._tickets: dict[int, Ticket] = {}
-        self._served: dict[str, _Served] = {}
-        self._turn = 0
+        self._requests: dict[int, PoolRequest] = {}
+        self._served: dict[str, _ServedWork] = {}
+        self._turns = 0
 
     def __len__(self) -> int:
-        return len(self._tickets)
+        return len(self._requests)
 
-    def add(self, ticket: Ticket) -> None:
+    def add(self, request: PoolRequest) -> None:
         """Let a request wait."""
-        self._tickets[ticket.number] = ticket
+        self._requests[request.number] = request
 
-    def remove(self, number: int) -> Ticket | None:
+    def remove(self, number: int) -> PoolRequest | None:
         """Take a request out whose caller left or who was given up on."""
-        return self._tickets.pop(number, None)
+        return self._requests.pop(number, None)
 
-    def clear(self) -> tuple[Ticket, ...]:
+    def clear(self) -> tuple[PoolRequest, ...]:
         """Take out all."""
-        tickets = tuple(self._tickets.values())
-        self._tickets.clear()
-        return tickets
+        requests = tuple(self._requests.values())
+        self._requests.clear()
+        return requests
 
-    def ordered(self, now_s: float) -> list[Ticket]:
+    def ordered(self, now_s: float) -> list[PoolRequest]:
         """Return those who wait, the next one first."""
-        over = self._over_share(now_s)
+        over_share = self._over_share(now_s)
 
-        def place(ticket: Ticket) -> tuple[int, bool, bool, float, int]:
-            is_over = ticket.account in over
-            return (ticket.rank, is_over, ticket.came_back, ticket.deadline_s, ticket.number)
+        def sort_key(request: PoolRequest) -> tuple[int, bool, bool, float, int]:
+            is_over_share = request.account in over_share
+            return (
+                request.rank,
+                is_over_share,
+                request.came_back,
+                request.deadline_s,
+                request.number,
+            )
 
-        return sorted(self._tickets.values(), key=place)
+        return sorted(self._requests.values(), key=sort_key)
 
-    def take_next(
+    def pop_next(
         self, now_s: float, can_run: Callable[[str], bool], is_surge: bool = False
-    ) -> Ticket | None:
+    ) -> PoolRequest | None:
         """Take out the next request of those whose target can take one now.
 
         In a surge those that came back get the open turns only: a place that one
@@ -102,40 +109,40 @@
         runs = {target_id: can_run(target_id) for target_id in self._targets()}
         if not any(runs.values()):
             return None
-        ready = [ticket for ticket in self.ordered(now_s) if runs[ticket.target_id]]
-        is_open_turn = (self._turn + 1) % OPEN_TURN == 0
-        if is_surge and not is_open_turn:
-            ready = [ticket for ticket in ready if not ticket.came_back]
+        ready = [request for request in self.ordered(now_s) if runs[request.target_id]]
+        is_deadline_turn = (self._turns + 1) % DEADLINE_TURN == 0
+        if is_surge and not is_deadline_turn:
+            ready = [request for request in ready if not request.came_back]
         if not ready:
             return None
-        self._turn += 1
-        ticket = min(ready, key=lambda item: item.deadline_s) if is_open_turn else ready[0]
-        del self._tickets[ticket.number]
-        return ticket
+        self._turns += 1
+        request = min(ready, key=lambda item: item.deadline_s) if is_deadline_turn else ready[0]
+        del self._requests[request.number]
+        return request
 
     def waiting_for(self, target_id: str) -> int:
         """Return how many wait for a target."""
-        return sum(ticket.target_id == target_id for ticket in self._tickets.values())
+        return sum(request.target_id == target_id for request in self._requests.values())
 
     def _targets(self) -> set[str]:
         """Return the targets that somebody waits for."""
-        return {ticket.target_id for ticket in self._tickets.values()}
+        return {request.target_id for request in self._requests.values()}
 
-    def note_served(self, account: str, now_s: float) -> None:
+    def record_served(self, account: str, now_s: float) -> None:
         """Count a request as served to its account."""
-        self._served[account] = _Served(self._amount(account, now_s) + 1.0, now_s)
+        self._served[account] = _ServedWork(self._recent_work(account, now_s) + 1.0, now_s)
 
-    def _amount(self, account: str, now_s: float) -> float:
+    def _recent_work(self, account: str, now_s: float) -> float:
         """Return what an account was served lately."""
         served = self._served.get(account)
         if served is None:
             return 0.0
-        return served.amount * max(0.0, 1.0 - (now_s - served.at_s) / SHARE_MEMORY_S)
+        return served.work * max(0.0, 1.0 - (now_s - served.at_s) / SHARE_MEMORY_S)
 
     def _over_share(self, now_s: float) -> set[str]:
         """Return the accounts far above the mean, and forget those long unseen."""
-        amounts = {account: self._amount(account, now_s) for account in self._served}
-        self._served = {name: self._served[name] for name, amount in amounts.items() if amount}
-        active = [amount for amount in amounts.values() if amount]
+        work_by_account = {account: self._recent_work(account, now_s) for account in self._served}
+        self._served = {name: self._served[name] for name, work in work_by_account.items() if work}
+        active = [work for work in work_by_account.values() if work]
         limit = SHARE_MULTIPLE * sum(active) / max(len(active), 1)
-        return {account for account, amount in amounts.items() if amount > limit}
+        return {account for account, work in work_by_account.items() if work > limit}
--- a/packages/decisions/src/damaskwind/decisions/load/held_sums.py
+++ b/packages/decisions/src/damaskwind/decisions/load/held_sums.py
@@ -18,8 +18,8 @@
 from collections import Counter
 from typing import NamedTuple
 
-from damaskwind.decisions.admission.service_pace import ServiceSeen
-from damaskwind.decisions.admission.service_tally import ServiceCount
+from damaskwind.decisions.admission.service_pace import ServiceStats
+from damaskwind.decisions.admission.service_tally import ServiceReport
 
 __all__ = ["HeldCount", "HeldSum", "HeldSums"]
 
@@ -44,7 +44,7 @@
     counts: tuple[HeldCount, ...] = ()
     routers: int = 0
     age_s: float = 0.0
-    services: tuple[ServiceCount, ...] = ()
+    services: tuple[ServiceReport, ...] = ()
 
 
 class _Told(NamedTuple):
@@ -52,7 +52,7 @@
 
     counts: tuple[HeldCount, ...]
     at_s: float
-    services: tuple[ServiceCount, ...]
+    services: tuple[ServiceReport, ...]
 
 
 class HeldSums:
@@ -68,7 +68,7 @@
         router_id: str,
         counts: tuple[HeldCount, ...],
         now_s: float,
-        services: tuple[ServiceCount, ...] = (),
+        services: tuple[ServiceReport, ...] = (),
     ) -> None:
         """Take what a router holds now, in place of what it told before."""
         self._drop(router_id)
@@ -92,12 +92,12 @@
         age_s = now_s - self._at_sum_s / routers
         return HeldSum(counts, routers, round(age_s, 2), self._services())
 
-    def _services(self) -> tuple[ServiceCount, ...]:
-        totals: dict[int, ServiceSeen] = {}
+    def _services(self) -> tuple[ServiceReport, ...]:
+        totals: dict[int, ServiceStats] = {}
         for told in self._told.values():
             for service, seen in told.services:
-                totals[service] = totals.get(service, ServiceSeen()).plus(seen)
-        return tuple(ServiceCount(service, seen) for service, seen in totals.items())
+                totals[service] = totals.get(service, ServiceStats()).plus(seen)
+        return tuple(ServiceReport(service, seen) for service, seen in totals.items())
 
     def _forget_silent(self, now_s: float) -> None:
         """Drop routers that have told nothing for long; the one that told first stands first."""
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -13,7 +13,7 @@
 
 from loguru import logger
 
-from damaskwind.decisions.admission.service_tally import ServiceCount
+from damaskwind.decisions.admission.service_tally import ServiceReport
 from damaskwind.decisions.cold_targets.cold_spells import ColdTerms
 from damaskwind.decisions.cold_targets.router_count import MostRouters
 from damaskwind.decisions.following.document_sources import DocumentSources
@@ -95,7 +95,7 @@
         self.on_restarted: list[Callable[[TargetRecord], None]] = []
         self.on_configuration: list[Callable[[TrafficConfiguration], None]] = []
         self.on_held: list[Callable[[str, HeldSum], None]] = []
-        self.count_services: Callable[[], tuple[ServiceCount, ...]] = tuple
+        self.count_services: Callable[[], tuple[ServiceReport, ...]] = tuple
         self.count_held: Callable[[str], tuple[HeldCount, ...]] = _hold_nothing
         self._node_id = node_id
         self._news_port = news_port
@@ -217,7 +217,7 @@
         """Return what this router holds at targets now, to be told to a replica."""
         return self.count_held(host)
 
-    def service_counts(self) -> tuple[ServiceCount, ...]:
+    def service_counts(self) -> tuple[ServiceReport, ...]:
         """Return what this router saw lately of services, to be told to a replica."""
         return self.count_services()
 
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -5,7 +5,7 @@
 from random import Random
 from types import MappingProxyType
 
-from damaskwind.decisions.admission.return_time import return_after_rest_s
+from damaskwind.decisions.admission.return_time import draw_retry_after_pause_s
 from damaskwind.decisions.fatal_requests.identity import identify_request
 from damaskwind.decisions.fatal_requests.suspicion import Standing
 from damaskwind.decisions.membership.target_record import TargetRecord
@@ -162,7 +162,7 @@
         turned_away = await self.entries.enter(call, home)
         self.tallies.count("entries", step=call.entry.step)
         if turned_away is not None:
-            call.return_s = turned_away.return_s
+            call.return_s = turned_away.retry_after_s
             return AttemptOutcome(AttemptEnd.NOT_RUN, turned_away.why, was_reached=False)
         if call.entry.waited_ms:
             placed = self._place(call)
@@ -334,7 +334,7 @@
         """Have a caller for whom all targets rest come back when one of them has rested."""
         rest_s = self.beliefs.rest_left_s(self._allowed(call).values(), read_clock())
         if rest_s is not None:
-            call.return_s = return_after_rest_s(rest_s, call.route.objective_s, self._random)
+            call.return_s = draw_retry_after_pause_s(rest_s, call.route.objective_s, self._random)
 
     def _budget(self, service: str) -> SharedRetryBudget:
         """Return this router's retry budget for a service."""
--- a/packages/router/src/damaskwind/router/forwarding/pool_entries.py
+++ b/packages/router/src/damaskwind/router/forwarding/pool_entries.py
@@ -4,13 +4,13 @@
 from random import Random
 
 from damaskwind.decisions.admission.pool_admission import (
-    Admitted,
+    AdmissionDecision,
+    AdmissionStep,
     PoolAdmission,
-    Step,
-    TurnedAway,
+    PoolRejection,
 )
 from damaskwind.decisions.admission.start_window import WindowPolicy
-from damaskwind.decisions.admission.waiting_line import Ticket
+from damaskwind.decisions.admission.waiting_line import PoolRequest
 from damaskwind.decisions.placement.affinity import Candidate
 from damaskwind.router.forwarding.call import Call, EntryNote
 from damaskwind.router.forwarding.target_beliefs import TargetBeliefs, free_places
@@ -37,7 +37,7 @@
         self._beliefs = beliefs
         self._random = random
         self._pools: dict[str, PoolAdmission] = {}
-        self._waiting: dict[int, asyncio.Future[TurnedAway | None]] = {}
+        self._waiting: dict[int, asyncio.Future[PoolRejection | None]] = {}
         self._longest_wait_s: dict[str, float] = {}
         self._looked_s: dict[str, float] = {}
         beliefs.view.on_gone.append(self.forget)
@@ -48,7 +48,7 @@
         for pool in self._pools.values():
             pool.forget(target_id)
 
-    async def enter(self, call: Call, home: Candidate | None) -> TurnedAway | None:
+    async def enter(self, call: Call, home: Candidate | None) -> PoolRejection | None:
         """Wait until a request may be sent; return a refusal if it is turned away.
 
         `home` is the target that it should go to, if not any will do.
@@ -59,17 +59,17 @@
         places = [free_places(home)] if home else self._beliefs.places(call.service, now_s)
         admitted = pool.offer(ticket, places, now_s)
         outcome = None
-        if admitted.step is not Step.START:
+        if admitted.step is not AdmissionStep.START:
             self._waiting[call.number] = asyncio.get_running_loop().create_future()
             self._tell(admitted.turned_away)
-            outcome = await self._wait(call, admitted.until_s)
+            outcome = await self._wait(call, admitted.wait_until_s)
         call.entry = _note(admitted, outcome, read_clock() - now_s, ticket.came_back)
         return outcome
 
     def with_waiting(self, service: str, candidates: list[Candidate]) -> list[Candidate]:
         """Count those who wait here for a target to its load, so that a hot one is passed over."""
         pool = self._pool(service)
-        if not len(pool.line):
+        if not len(pool.queue):
             return candidates
         return [
             item._replace(load=item.load + pool.waiting_for(item.target_id)) for item in candidates
@@ -82,7 +82,7 @@
 
     def begun(self, call: Call) -> None:
         """Note that an answer began."""
-        self._pool(call.service).begun(call.number, read_clock())
+        self._pool(call.service).answer_started(call.number, read_clock())
         self._look(call.service)
 
     def ended(self, call: Call) -> None:
@@ -92,18 +92,18 @@
 
     def turned_away_by_target(self, call: Call, target_id: str) -> None:
         """Note that a target had no place."""
-        self._pool(call.service).turned_away_by_target(target_id, read_clock())
+        self._pool(call.service).rejected_by_target(target_id, read_clock())
 
     def return_s(self, call: Call) -> float:
         """Return when a caller that is refused now should come back."""
         objective_s = call.route.objective_s
-        return self._pool(call.service).return_s(objective_s, call.left_s(), read_clock())
+        return self._pool(call.service).retry_after_s(objective_s, call.left_s(), read_clock())
 
     def waiting(self) -> int:
         """Return how many requests wait now."""
         return len(self._waiting)
 
-    async def _wait(self, call: Call, until_s: float) -> TurnedAway | None:
+    async def _wait(self, call: Call, until_s: float) -> PoolRejection | None:
         """Wait for a place until `until_s`; return the refusal if none came."""
         pool, number = self._pool(call.service), call.number
         future = self._waiting[number]
@@ -113,7 +113,7 @@
                 self._look_now_and_then(call.service)
             if future.done():
                 return future.result()
-            return pool.give_up(number, read_clock())
+            return pool.expire(number, read_clock())
         finally:
             # Also where the caller has left.
             pool.withdraw(number)
@@ -129,20 +129,20 @@
     def _look(self, service: str) -> None:
         """Let those go on for whom there is room now."""
         pool = self._pool(service)
-        if not len(pool.line):
+        if not len(pool.queue):
             return
         now_s = read_clock()
         places = self._beliefs.places(service, now_s)
         # Where no target takes work, all are placed anew, and refused at once.
-        for number in pool.look(places, now_s) if places else pool.release():
+        for number in pool.admit_waiting(places, now_s) if places else pool.release_all():
             self._waiting[number].set_result(None)
 
-    def _tell(self, turned_away: tuple[TurnedAway, ...]) -> None:
+    def _tell(self, turned_away: tuple[PoolRejection, ...]) -> None:
         """Let requests know that they are turned away."""
         for refusal in turned_away:
             self._waiting[refusal.number].set_result(refusal)
 
-    def _ticket(self, call: Call, target_id: str, now_s: float) -> Ticket:
+    def _ticket(self, call: Call, target_id: str, now_s: float) -> PoolRequest:
         """Describe a request to the decision."""
         route, facts = call.route, call.facts
         came_back = False
@@ -154,7 +154,7 @@
             self._longest_wait_s[route.name] = longest_s
             came_back = wait_s < FIRST_ATTEMPT_PART * longest_s
         account = call.account.name if call.account else ""
-        return Ticket(
+        return PoolRequest(
             call.number,
             call.priority,
             account,
@@ -179,18 +179,19 @@
         part = FIRST_PER_TARGET / view.routers
         targets = len(view.serving(service))
         return WindowPolicy(
-            first=max(FIRST_LEAST, part), first_of_pool=max(FIRST_LEAST, part * targets)
+            initial_limit=max(FIRST_LEAST, part),
+            initial_pool_limit=max(FIRST_LEAST, part * targets),
         )
 
 
 def _note(
-    admitted: Admitted, outcome: TurnedAway | None, waited_s: float, came_back: bool
+    admitted: AdmissionDecision, outcome: PoolRejection | None, waited_s: float, came_back: bool
 ) -> EntryNote:
     """Return what the log says of an entry."""
     step = outcome.why if outcome else admitted.step.value
     return EntryNote(
         step,
-        int(admitted.expected_s * 1000),
+        int(admitted.expected_wait_s * 1000),
         int(waited_s * 1000),
         admitted.room,
         round(admitted.begun_part, 2),
--- a/packages/router/src/damaskwind/router/forwarding/service_paces.py
+++ b/packages/router/src/damaskwind/router/forwarding/service_paces.py
@@ -4,8 +4,8 @@
 
 from loguru import logger
 
-from damaskwind.decisions.admission.service_pace import ServicePace, ServiceSeen
-from damaskwind.decisions.admission.service_tally import ServiceCount, ServiceTally
+from damaskwind.decisions.admission.service_pace import ServiceStats, ServiceThrottle
+from damaskwind.decisions.admission.service_tally import ServiceReport, ServiceTally
 from damaskwind.decisions.load.held_requests import target_digest
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.router.forwarding.call import Call
@@ -33,20 +33,20 @@
         self._view = view = beliefs.view
         self._random = random
         self._tallies: dict[str, ServiceTally] = {}
-        self._paces: dict[str, ServicePace] = {}
+        self._paces: dict[str, ServiceThrottle] = {}
         self._told_parts: dict[str, float] = {}
         view.on_held.append(self._take)
         view.count_services = self.tell
 
     def admits(self, service: str) -> bool:
         """Count a request that comes for a service, and tell whether it may go on."""
-        self._note(service, ServiceSeen(asked=1))
+        self._note(service, ServiceStats(asked=1))
         return self._random.random() < self.part(service)
 
     def part(self, service: str) -> float:
         """Return the part of a service's requests that is admitted now."""
         pace = self._paces.get(service)
-        return pace.part_at(read_clock()) if pace else 1.0
+        return pace.admitted_share_at(read_clock()) if pace else 1.0
 
     def return_s(self, call: Call) -> float:
         """Return when a caller that is turned away here should come back."""
@@ -55,24 +55,24 @@
     def answered(self, call: Call, took_s: float) -> None:
         """Note that a target answered after some time."""
         is_late = took_s > LATE_PART * call.route.objective_s
-        seen = ServiceSeen(answered=1, late=int(is_late), busy_ms=round(took_s * 1000))
+        seen = ServiceStats(answered=1, late=int(is_late), busy_ms=round(took_s * 1000))
         self._note(call.service, seen)
 
     def turned_away(self, call: Call) -> None:
         """Note that a target had no place."""
-        self._note(call.service, ServiceSeen(turned_away=1))
+        self._note(call.service, ServiceStats(turned_away=1))
 
-    def tell(self) -> tuple[ServiceCount, ...]:
+    def tell(self) -> tuple[ServiceReport, ...]:
         """Return what was seen here in the last second."""
         now_s = read_clock()
         seen = {service: tally.recent(now_s) for service, tally in self._tallies.items()}
         return tuple(
-            ServiceCount(target_digest(service), item)
+            ServiceReport(target_digest(service), item)
             for service, item in seen.items()
             if any(item)
         )
 
-    def _note(self, service: str, seen: ServiceSeen) -> None:
+    def _note(self, service: str, seen: ServiceStats) -> None:
         self._tallies.setdefault(service, ServiceTally()).add(seen, read_clock())
 
     def _take(self, host: str, held: HeldSum) -> None:
@@ -82,13 +82,13 @@
         now_s = read_clock()
         totals = dict(held.services)
         for service in self._tallies:
-            pace = self._paces.setdefault(service, ServicePace())
-            seen = totals.get(target_digest(service), ServiceSeen())
+            pace = self._paces.setdefault(service, ServiceThrottle())
+            seen = totals.get(target_digest(service), ServiceStats())
             places = sum(record.slots for record in self._beliefs.serving(service))
-            pace.take(seen, places, now_s)
-            self._log(service, pace.part, seen, host)
+            pace.update(seen, places, now_s)
+            self._log(service, pace.admitted_share, seen, host)
 
-    def _log(self, service: str, part: float, seen: ServiceSeen, host: str) -> None:
+    def _log(self, service: str, part: float, seen: ServiceStats, host: str) -> None:
         if abs(part - self._told_parts.get(service, 1.0)) < TOLD_CHANGE:
             return
         self._told_parts[service] = part
--- a/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from damaskwind.decisions.admission.pool_admission import TargetPlaces
+from damaskwind.decisions.admission.pool_admission import TargetSlots
 from damaskwind.decisions.health.circuit import HealthPolicy
 from damaskwind.decisions.health.ejection import PoolHealth
 from damaskwind.decisions.health.pace import PoolPace
@@ -39,14 +39,14 @@
 LATE_REPORT_S = 1.0
 
 
-def free_places(candidate: Candidate) -> TargetPlaces:
+def free_places(candidate: Candidate) -> TargetSlots:
     """Return how many places of a target are free by its own word.
 
     Of one that tells no load nothing is known: a guess from own sends would have
     requests wait, and be turned away, while its places are free.
     """
     held = candidate.load if candidate.has_told_load else 0.0
-    return TargetPlaces(candidate.target_id, candidate.slots - held)
+    return TargetSlots(candidate.target_id, candidate.slots - held)
 
 
 def _life(target: TargetRecord) -> tuple[str, tuple[int, int]]:
@@ -268,7 +268,7 @@
             not takes_work and not is_leaving,
         )
 
-    def places(self, service: str, now_s: float) -> list[TargetPlaces]:
+    def places(self, service: str, now_s: float) -> list[TargetSlots]:
         """Return the targets that may be sent to, with their free places."""
         candidates = self.candidates(self.serving(service), now_s, True)
         sound = [item for item in candidates if not item.is_doubtful]
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_service_paces.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_service_paces.py
@@ -1,7 +1,7 @@
 """Tests of a router that is told that a service is pressed beyond what its targets bear."""
 
-from damaskwind.decisions.admission.service_pace import ServiceSeen
-from damaskwind.decisions.admission.service_tally import ServiceCount
+from damaskwind.decisions.admission.service_pace import ServiceStats
+from damaskwind.decisions.admission.service_tally import ServiceReport
 from damaskwind.decisions.load.held_requests import target_digest
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.router.forwarding.tests.bench import ForwarderTestCase
@@ -9,14 +9,14 @@
 
 CALLS = 80
 # Of 200 asked, 100 were answered, nearly all late: four fifths of these are admitted.
-PRESSED = ServiceSeen(asked=200, answered=100, late=90, turned_away=60, busy_ms=30_000)
+PRESSED = ServiceStats(asked=200, answered=100, late=90, turned_away=60, busy_ms=30_000)
 # By chance, of 80 calls at a part of 0.4: three standard deviations around it.
 ADMITTED = range(19, 46)
 
 
 class ServicePacesTest(ForwarderTestCase):
     def tell(self, seen, routers=1):
-        held = HeldSum((), routers, 0.5, (ServiceCount(target_digest("pool"), seen),))
+        held = HeldSum((), routers, 0.5, (ServiceReport(target_digest("pool"), seen),))
         for callback in self.view.on_held:
             callback("replica", held)
 
@@ -45,7 +45,7 @@
         self.tell(PRESSED)
         pace = self.forwarder.paces._paces["pool"]
         self.assertLess(self.forwarder.paces.part("pool"), 0.5)
-        pace._taken_s -= 30.0
+        pace._updated_s -= 30.0
         self.assertEqual(self.forwarder.paces.part("pool"), 1.0)
 
     @asyncio_test
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_target_words.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_target_words.py
@@ -89,7 +89,7 @@
     async def test_those_in_line_are_told_when_all_targets_rest(self):
         entries = self.forwarder.entries
         pool = entries._pool("pool")
-        pool._whole.limit = 0.0
+        pool._pool_window.limit = 0.0
         calls = [asyncio.ensure_future(self.call(request_id=b"w%d" % n)) for n in range(3)]
         await asyncio.sleep(0.03)
         waiting = entries.waiting()
@@ -107,7 +107,7 @@
         self.share(RESTS)
         self.assertEqual((await self.call()).status, 200)
         (count,) = self.forwarder.paces.tell()
-        self.assertEqual((count.seen.turned_away, count.seen.answered), (0, 1))
+        self.assertEqual((count.stats.turned_away, count.stats.answered), (0, 1))
 
     @asyncio_test
     async def test_resting_engine_gets_no_prompt_but_its_parts_are_copied(self):
--- a/packages/router/src/damaskwind/router/waiting_room.py
+++ b/packages/router/src/damaskwind/router/waiting_room.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from damaskwind.decisions.admission.queue import AdmissionQueue, GivenUp, QueuedRequest
+from damaskwind.decisions.admission.queue import AdmissionQueue, QueuedRequest, RefusedRequest
 from damaskwind.model.configuration import PriorityClass
 from damaskwind.model.exception import RefusedError
 from damaskwind.router.caller import Caller
@@ -68,7 +68,7 @@
         if queue is None:
             queue = self._queues[pool] = AdmissionQueue(self._classes, _QUEUE_LIMIT_REQUESTS)
         offer = queue.offer(request, self._clock.seconds())
-        self._give_up(offer.given_up)
+        self._give_up(offer.refused)
         caller.when_gone(served.cancel)
         if offer.queued:
             self._schedule(_PUMP_DELAY_S)
@@ -120,7 +120,7 @@
             entry = self._entries.pop(request.request_id)
             entry.served.callback(found.pop(request.request_id))
 
-    def _give_up(self, given_up: tuple[GivenUp, ...]) -> None:
+    def _give_up(self, given_up: tuple[RefusedRequest, ...]) -> None:
         """Tell requests that they are refused."""
         for one in given_up:
             entry = self._entries.pop(one.request.request_id, None)
--- a/packages/wire/src/damaskwind/wire/news.py
+++ b/packages/wire/src/damaskwind/wire/news.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from damaskwind.decisions.admission.service_tally import ServiceCount
+from damaskwind.decisions.admission.service_tally import ServiceReport
 from damaskwind.decisions.fatal_requests.suspicion import Suspicion
 from damaskwind.decisions.following.reading_places import NOWHERE, PassingPlace
 from damaskwind.decisions.load.held_sums import HeldCount, HeldSum
@@ -101,7 +101,7 @@
     records: tuple[TargetRecord, ...] = ()
     suspicions_seen: int = 0
     evacuations_seen: int = 0
-    services: tuple[ServiceCount, ...] = ()
+    services: tuple[ServiceReport, ...] = ()
 
 
 class HeardOthers(NamedTuple):
--- a/packages/wire/src/damaskwind/wire/news_link.py
+++ b/packages/wire/src/damaskwind/wire/news_link.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from damaskwind.decisions.admission.service_tally import ServiceCount
+from damaskwind.decisions.admission.service_tally import ServiceReport
 from damaskwind.decisions.following.reading_places import NOWHERE, PassingPlace
 from damaskwind.decisions.load.held_sums import HeldCount
 from damaskwind.decisions.membership.target_record import TargetRecord
@@ -69,7 +69,7 @@
         """Return what is held at targets now, to be told to a replica."""
         ...
 
-    def service_counts(self) -> tuple[ServiceCount, ...]:
+    def service_counts(self) -> tuple[ServiceReport, ...]:
         """Return what was seen lately of services, to be told to a replica."""
         ...
 
