--- a/packages/control/src/damaskwind/control/fleet/news_site.py
+++ b/packages/control/src/damaskwind/control/fleet/news_site.py
@@ -6,7 +6,7 @@
 from damaskwind.control.fleet.news_board import NewsBoard
 from damaskwind.decisions.following.document_holders import PASSING_PART, DocumentHolders
 from damaskwind.decisions.load.held_sums import HeldSum
-from damaskwind.decisions.pacing.bulk_pace import BulkPace
+from damaskwind.decisions.pacing.bulk_pace import BulkPacer
 from damaskwind.model.exception import MessageError
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.http1.exchange import Exchange
@@ -59,9 +59,9 @@
     ) -> None:
         self._board = board
         self._document_bytes_per_s = link_bytes_per_s * DOCUMENT_PART
-        self._pace = BulkPace(self._document_bytes_per_s, read_clock())
-        self._news_pace = BulkPace(link_bytes_per_s * NEWS_PART, read_clock(), NEWS_WAIT_S)
-        self._held_pace = BulkPace(link_bytes_per_s * HELD_PART, read_clock())
+        self._pace = BulkPacer(self._document_bytes_per_s, read_clock())
+        self._news_pace = BulkPacer(link_bytes_per_s * NEWS_PART, read_clock(), NEWS_WAIT_S)
+        self._held_pace = BulkPacer(link_bytes_per_s * HELD_PART, read_clock())
         self._last_news_bytes = OVERHEAD_BYTES
         board.has_room = self._is_idle
         board.take_room = self._take_room
@@ -93,19 +93,19 @@
         is_behind = is_router and self._board.is_behind(request)
         held = None
         if is_behind:
-            await asyncio.sleep(min(self._news_pace.line_s(read_clock()), NEWS_WAIT_S))
+            await asyncio.sleep(min(self._news_pace.backlog_s(read_clock()), NEWS_WAIT_S))
         elif is_router and knows:
             await self._take_turn()
         if is_router and knows:
             held = self._held_sum()
-        has_room = not is_behind or self._news_pace.line_s(read_clock()) < ROOM_S
+        has_room = not is_behind or self._news_pace.backlog_s(read_clock()) < ROOM_S
         answer = pack_answer(encode(self._board.news(request, held, has_room)))
         size_bytes = len(answer.body)
         self._last_news_bytes = size_bytes + OVERHEAD_BYTES
         if is_behind:
             # By its own size: by the last one's, 32 parts of a table went at once when a
             # replica's routers started together, and cost a leader its lease.
-            self._news_pace.wait_s(self._last_news_bytes, read_clock())
+            self._news_pace.reserve(self._last_news_bytes, read_clock())
         self._tallies.count("sent_bytes", size_bytes, kind=f"news-{request.kind}")
         exchange.respond(answer)
 
@@ -116,7 +116,7 @@
         """
         now_s = read_clock()
         size_bytes = HELD_BYTES * self._board.held.targets
-        if not self._held_pace.may_go(size_bytes, now_s):
+        if not self._held_pace.try_reserve(size_bytes, now_s):
             self._tallies.count("held_sums", sent="no")
             return None
         self._tallies.count("held_sums", sent="yes")
@@ -124,18 +124,18 @@
 
     def _is_idle(self) -> bool:
         """Tell whether an answer could go at once."""
-        return not self._news_pace.line_s(read_clock())
+        return not self._news_pace.backlog_s(read_clock())
 
     def _take_room(self, size_bytes: int) -> bool:
         """Book news that can be left out, if they can go at once; tell whether they can."""
-        return self._news_pace.may_go(size_bytes, read_clock())
+        return self._news_pace.try_reserve(size_bytes, read_clock())
 
     async def _take_turn(self) -> None:
         """Wait until the answers before this one have gone.
 
         A change wakes all routers at once; what changes meanwhile goes with it.
         """
-        wait_s = self._news_pace.wait_s(self._last_news_bytes, read_clock())
+        wait_s = self._news_pace.reserve(self._last_news_bytes, read_clock())
         if wait_s:
             await asyncio.sleep(wait_s)
 
@@ -168,7 +168,7 @@
             return
         # All routers ask within some ms of a version, and the heartbeats that keep the
         # leader's lease have to find room between the documents.
-        wait_s = self._pace.wait_s(size_bytes, read_clock())
+        wait_s = self._pace.reserve(size_bytes, read_clock())
         sent_s = read_clock() + wait_s + size_bytes / self._document_bytes_per_s
         self._holders.note(self._shelf.version, request.host, sent_s)
         if wait_s:
@@ -184,7 +184,7 @@
     def _holders_for(self, host: str, size_bytes: int) -> tuple[str, ...]:
         """Return the routers to which one is sent on, if the line here is long."""
         now_s = read_clock()
-        if not host or self._pace.line_s(now_s) < PASS_ON_AFTER_S:
+        if not host or self._pace.backlog_s(now_s) < PASS_ON_AFTER_S:
             return ()
         send_s = size_bytes / (self._board.link_rate(host) * PASSING_PART)
         return self._holders.choose(self._shelf.version, host, send_s, now_s)
--- a/packages/decisions/src/damaskwind/decisions/pacing/bulk_pace.py
+++ b/packages/decisions/src/damaskwind/decisions/pacing/bulk_pace.py
@@ -1,47 +1,47 @@
 """Space large sends, so that small ones that must not wait find the link free.
 
->>> pace = BulkPace(1000.0, now_s=0.0)
->>> pace.wait_s(100, now_s=0.0), pace.wait_s(300, now_s=0.0), pace.wait_s(10, now_s=0.0)
+>>> pacer = BulkPacer(1000.0, now_s=0.0)
+>>> pacer.reserve(100, now_s=0.0), pacer.reserve(300, now_s=0.0), pacer.reserve(10, now_s=0.0)
 (0.0, 0.0, 0.3)
->>> pace.wait_s(10, now_s=9.0)
+>>> pacer.reserve(10, now_s=9.0)
 0.0
 """
 
-__all__ = ["BulkPace"]
+__all__ = ["BulkPacer"]
 
 # What may go at once after a pause, in seconds of the rate: a tenth of a lease.
 CREDIT_S = 0.1
 
 
-class BulkPace:
+class BulkPacer:
     """A rate of bytes for all large sends of one process, first come, first served.
 
-    No send waits longer than `limit_s`, and what goes sooner by that is forgotten.
+    No send waits longer than `max_wait_s`, and what goes sooner by that is forgotten.
     """
 
-    def __init__(self, bytes_per_s: float, now_s: float, limit_s: float = float("inf")) -> None:
+    def __init__(self, bytes_per_s: float, now_s: float, max_wait_s: float = float("inf")) -> None:
         self._bytes_per_s = bytes_per_s
-        self._limit_s = limit_s
+        self._max_wait_s = max_wait_s
         self._free_s = now_s - CREDIT_S
 
-    def wait_s(self, size_bytes: int, now_s: float) -> float:
+    def reserve(self, size_bytes: int, now_s: float) -> float:
         """Book a send; return in how many seconds it may begin."""
-        start_s = min(max(self._free_s, now_s - CREDIT_S), now_s + self._limit_s)
+        start_s = min(max(self._free_s, now_s - CREDIT_S), now_s + self._max_wait_s)
         self._free_s = start_s + size_bytes / self._bytes_per_s
         return round(max(start_s - now_s, 0.0), 6)
 
-    def line_s(self, now_s: float) -> float:
+    def backlog_s(self, now_s: float) -> float:
         """Return how long a send booked now would wait."""
         return max(self._free_s - now_s, 0.0)
 
-    def may_go(self, size_bytes: int, now_s: float) -> bool:
+    def try_reserve(self, size_bytes: int, now_s: float) -> bool:
         """Book a send that can be left out, if it may go at once; tell whether it may.
 
-        >>> pace = BulkPace(1000.0, now_s=0.0)
-        >>> [pace.may_go(150, now_s=0.0) for _ in range(2)], pace.may_go(150, now_s=0.1)
+        >>> pacer = BulkPacer(1000.0, now_s=0.0)
+        >>> [pacer.try_reserve(150, now_s=0.0) for _ in range(2)], pacer.try_reserve(150, now_s=0.1)
         ([True, False], True)
         """
         if self._free_s > now_s:
             return False
-        self.wait_s(size_bytes, now_s)
+        self.reserve(size_bytes, now_s)
         return True
--- a/packages/decisions/src/damaskwind/decisions/pacing/pacer.py
+++ b/packages/decisions/src/damaskwind/decisions/pacing/pacer.py
@@ -23,9 +23,9 @@
 >>> pacer = ControlPacer(2000, now_s=0.0)
 >>> pacer.offer("routine", 300, Urgency.ROUTINE, "probe", 0.0)
 >>> pacer.offer("leave", 300, Urgency.LEAVE, "news", 0.0)
->>> pacer.take(0.0)
+>>> pacer.pop_ready(0.0)
 ['leave']
->>> pacer.take(1.0)
+>>> pacer.pop_ready(1.0)
 ['routine']
 """
 
@@ -81,7 +81,7 @@
             self.total_bytes -= self._entries.popleft()[1]
 
 
-class _Waiting(NamedTuple):
+class _QueuedSend(NamedTuple):
     """A send in the queue; the first two fields give its order."""
 
     urgency: Urgency
@@ -100,19 +100,19 @@
         self._started_s = now_s
         self._now_s = now_s
         self._tokens = bytes_per_s * BURST_S
-        self._all = _Window()
-        self._long = _Window(LONG_WINDOW_S)
+        self._second = _Window()
+        self._ten_seconds = _Window(LONG_WINDOW_S)
         self._sends = _Window()
         self._probe_sends = _Window()
-        self._queue: list[_Waiting] = []
+        self._queue: list[_QueuedSend] = []
         self._order = count()
         self._sent: Counter[str] = Counter()
         self._received: Counter[str] = Counter()
         self._deferred = 0
         self._dropped = 0
-        self._dropped_items: list[Any] = []
-        self._highest = 0
-        self._highest_long = 0
+        self._dropped_sends: list[Any] = []
+        self._highest_second_bytes = 0
+        self._highest_ten_seconds_bytes = 0
 
     def received(
         self, size_bytes: int, kind: str, now_s: float, header_bytes: int = UDP_HEADER_BYTES
@@ -123,48 +123,48 @@
         self._received[kind] += size_bytes
         self._count(size_bytes)
 
-    def sent_elsewhere(self, size_bytes: int, kind: str, now_s: float) -> None:
+    def sent_on_stream(self, size_bytes: int, kind: str, now_s: float) -> None:
         """Count control bytes that went another way, such as a stream; they can't wait."""
         self._sent[kind] += size_bytes
-        self._count_elsewhere(size_bytes, now_s)
+        self._count_stream_bytes(size_bytes, now_s)
 
-    def received_elsewhere(self, size_bytes: int, kind: str, now_s: float) -> None:
+    def received_on_stream(self, size_bytes: int, kind: str, now_s: float) -> None:
         """Count control bytes that came another way."""
         self._received[kind] += size_bytes
-        self._count_elsewhere(size_bytes, now_s)
+        self._count_stream_bytes(size_bytes, now_s)
 
-    def _count_elsewhere(self, size_bytes: int, now_s: float) -> None:
+    def _count_stream_bytes(self, size_bytes: int, now_s: float) -> None:
         """Count bytes that take the bucket no lower than the debt of streams."""
         self._advance(now_s)
-        lowest = min(self._tokens, -STREAM_DEBT_S * self.bytes_per_s)
+        floor = min(self._tokens, -STREAM_DEBT_S * self.bytes_per_s)
         self._count(size_bytes)
-        self._tokens = max(self._tokens, lowest)
+        self._tokens = max(self._tokens, floor)
 
     def offer(self, item: Any, size_bytes: int, urgency: Urgency, kind: str, now_s: float) -> None:
-        """Queue a send; `take` returns it when the budget allows."""
+        """Queue a send; `pop_ready` returns it when the budget allows."""
         self._advance(now_s)
         expires_s = self._now_s + MAX_WAIT_S[urgency]
         size_bytes += UDP_HEADER_BYTES
         heappush(
             self._queue,
-            _Waiting(urgency, next(self._order), size_bytes, expires_s, kind, item),
+            _QueuedSend(urgency, next(self._order), size_bytes, expires_s, kind, item),
         )
         if len(self._queue) > QUEUE_LIMIT:
-            worst = max(self._queue, key=lambda waiting: waiting[:2])
-            self._queue.remove(worst)
+            least_urgent = max(self._queue, key=lambda queued: queued[:2])
+            self._queue.remove(least_urgent)
             heapify(self._queue)
-            self._drop(worst)
+            self._drop(least_urgent)
 
-    def take(self, now_s: float) -> list[Any]:
+    def pop_ready(self, now_s: float) -> list[Any]:
         """Return the sends that may go now, the most urgent first."""
         self._advance(now_s)
-        going = []
+        ready = []
         while self._queue:
             first = self._queue[0]
             if first.expires_s < self._now_s:
                 self._drop(heappop(self._queue))
                 continue
-            if not self._allows(first):
+            if not self._fits(first):
                 self._deferred += 1
                 break
             heappop(self._queue)
@@ -173,19 +173,19 @@
                 self._probe_sends.add(first.size_bytes, self._now_s)
             self._sent[first.kind] += first.size_bytes
             self._count(first.size_bytes)
-            going.append(first.item)
-        return going
+            ready.append(first.item)
+        return ready
 
-    def take_dropped(self) -> list[Any]:
+    def pop_dropped(self) -> list[Any]:
         """Return the sends that were dropped since the last call."""
-        dropped, self._dropped_items = self._dropped_items, []
+        dropped, self._dropped_sends = self._dropped_sends, []
         return dropped
 
-    def room_bytes(self, now_s: float) -> int:
+    def headroom_bytes(self, now_s: float) -> int:
         """Return how many payload bytes of news could go now beside what waits."""
         self._advance(now_s)
-        waiting = sum(waiting.size_bytes for waiting in self._queue)
-        return max(self._room(Urgency.JOIN) - waiting - UDP_HEADER_BYTES, 0)
+        queued_bytes = sum(queued.size_bytes for queued in self._queue)
+        return max(self._headroom_bytes(Urgency.JOIN) - queued_bytes - UDP_HEADER_BYTES, 0)
 
     def counters(self, now_s: float) -> PacerCounters:
         """Return the counters as of now."""
@@ -198,8 +198,8 @@
             self._deferred,
             self._dropped,
             total / elapsed_s,
-            self._highest,
-            self._highest_long / LONG_WINDOW_S,
+            self._highest_second_bytes,
+            self._highest_ten_seconds_bytes / LONG_WINDOW_S,
         )
 
     def reset_counters(self, now_s: float) -> None:
@@ -209,8 +209,8 @@
         self._sent.clear()
         self._received.clear()
         self._deferred = self._dropped = 0
-        self._highest = self._all.total_bytes
-        self._highest_long = self._long.total_bytes
+        self._highest_second_bytes = self._second.total_bytes
+        self._highest_ten_seconds_bytes = self._ten_seconds.total_bytes
 
     def _advance(self, now_s: float) -> None:
         """Move to `now_s`; a clock that goes back stands still instead."""
@@ -218,32 +218,34 @@
         self._now_s += elapsed_s
         filled = self._tokens + elapsed_s * self.bytes_per_s * FILL_SHARE
         self._tokens = min(filled, self.bytes_per_s * BURST_S)
-        self._all.advance(self._now_s)
-        self._long.advance(self._now_s)
+        self._second.advance(self._now_s)
+        self._ten_seconds.advance(self._now_s)
         self._sends.advance(self._now_s)
         self._probe_sends.advance(self._now_s)
 
-    def _drop(self, waiting: _Waiting) -> None:
+    def _drop(self, queued: _QueuedSend) -> None:
         """Give a send up: it waited too long, or too many wait."""
         self._dropped += 1
-        self._dropped_items.append(waiting.item)
+        self._dropped_sends.append(queued.item)
 
-    def _room(self, urgency: Urgency) -> int:
+    def _headroom_bytes(self, urgency: Urgency) -> int:
         """Return how many bytes a send of this urgency may have now."""
         share = int(self.bytes_per_s * SEND_SHARE) - self._sends.total_bytes
         if urgency <= Urgency.PROBE:
             return min(int(self._tokens + self.bytes_per_s * OVERDRAFT_S), share)
-        to_come = int(self.bytes_per_s * PROBE_SHARE) - self._probe_sends.total_bytes
-        return min(int(self._tokens), share) - max(to_come, 0)
+        probe_reserve = int(self.bytes_per_s * PROBE_SHARE) - self._probe_sends.total_bytes
+        return min(int(self._tokens), share) - max(probe_reserve, 0)
 
-    def _allows(self, waiting: _Waiting) -> bool:
+    def _fits(self, queued: _QueuedSend) -> bool:
         """Tell whether a send fits the budget, the share for sends and its reserve."""
-        return waiting.size_bytes <= self._room(waiting.urgency)
+        return queued.size_bytes <= self._headroom_bytes(queued.urgency)
 
     def _count(self, size_bytes: int) -> None:
         """Count bytes of either direction."""
         self._tokens -= size_bytes
-        self._all.add(size_bytes, self._now_s)
-        self._long.add(size_bytes, self._now_s)
-        self._highest_long = max(self._highest_long, self._long.total_bytes)
-        self._highest = max(self._highest, self._all.total_bytes)
+        self._second.add(size_bytes, self._now_s)
+        self._ten_seconds.add(size_bytes, self._now_s)
+        self._highest_ten_seconds_bytes = max(
+            self._highest_ten_seconds_bytes, self._ten_seconds.total_bytes
+        )
+        self._highest_second_bytes = max(self._highest_second_bytes, self._second.total_bytes)
--- a/packages/decisions/src/damaskwind/decisions/retries/budget.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/budget.py
@@ -42,10 +42,10 @@
             last = self._slots.pop()
             self._slots.append(_Slot(last.number, last.requests + requests, last.retries + retries))
             return
-        self._forget(number)
+        self._drop_expired(number)
         self._slots.append(_Slot(number, requests, retries))
 
-    def _forget(self, number: int) -> None:
+    def _drop_expired(self, number: int) -> None:
         """Drop the slots that left the window."""
         oldest = number - WINDOW_SLOTS
         self._slots = [slot for slot in self._slots if slot.number > oldest]
@@ -56,7 +56,7 @@
 
     def remaining(self, now_s: float) -> int:
         """Return how many retries the window still allows."""
-        self._forget(int(now_s // SLOT_S))
+        self._drop_expired(int(now_s // SLOT_S))
         requests = sum(slot.requests for slot in self._slots)
         retries = sum(slot.retries for slot in self._slots)
         return max(self.floor_retries, int(self.share * requests)) - retries
--- a/packages/decisions/src/damaskwind/decisions/retries/decision.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/decision.py
@@ -103,12 +103,12 @@
     ... ).reason
     <RetryReason.MAY_HAVE_RUN: 'may_have_run'>
     """
-    known = Attempt(verdict, idempotent, bytes_delivered, attempt, deadline_s - now_s)
-    for reason, holds in _STOP_RULES:
-        if holds(known, policy):
+    failed = Attempt(verdict, idempotent, bytes_delivered, attempt, deadline_s - now_s)
+    for reason, applies in _STOP_RULES:
+        if applies(failed, policy):
             return RetryDecision(False, 0.0, reason)
     delay_s = _draw_delay_s(attempt, policy, random)
-    if known.remaining_s - delay_s <= policy.reserve_s:
+    if failed.remaining_s - delay_s <= policy.reserve_s:
         return RetryDecision(False, 0.0, RetryReason.DEADLINE)
     if not budget.take(now_s):
         return RetryDecision(False, 0.0, RetryReason.BUDGET)
--- a/packages/decisions/src/damaskwind/decisions/retries/shared_budget.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/shared_budget.py
@@ -16,9 +16,9 @@
 __all__ = ["BudgetTerms", "SharedRetryBudget"]
 
 # Part of the bound that is used: windows slide, and a repeat counts when it arrives.
-USED_SHARE = 0.8
+SAFETY_FACTOR = 0.8
 # Part that is used in a router's first window, while its former life's counts.
-FIRST_SHARE = 1.0 - USED_SHARE
+FIRST_WINDOW_FACTOR = 1.0 - SAFETY_FACTOR
 
 
 class BudgetTerms(NamedTuple):
@@ -47,31 +47,31 @@
         self._routers = routers
         self._started_s = started_s
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def count_request(self, now_s: float) -> None:
         """Count a request of a caller."""
         self._requests.append(now_s)
-        self._forget(now_s)
+        self._drop_expired(now_s)
 
     def take(self, now_s: float) -> bool:
         """Take one repeat if the budget holds it."""
-        self._forget(now_s)
-        if len(self._repeats) + 1 > self.allowance(now_s):
+        self._drop_expired(now_s)
+        if len(self._retries) + 1 > self.allowance(now_s):
             return False
-        self._repeats.append(now_s)
+        self._retries.append(now_s)
         return True
 
     def allowance(self, now_s: float) -> float:
         """Return how many repeats the present window allows in all."""
         terms = self._terms
         age_windows = (now_s - self._started_s) / terms.window_s
-        own_slack = min(1.0, age_windows) * terms.slack / max(self._routers(), 1)
-        share = USED_SHARE if age_windows >= 1.0 else FIRST_SHARE
-        return share * (terms.ratio * len(self._requests) + own_slack)
+        slack_share = min(1.0, age_windows) * terms.slack / max(self._routers(), 1)
+        factor = SAFETY_FACTOR if age_windows >= 1.0 else FIRST_WINDOW_FACTOR
+        return factor * (terms.ratio * len(self._requests) + slack_share)
 
-    def _forget(self, now_s: float) -> None:
+    def _drop_expired(self, now_s: float) -> None:
         oldest_s = now_s - self._terms.window_s
-        for times in (self._requests, self._repeats):
-            while times and times[0] <= oldest_s:
-                times.popleft()
+        for times_s in (self._requests, self._retries):
+            while times_s and times_s[0] <= oldest_s:
+                times_s.popleft()
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/budget_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/budget_histories.py
@@ -33,23 +33,23 @@
 class _Fleet:
     """All routers, and what the service counts."""
 
-    def __init__(self, random: Random, make: MakeBudget) -> None:
+    def __init__(self, random: Random, make_budget: MakeBudget) -> None:
         self.random = random
-        self.make = make
+        self.make_budget = make_budget
         self.count = random.choice([1, 3, 8, 20])
         self.budgets = [self._start(0.0) for _ in range(self.count)]
         self.requests: list[float] = []
-        self.repeats: list[float] = []
+        self.retries: list[float] = []
 
     def _start(self, now_s: float) -> SharedRetryBudget:
-        return self.make(TERMS, lambda: self.count, now_s)
+        return self.make_budget(TERMS, lambda: self.count, now_s)
 
     def request(self, now_s: float, wanted: int) -> None:
         """One request at some router, which wants so many repeats."""
         budget = self.random.choice(self.budgets)
         budget.count_request(now_s)
         self.requests.append(now_s)
-        self.repeats += [now_s for _ in range(wanted) if budget.take(now_s)]
+        self.retries += [now_s for _ in range(wanted) if budget.take(now_s)]
 
     def restart(self, now_s: float) -> None:
         """Kill some routers, or all."""
@@ -65,13 +65,13 @@
         half a window before it, whichever has most.
         """
         length_s = TERMS.window_s
-        for end_s in (*self.repeats, *(at_s + length_s for at_s in self.repeats)):
-            spent = _between(self.repeats, end_s - length_s, end_s)
+        for end_s in (*self.retries, *(at_s + length_s for at_s in self.retries)):
+            retried = _between(self.retries, end_s - length_s, end_s)
             asked = max(
-                _between(self.requests, end_s - length_s - back_s, end_s - back_s)
-                for back_s in (0.0, length_s / 2, length_s)
+                _between(self.requests, end_s - length_s - offset_s, end_s - offset_s)
+                for offset_s in (0.0, length_s / 2, length_s)
             )
-            if spent > TERMS.ratio * asked + TERMS.slack:
+            if retried > TERMS.ratio * asked + TERMS.slack:
                 return end_s
         return None
 
@@ -81,11 +81,11 @@
     return bisect_left(times_s, end_s + 1e-9) - bisect_left(times_s, begin_s + 1e-9)
 
 
-def find_violation(seeds: Iterable[int], make: MakeBudget = SharedRetryBudget) -> str | None:
+def find_violation(seeds: Iterable[int], make_budget: MakeBudget = SharedRetryBudget) -> str | None:
     """Run the history of each seed; describe the first window that was exceeded."""
     for seed in seeds:
         random = Random(seed)
-        fleet = _Fleet(random, make)
+        fleet = _Fleet(random, make_budget)
         now_s = 0.0
         rate = random.choice([3.0, 30.0, 150.0])
         while now_s < HISTORY_S:
@@ -105,12 +105,12 @@
     """Run histories of consecutive seeds until the time or the count is used up."""
     from damaskwind.decisions.retries.tests.seeded_faults import SEEDED_FAULTS
 
-    make = SEEDED_FAULTS[bug] if bug else SharedRetryBudget
+    make_budget = SEEDED_FAULTS[bug] if bug else SharedRetryBudget
     started_s = monotonic()
-    made = 0
-    while monotonic() - started_s < seconds and made < histories:
-        failure = find_violation([seed + made], make)
-        made += 1
+    histories_run = 0
+    while monotonic() - started_s < seconds and histories_run < histories:
+        failure = find_violation([seed + histories_run], make_budget)
+        histories_run += 1
         if failure is not None:
-            return FuzzResult(made, monotonic() - started_s, made - 1, failure)
-    return FuzzResult(made, monotonic() - started_s, None, None)
+            return FuzzResult(histories_run, monotonic() - started_s, histories_run - 1, failure)
+    return FuzzResult(histories_run, monotonic() - started_s, None, None)
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/seeded_faults.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/seeded_faults.py
@@ -22,10 +22,10 @@
 class ForgetsSoon(SharedRetryBudget):
     """Forgets repeats after half a window."""
 
-    def _forget(self, now_s):
-        super()._forget(now_s)
-        while self._repeats and self._repeats[0] <= now_s - self._terms.window_s / 2:
-            self._repeats.popleft()
+    def _drop_expired(self, now_s):
+        super()._drop_expired(now_s)
+        while self._retries and self._retries[0] <= now_s - self._terms.window_s / 2:
+            self._retries.popleft()
 
 
 SEEDED_FAULTS = {
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/test_shared_budget.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/test_shared_budget.py
@@ -12,7 +12,7 @@
     def test_all_routers_together_keep_to_the_bound_in_every_window(self):
         random = Random(3)
         routers = [SharedRetryBudget(TERMS, lambda: 8) for _ in range(8)]
-        requests, repeats = [], []
+        requests, retries = [], []
         now_s = 0.0
         while now_s < 40.0:
             now_s += random.expovariate(150.0)
@@ -21,9 +21,9 @@
             requests.append(now_s)
             for _ in range(2):
                 if router.take(now_s):
-                    repeats.append(now_s)
+                    retries.append(now_s)
         for start in range(31):
-            window = [at for at in repeats if start <= at < start + 10]
+            window = [at for at in retries if start <= at < start + 10]
             asked = sum(start <= at < start + 10 for at in requests)
             self.assertLessEqual(len(window), 0.2 * asked + 56)
 
--- a/packages/router/src/damaskwind/router/forwarding/document_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/document_relay.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from damaskwind.decisions.following.document_holders import LONGEST_S, PASSING_PART
-from damaskwind.decisions.pacing.bulk_pace import BulkPace
+from damaskwind.decisions.pacing.bulk_pace import BulkPacer
 from damaskwind.model.exception import MessageError
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.http1.exchange import Exchange
@@ -56,7 +56,7 @@
     ) -> None:
         self._newest_for = newest_for
         self._whole = whole
-        self._pace = BulkPace(link_bytes_per_s * PASSING_PART, read_clock())
+        self._pace = BulkPacer(link_bytes_per_s * PASSING_PART, read_clock())
         self._server = HttpServer(self._handle, ServerLimits())
         self.passed_on = 0
         # What else comes to this address, by its path, and heartbeats in the platform's words.
@@ -93,7 +93,7 @@
             exchange.respond(Answer(404, []))
             return
         size_bytes = len(self._newest_for(request.held_version).packed)
-        await asyncio.sleep(self._pace.wait_s(size_bytes, read_clock()))
+        await asyncio.sleep(self._pace.reserve(size_bytes, read_clock()))
         exchange.respond(Answer(200, [], encode(self._newest_for(request.held_version))))
         self.passed_on += 1
 
--- a/packages/router/src/damaskwind/router/forwarding/table_exchange.py
+++ b/packages/router/src/damaskwind/router/forwarding/table_exchange.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from damaskwind.decisions.membership.target_table import TargetTable
-from damaskwind.decisions.pacing.bulk_pace import BulkPace
+from damaskwind.decisions.pacing.bulk_pace import BulkPacer
 from damaskwind.model.exception import MessageError
 from damaskwind.model.targets import Address
 from damaskwind.runtime.clock import read_clock
@@ -65,17 +65,17 @@
         self._seen = seen
         self._take = take
         self._port = port
-        self._pace = BulkPace(link_bytes_per_s * TABLE_PART, read_clock())
+        self._pace = BulkPacer(link_bytes_per_s * TABLE_PART, read_clock())
         self._copy = Answer(503, [])
         self._copied_s = float("-inf")
         self._fetching: asyncio.Task | None = None
 
     async def handle(self, exchange: Exchange) -> None:
         """Give a copy, unless many wait for one already."""
-        if self._pace.line_s(read_clock()) > LINE_S:
+        if self._pace.backlog_s(read_clock()) > LINE_S:
             exchange.respond(Answer(503, []))
             return
-        await asyncio.sleep(self._pace.wait_s(len(self._copy.body), read_clock()))
+        await asyncio.sleep(self._pace.reserve(len(self._copy.body), read_clock()))
         exchange.respond(self._newest_copy())
 
     def _newest_copy(self) -> Answer:
--- a/packages/router/src/damaskwind/router/membership/node.py
+++ b/packages/router/src/damaskwind/router/membership/node.py
@@ -102,14 +102,14 @@
             source,
             message,
             now_s,
-            self.pacer.room_bytes(now_s),
+            self.pacer.headroom_bytes(now_s),
         )
         self._take(output, now_s)
         return self.release(now_s)
 
     def tick(self, now_s: float) -> list[Datagram]:
         """Do what time asks for; return the datagrams that may go now."""
-        self._take(self.core.tick(now_s, self.pacer.room_bytes(now_s)), now_s)
+        self._take(self.core.tick(now_s, self.pacer.headroom_bytes(now_s)), now_s)
         return self.release(now_s)
 
     def leave(self, now_s: float) -> list[Datagram]:
@@ -144,8 +144,8 @@
 
     def release(self, now_s: float) -> list[Datagram]:
         """Return the datagrams that may go now."""
-        going = [queued.datagram for queued in self.pacer.take(now_s)]
-        for queued in self.pacer.take_dropped():
+        going = [queued.datagram for queued in self.pacer.pop_ready(now_s)]
+        for queued in self.pacer.pop_dropped():
             self.core.dropped(queued.send)
         return going
 
--- a/packages/router/src/damaskwind/router/membership/service.py
+++ b/packages/router/src/damaskwind/router/membership/service.py
@@ -180,8 +180,8 @@
     def count_control(self, kind: str, sent_bytes: int, received_bytes: int) -> None:
         """Charge control bytes that went by streams or calls to the budget."""
         now_s = self._clock()
-        self.node.pacer.sent_elsewhere(sent_bytes, kind, now_s)
-        self.node.pacer.received_elsewhere(received_bytes, kind, now_s)
+        self.node.pacer.sent_on_stream(sent_bytes, kind, now_s)
+        self.node.pacer.received_on_stream(received_bytes, kind, now_s)
 
     def routers(self) -> list[RouterRecord]:
         """Return the routers held alive, this one among them."""
--- a/packages/router/src/damaskwind/router/tests/test_telemetry.py
+++ b/packages/router/src/damaskwind/router/tests/test_telemetry.py
@@ -83,9 +83,9 @@
         pacer = self.service.node.pacer
         pacer.received(20_000, "flood", self.clock.now_s)
         pacer.offer("news", 300, Urgency.ROUTINE, "news", self.clock.now_s)
-        pacer.take(self.clock.now_s)
+        pacer.pop_ready(self.clock.now_s)
         self.clock.now_s += 3.0
-        pacer.take(self.clock.now_s)
+        pacer.pop_ready(self.clock.now_s)
         page = self.page()
         self.assertEqual(page['control_sends_total{outcome="deferred"}'], 1)
         self.assertEqual(page['control_sends_total{outcome="dropped"}'], 1)
