--- a/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
@@ -17,7 +17,7 @@
 
 
 class WindowTest(TestCase):
-    def test_answers_that_come_late_shrink_the_bound_and_early_ones_let_it_grow(self):
+    def test_late_answers_shrink_the_window_and_early_ones_grow_it(self):
         window = StartWindow(WindowPolicy(initial_limit=8.0))
         for number in range(20):
             window.sent(number, number * 0.2, 1.0)
@@ -25,14 +25,14 @@
         self.assertLess(window.limit, 4.0)
         before = window.limit
         for number in range(100, 200):
-            at_s = 10.0 + number * 0.05
-            window.sent(number, at_s, 1.0)
-            window.sent(number + 1000, at_s, 1.0)
-            window.answer_started(number, at_s + 0.04)
-            window.answer_started(number + 1000, at_s + 0.04)
+            now_s = 10.0 + number * 0.05
+            window.sent(number, now_s, 1.0)
+            window.sent(number + 1000, now_s, 1.0)
+            window.answer_started(number, now_s + 0.04)
+            window.answer_started(number + 1000, now_s + 0.04)
         self.assertGreater(window.limit, before)
 
-    def test_silence_shrinks_the_bound_before_any_answer_tells(self):
+    def test_overdue_answers_shrink_the_window_before_they_start(self):
         window = StartWindow(WindowPolicy(initial_limit=8.0))
         for number in range(8):
             window.sent(number, 0.0, 1.0)
@@ -42,7 +42,7 @@
         # What is lost holds no place for ever: the target is asked again.
         self.assertGreater(headrooms[-1], 0)
 
-    def test_a_router_with_few_answers_goes_by_those_of_the_whole_pool(self):
+    def test_window_with_few_answers_uses_those_of_the_whole_pool(self):
         admission = PoolAdmission(Random(1), WindowPolicy(initial_limit=4.0))
         for number in range(12):
             admission.sent(number, f"t{number}", 1.0, 0.0)
@@ -52,7 +52,7 @@
         self.assertLess(admission._window("t0").limit, 4.0)
 
 
-class WholePoolTest(TestCase):
+class PoolWindowTest(TestCase):
     """One router in many: one request at each target is more than its part."""
 
     def setUp(self):
@@ -64,7 +64,7 @@
         asked = request(number, target_id=f"t{number % 10}", arrived_s=now_s)
         return self.admission.offer(asked, self.target_slots, now_s).step
 
-    def test_targets_share_one_bound(self):
+    def test_targets_share_one_window(self):
         steps = [self.offer(number) for number in range(5)]
         self.assertEqual(steps, [AdmissionStep.START] * 3 + [AdmissionStep.WAIT] * 2)
         self.admission.answer_started(0, 0.05)
@@ -72,7 +72,7 @@
         self.assertEqual(self.admission.admit_waiting(self.target_slots, 0.05), (3, 4))
         self.assertEqual(self.offer(5, now_s=0.05), AdmissionStep.WAIT)
 
-    def test_targets_that_are_silent_do_not_shrink_it_for_the_others(self):
+    def test_unresponsive_targets_do_not_shrink_the_pool_window(self):
         for number in range(3):
             self.offer(number)
         # Their targets are behind a cut: what is overdue by its objective holds no place.
@@ -89,23 +89,23 @@
     def offer(self, item, now_s=0.0):
         return self.admission.offer(item, TARGET_SLOTS, now_s)
 
-    def test_what_has_room_goes_on_and_the_next_waits(self):
+    def test_requests_start_within_the_window_and_the_next_waits(self):
         steps = [self.offer(request(number)).step for number in range(3)]
         self.assertEqual(steps, [AdmissionStep.START, AdmissionStep.START, AdmissionStep.WAIT])
 
-    def test_who_waits_for_one_target_holds_up_none_for_another(self):
+    def test_request_waiting_for_one_target_does_not_block_another_target(self):
         for number in range(3):
             self.offer(request(number))
         self.assertIs(self.offer(request(9, target_id="b")).step, AdmissionStep.START)
 
-    def test_who_cannot_be_served_in_time_is_turned_away_at_once_with_a_time(self):
+    def test_request_that_would_be_late_is_rejected_at_once_with_a_retry_time(self):
         outcomes = [self.offer(request(number)) for number in range(30)]
         refused = [item for outcome in outcomes for item in outcome.turned_away]
         self.assertGreater(len(refused), 15)
         self.assertTrue(all(item.retry_after_s > 0 for item in refused))
         self.assertLess(len(self.admission.queue), 12)
 
-    def test_more_urgent_request_goes_first_and_pushes_out_the_least_urgent(self):
+    def test_more_urgent_request_goes_first_and_displaces_the_least_urgent(self):
         for number in range(12):
             self.offer(request(number, rank=2))
         waiting = len(self.admission.queue)
@@ -116,37 +116,37 @@
         self.admission.ended(0)
         self.assertEqual(self.admission.admit_waiting(TARGET_SLOTS, 0.05), (50,))
 
-    def test_target_that_says_it_is_full_gets_nothing_more(self):
+    def test_full_target_is_sent_no_request(self):
         full = [TargetSlots("a", 0.0)]
         self.assertIs(self.admission.offer(request(1), full, 0.0).step, AdmissionStep.WAIT)
         self.assertEqual(self.admission.admit_waiting(TARGET_SLOTS, 0.1), (1,))
 
-    def test_home_that_is_gone_holds_nobody_up(self):
+    def test_request_of_a_removed_target_is_admitted(self):
         for number in range(3):
             self.offer(request(number))
         self.assertEqual(self.admission.admit_waiting([TargetSlots("b", 8.0)], 0.1), (2,))
 
-    def test_who_came_back_keeps_to_a_share_while_new_ones_are_turned_away(self):
+    def test_retries_are_limited_while_first_attempts_are_rejected(self):
         # Else a surge ends with nobody served in time: those that came back are late.
         for number in range(20):
             self.offer(request(number))
-        back = self.offer(request(100, came_back=True, left_s=5.0), 0.1)
-        self.assertIs(back.step, AdmissionStep.WAIT)
+        retry = self.offer(request(100, came_back=True, left_s=5.0), 0.1)
+        self.assertIs(retry.step, AdmissionStep.WAIT)
         self.admission.ended(0)
         self.assertNotIn(100, self.admission.admit_waiting(TARGET_SLOTS, 0.1))
 
-    def test_after_the_surge_who_came_back_goes_on_at_once(self):
+    def test_retries_start_at_once_after_the_surge(self):
         for number in range(20):
             self.offer(request(number))
         for number in range(20):
             self.admission.withdraw(number)
             self.admission.ended(number)
-        back = self.offer(request(100, came_back=True, left_s=5.0), 2.0)
-        self.assertIs(back.step, AdmissionStep.START)
+        retry = self.offer(request(100, came_back=True, left_s=5.0), 2.0)
+        self.assertIs(retry.step, AdmissionStep.START)
 
 
 class FairQueueTest(TestCase):
-    def test_account_far_over_its_share_waits_behind_the_others(self):
+    def test_account_far_over_its_share_is_queued_behind_others(self):
         queue = FairQueue()
         for number in range(60):
             queue.record_served("large", 0.0)
@@ -157,7 +157,7 @@
         order = [item.number for item in queue.ordered(0.2)]
         self.assertEqual(order, [2, 1])
 
-    def test_alone_an_account_may_take_what_there_is(self):
+    def test_single_account_may_use_the_whole_capacity(self):
         queue = FairQueue()
         for _ in range(60):
             queue.record_served("large", 0.0)
@@ -169,18 +169,18 @@
         queue.add(request(1, rank=2, left_s=3.0))
         for number in range(2, 10):
             queue.add(request(number, rank=0, left_s=4.0))
-        taken = [queue.pop_next(0.0, lambda target_id: True).number for _ in range(4)]
-        self.assertIn(1, taken)
+        admitted = [queue.pop_next(0.0, lambda target_id: True).number for _ in range(4)]
+        self.assertIn(1, admitted)
 
 
 class RetryAfterTest(TestCase):
-    def test_returns_are_spread_and_never_beyond_what_callers_honour(self):
+    def test_retry_times_are_spread_within_what_callers_honour(self):
         random = Random(1)
         times = [draw_retry_after_s(0.5, 9.0, 2.0, random) for _ in range(200)]
         self.assertLessEqual(max(times), 3.0)
         self.assertGreater(max(times) - min(times), 0.8)
 
-    def test_hostile_times_neither_crash_nor_lie(self):
+    def test_extreme_remaining_times_give_positive_retry_times(self):
         for left_s in (-5.0, 0.0, 1e9):
             self.assertGreater(draw_retry_after_s(0.4, left_s, 5.0, Random(1)), 0.0)
         admission = PoolAdmission(Random(1), WindowPolicy(initial_limit=1.0))
--- a/packages/decisions/src/damaskwind/decisions/admission/tests/test_queue.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/tests/test_queue.py
@@ -69,7 +69,7 @@
         self.assertEqual([g.request.request_id for g in queue.expire(5.0)], ["class"])
         self.assertEqual(queue.next_ready(5.0).request_id, "stays")
 
-    def test_hopeless_wait_is_refused_at_once(self):
+    def test_request_that_would_expire_in_the_queue_is_refused_at_once(self):
         queue = self.make()
         self.fill(queue, "normal", 40)
         for number in range(10):
@@ -79,7 +79,7 @@
         self.assertAlmostEqual(offer.refused[0].refusal.retry_after_s, 15.0, delta=0.5)
         self.assertTrue(queue.offer(request("other", "urgent"), 5.0).queued)
 
-    def test_blocked_request_does_not_hold_up_those_behind(self):
+    def test_request_that_can_not_run_does_not_block_those_behind(self):
         queue = self.make()
         self.fill(queue, "normal", 3)
         found = queue.next_ready(0.0, lambda item: item.request_id != "normal0")
--- a/packages/decisions/src/damaskwind/decisions/limits/account_leases.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/account_leases.py
@@ -1,4 +1,4 @@
-"""What one router holds of one account: its leases, its use, its token bucket."""
+"""The leases, the use and the token bucket of one account at one router."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from typing import NamedTuple
@@ -25,7 +25,7 @@
 
 
 class _AppliedLease(NamedTuple):
-    """A lease as it was applied."""
+    """A lease from one slice, as this router applied it."""
 
     units: int
     tokens_per_s: int
@@ -35,17 +35,17 @@
 
 
 def _total_amount(share: _AppliedLease | AccountGrant) -> int:
-    """Return what a share is made of; 0 when it is empty."""
+    """Return units plus token rate of a share, which is 0 only if it is empty."""
     return share.units + share.tokens_per_s
 
 
 class AccountLeases:
-    """One account at one router.
+    """The leased shares and the use of one account at one router.
 
-    Shares come from the slice of the router's own failure domain first. What is
-    missing there is asked of the other domains' slices, in the order of `slices`.
-    Each request in hand counts against one slice, or against the floor, so that a
-    share that shrinks is known to be in use until it is not.
+    Shares come first from the slice of the router's own failure domain. The remaining
+    demand is requested from the slices of other domains, in the order of `slices`.
+    Each request in progress counts against one slice or against the floor, the share
+    that needs no lease, so that the use of a slice is known even after its share shrank.
     """
 
     def __init__(self, domain: str, policy: LimitPolicy) -> None:
@@ -66,7 +66,7 @@
     def set_limit(
         self, limit: AccountLimit, slices: Mapping[str, AccountLimit], floor: AccountLimit
     ) -> None:
-        """Follow a confirmed limit."""
+        """Apply a confirmed limit, its division into slices and the floor."""
         self._limit = limit
         self._slices = {
             name: domain_slice for name, domain_slice in slices.items() if any(domain_slice)
@@ -76,17 +76,17 @@
         self._domain_order = [self.domain, *others]
 
     def units(self, now_s: float) -> int:
-        """Return how many requests may be in hand."""
+        """Return how many requests may be in progress."""
         leased = sum(lease.units for lease in self._leases.values() if lease.until_s > now_s)
         return self._floor.max_concurrent_requests + leased
 
     def tokens_per_s(self, now_s: float) -> int:
-        """Return the token rate that may be used."""
+        """Return the token rate that may be used, in tokens per second."""
         leased = sum(lease.tokens_per_s for lease in self._leases.values() if lease.until_s > now_s)
         return int(self._floor.max_tokens_per_s) + leased
 
     def try_admit(self, tokens: int, now_s: float) -> bool:
-        """Let a request in if a unit is free and the bucket's debt within its credit."""
+        """Admit a request if a unit is free and the bucket's debt is within its credit."""
         source = self._free_source(now_s)
         if source is None or self._bucket.wait_s(self.tokens_per_s(now_s), now_s) != 0.0:
             return False
@@ -96,7 +96,7 @@
         return True
 
     def release(self, refund_tokens: int, now_s: float) -> None:
-        """Note a request's end; what it did not use is given back."""
+        """Record the end of a request and refund the tokens that it did not use."""
         self._bucket.fill(self.tokens_per_s(now_s), now_s)
         self._bucket.take(-refund_tokens, now_s)
         self.demand.change_in_use(-1, now_s)
@@ -106,11 +106,11 @@
             self._used[most_exceeded] -= 1
 
     def is_over_share(self, now_s: float) -> bool:
-        """Tell whether more is in hand than a share that shrank meanwhile."""
+        """Return whether the use of a slice exceeds its share, which may have shrunk."""
         return any(self._excess(name, now_s) > 0 for name, used in self._used.items() if used)
 
     def is_idle(self, now_s: float) -> bool:
-        """Tell whether nothing is in hand or wanted, and every allocator knows it."""
+        """Return whether there is no use or demand, and no allocator has a booking for it."""
         if self.demand.in_use or any(
             not self._has_booking_expired(name, now_s) for name in self._active_domains
         ):
@@ -118,7 +118,7 @@
         return self._wanted(now_s) == (0, 0)
 
     def cannot_admit_soon(self, now_s: float) -> bool:
-        """Tell whether no grant that may come soon would let a request in."""
+        """Return whether no grant that may arrive soon would admit a request."""
         if self._free_source(now_s) is None:
             return self._is_exhausted(now_s)
         rate = self.tokens_per_s(now_s)
@@ -128,12 +128,12 @@
         return self._is_exhausted(now_s) or rate >= int(self._limit.max_tokens_per_s)
 
     def retry_after_s(self, now_s: float) -> float:
-        """Return when a refused caller may come back."""
+        """Return after how many seconds a refused caller may retry."""
         wait_s = self._bucket.wait_s(self.tokens_per_s(now_s), now_s) or 0.0
         return min(LONGEST_RETRY_AFTER_S, max(self.policy.retry_after_s, wait_s))
 
     def debt_wait_s(self, now_s: float) -> float:
-        """Return when the bucket may let a request in, if only it is in the way."""
+        """Return how long the token debt delays a request; `policy.wait_s` without a free unit."""
         if self._free_source(now_s) is None:
             return self.policy.wait_s
         wait_s = self._bucket.wait_s(self.tokens_per_s(now_s), now_s)
@@ -142,10 +142,10 @@
     def demands(
         self, account: str, now_s: float, routers: Mapping[str, Sequence[str]]
     ) -> Iterator[tuple[str, AccountDemand]]:
-        """Yield what to ask of each domain's slice.
+        """Yield the demand to report to the allocator of each domain's slice.
 
-        A further domain is asked once all before it, as far as they can be
-        reached, have said that they have no more.
+        A domain is asked for units only after the allocators of all reachable domains
+        before it have reported that their slices are exhausted.
         """
         self._reachable = frozenset(name for name, live_routers in routers.items() if live_routers)
         units, rate = self._wanted(now_s)
@@ -166,10 +166,11 @@
                 rate = max(0, rate - lease.tokens_per_s)
 
     def apply(self, grant: ShareGrant, item: AccountGrant, until_s: float, now_s: float) -> bool:
-        """Apply a grant unless a newer one was; tell whether to report again soon.
+        """Apply a grant unless a newer one was applied; return whether to report soon.
 
-        That is so when the share shrank and others wait for what is free now, and
-        when a slice turns out to be used up, for the next one is asked then.
+        Report soon if the share shrank and other routers wait for the freed units, if
+        a recall is pending, or if the slice turns out to be exhausted, since the next
+        domain is asked then.
         """
         domain = grant.slice_domain
         previous = self._leases.get(domain)
@@ -201,31 +202,31 @@
         return shrank
 
     def _has_booking_expired(self, domain: str, now_s: float) -> bool:
-        """Tell whether an allocator that could not be told has let go by itself."""
+        """Return whether an allocator's booking has expired, even if no report reached it."""
         lease = self._leases.get(domain)
         valid_until_s = lease.until_s if lease else self.reported_s + self.policy.lease_s
         return now_s >= valid_until_s + self.policy.linger_s
 
     def _live_lease(self, domain: str, now_s: float) -> _AppliedLease | None:
-        """Return the lease from a domain's slice if it holds anything now."""
+        """Return the lease from a domain's slice, or `None` if it is expired or empty."""
         lease = self._leases.get(domain)
         if lease is None or lease.until_s <= now_s or not (lease.units or lease.tokens_per_s):
             return None
         return lease
 
     def _units_from(self, source: str, now_s: float) -> int:
-        """Return the units of one slice's lease, or of the floor."""
+        """Return the units of one slice's current lease, or of the floor."""
         if source == _FLOOR:
             return self._floor.max_concurrent_requests
         lease = self._leases.get(source)
         return lease.units if lease is not None and lease.until_s > now_s else 0
 
     def _excess(self, source: str, now_s: float) -> int:
-        """Return by how much the use of a source exceeds it; negative when it is free."""
+        """Return the use of a source minus its units; negative if units are free."""
         return self._used.get(source, 0) - self._units_from(source, now_s)
 
     def _free_source(self, now_s: float) -> str | None:
-        """Return the floor or the first slice with a free unit."""
+        """Return the floor or the first slice with a free unit, or `None`."""
         if self._used.get(_FLOOR, 0) < self._floor.max_concurrent_requests:
             return _FLOOR
         for name in self._domain_order:
@@ -239,14 +240,14 @@
         return None
 
     def _is_exhausted(self, now_s: float) -> bool:
-        """Tell whether every slice in reach said just now that it has no more."""
+        """Return whether every reachable slice was recently reported as exhausted."""
         domains = set(self._slices)
         if self._reachable is not None:
             domains &= self._reachable
         return all(self._recently_exhausted_until_s.get(name, 0.0) > now_s for name in domains)
 
     def _wanted(self, now_s: float) -> tuple[int, int]:
-        """Return the units and the rate wanted beyond the floor."""
+        """Return the units and the token rate needed beyond the floor."""
         units = min(self.demand.wanted(now_s), self._limit.max_concurrent_requests)
         rate = self.demand.wanted_tokens_per_s(now_s)
         if units or rate:
@@ -261,21 +262,21 @@
         )
 
     def _floor_covers_rate(self, now_s: float) -> bool:
-        """Tell whether the rate of the floor does, so that none need be asked for."""
+        """Return whether the floor's rate suffices, so that no lease on a rate is needed."""
         if self.demand.unmet(now_s):
             return False
         needed = max(self.demand.needed_tokens_per_s(now_s), self._rate_for_debt(now_s))
         return needed < int(self._floor.max_tokens_per_s)
 
     def _rate_for_debt(self, now_s: float) -> int:
-        """Return the rate that pays the debt off, in time for those who wait if any do."""
+        """Return the rate that repays the debt, sooner if requests are waiting."""
         repay_s = self.policy.wait_s / 2 if self.demand.unmet(now_s) else self.policy.idle_s
         return int(self._bucket.debt() / repay_s)
 
     def _make_demand(
         self, account: str, domain: str, units: int, rate: int, now_s: float
     ) -> AccountDemand:
-        """Say what is wanted of one slice, and what is used and held of it."""
+        """Return the demand for one slice, with its current use and lease."""
         used = self._used.get(domain, 0)
         lease = self._leases.get(domain)
         if lease is None:
--- a/packages/decisions/src/damaskwind/decisions/limits/allocator.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/allocator.py
@@ -2,10 +2,10 @@
 
 Leases in the sense of "Leases: An Efficient Fault-Tolerant Mechanism for
 Distributed File Cache Consistency" (Gray and Cheriton, SOSP 1989): a share that
-is not renewed comes back by itself. What is booked for a router is the most that
-it may hold, whichever of its grants were lost: a smaller grant frees units only
-when the router says that it applied it, or when the larger one has expired. The
-sum of what is booked never exceeds the slice.
+is not renewed returns to the allocator when it expires. The allocator books for each
+router the largest share that it may be using, whichever of its grants were lost: a
+smaller grant frees units only when the router reports that it applied it, or when the
+larger one has expired. The sum of all bookings never exceeds the slice.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -35,7 +35,8 @@
 class _Lease:
     """A grant that its router may use until `until_s`.
 
-    Requests let in under it may run on; its units stay booked until `linger_until_s`.
+    Requests admitted under it may continue to run, so its units stay booked until
+    `linger_until_s`.
     """
 
     __slots__ = ("linger_until_s", "sequence", "tokens_per_s", "units", "until_s")
@@ -51,7 +52,7 @@
 
 
 class _Share:
-    """What one router may hold of one account, and wants."""
+    """The leases of one account at one router, and its last reported demand."""
 
     def __init__(self) -> None:
         self.leases: list[_Lease] = []
@@ -65,13 +66,13 @@
         self.recalled_s = float("-inf")
 
     def stop_lingering(self) -> None:
-        """Book nothing beyond the leases: the router's requests ended with it."""
+        """End the bookings with the leases, since the requests of a dead router ended."""
         self.linger_until_s = self.until_s
         for lease in self.leases:
             lease.linger_until_s = lease.until_s
 
     def drop_expired(self, now_s: float) -> None:
-        """Drop leases that are over, and what was reported when it is too old."""
+        """Drop expired leases, and the reported demand once it is too old."""
         self.leases = [lease for lease in self.leases if lease.linger_until_s > now_s]
         for lease in self.leases:
             if lease.until_s <= now_s:
@@ -82,7 +83,7 @@
             self.in_use = 0
 
     def drop_replaced(self, applied_sequence: int) -> None:
-        """Drop leases older than the one that the router says it applied."""
+        """Drop leases older than the one that the router reported as applied."""
         self.leases = [lease for lease in self.leases if lease.sequence >= applied_sequence]
 
     def units(self) -> int:
@@ -95,7 +96,7 @@
 
 
 class _AccountShares:
-    """The shares of one account, and until when some may be unseen."""
+    """The shares of one account, and until when there may be leases not yet reported."""
 
     def __init__(self, learning_until_s: float) -> None:
         self.shares: dict[str, _Share] = {}
@@ -103,14 +104,14 @@
         self.recalled_s = float("-inf")
 
     def drop_expired(self, now_s: float) -> None:
-        """Forget the routers that hold and want nothing any more."""
+        """Remove expired leases, and routers that have neither leases nor demand."""
         for router_id, share in list(self.shares.items()):
             share.drop_expired(now_s)
             if not share.leases and not share.in_use and now_s >= share.until_s:
                 del self.shares[router_id]
 
     def has_unmet_others(self, share: _Share) -> bool:
-        """Tell whether another router wants more than it has."""
+        """Return whether another router asked for more than it has."""
         return any(
             other.wanted > other.units() or other.wanted_tokens_per_s > other.tokens_per_s()
             for other in self.shares.values()
@@ -119,11 +120,11 @@
 
 
 class ShareAllocator:
-    """Allocate the slices of one failure domain, for the accounts asked about.
+    """Allocate one failure domain's slices of the accounts that routers report.
 
-    A new allocator can't see what the one before it leased. For one lease it
-    renews what routers say they hold and grants nothing beyond. `is_alone` tells
-    that there is no other router, so that there is nothing to wait for.
+    A new allocator does not know what its predecessor leased. For the duration of one
+    lease it only renews leases that routers report and grants nothing beyond them.
+    With `is_alone` there is no other router, so this learning phase is skipped.
     """
 
     def __init__(
@@ -144,7 +145,7 @@
         self._recalls: list[tuple[str, ShareGrant]] = []
 
     def set_limits(self, limits: Mapping[str, AccountLimit], domains: Sequence[str]) -> None:
-        """Follow the confirmed limits; `domains` must be the same on all routers."""
+        """Apply the confirmed limits; `domains` must be the same on all routers."""
         for account in self._slices.keys() - limits.keys():
             del self._slices[account]
             self._accounts.pop(account, None)
@@ -158,10 +159,10 @@
             )
 
     def set_routers(self, alive: Collection[str]) -> None:
-        """Follow which routers of the own domain live.
+        """Update the set of live routers of this domain.
 
-        The units of one that died come free with its leases. One of another domain
-        may be cut off only, and its units linger.
+        The units of a router that died are freed when its leases expire. A router of
+        another domain may only be partitioned off, so its units linger.
         """
         for account in self._accounts.values():
             for router_id, share in account.shares.items():
@@ -169,7 +170,7 @@
                     share.stop_lingering()
 
     def booked(self, account: str, now_s: float) -> AccountLimit:
-        """Return the most that all routers together may be using of a slice."""
+        """Return the most that all routers together may be using of an account's slice."""
         shares_of_account = self._accounts.get(account)
         if shares_of_account is None:
             return AccountLimit(0, 0)
@@ -181,7 +182,7 @@
         )
 
     def handle_report(self, report: DemandReport, now_s: float) -> ShareGrant | None:
-        """Answer a router's demand; `None` when it is not for this domain."""
+        """Return the grant for a report, or `None` if the report is for another domain."""
         if report.slice_domain != self.domain:
             return None
         grants = tuple(
@@ -193,7 +194,7 @@
         return ShareGrant(self.router_id, self.domain, report.sequence, lease_ms, grants)
 
     def _is_newer(self, report: DemandReport, name: str) -> bool:
-        """Tell whether a report is newer than all seen; an overtaken one would lower the use."""
+        """Return whether a report is newer than all before; a stale one could lower the use."""
         account = self._accounts.get(name)
         share = account.shares.get(report.router_id) if account else None
         return share is None or report.sequence > share.sequence
@@ -224,7 +225,7 @@
         return AccountGrant(demand.account, units, tokens_per_s, confirm, recall_pending)
 
     def pop_recalls(self) -> list[tuple[str, ShareGrant]]:
-        """Return whom to ask for units back, once, after a report was taken."""
+        """Return and clear the recalls to send, each with the ID of its router."""
         recalls, self._recalls = self._recalls, []
         return recalls
 
@@ -236,11 +237,11 @@
         missing_units: int,
         now_s: float,
     ) -> bool:
-        """Ask routers that hold more than they used to report; tell whether any may give.
+        """Recall units from routers with idle ones; return whether a recall is pending.
 
-        Their next reports say what they need; nothing is taken that they did not
-        give up, so a recall that is lost only costs time. Where most of the slice is
-        in use there is little to get back, and nobody is asked.
+        The recalled routers report their current demand. Units are freed only when the
+        router gives them up, so a lost recall only costs time. No router is asked
+        if most of the slice is in use, since there is little to recover.
         """
         in_use = sum(share.in_use for share in account.shares.values())
         if in_use > RECALL_MAX_USE_SHARE * self._slices[name].max_concurrent_requests:
@@ -269,9 +270,10 @@
     def _adopt(
         self, account: _AccountShares, share: _Share, demand: AccountDemand, now_s: float
     ) -> None:
-        """Book what another allocator leased to this router.
+        """Book a lease that another allocator granted to the reporting router.
 
-        Hearing of such a lease tells that others may hold more of them.
+        Such a lease implies that other routers may have more of them, so the learning
+        phase is extended to its end.
         """
         remaining_s = demand.held_remaining_ms / 1000
         if demand.granted_by == self.router_id or remaining_s <= 0 or share.leases:
@@ -288,11 +290,11 @@
         share.leases.append(lease)
 
     def _round_key(self, now_s: float) -> str:
-        """Name the present order for units that can't be divided."""
+        """Return the key of the current order for units that can't be divided equally."""
         return str(int(now_s // (LEASES_PER_ROUND * self.policy.lease_s)))
 
     def _units(self, account: _AccountShares, router_id: str, name: str, now_s: float) -> int:
-        """Return how many units a router gets now."""
+        """Return the number of units to grant to a router."""
         share = account.shares[router_id]
         total = self._slices[name].max_concurrent_requests
         booked = sum(other.units() for key, other in account.shares.items() if key != router_id)
@@ -306,7 +308,7 @@
     def _tokens_per_s(
         self, account: _AccountShares, router_id: str, name: str, now_s: float
     ) -> int:
-        """Return which token rate a router gets now."""
+        """Return the token rate to grant to a router."""
         share = account.shares[router_id]
         total = int(self._slices[name].max_tokens_per_s)
         others = (other for key, other in account.shares.items() if key != router_id)
@@ -319,9 +321,9 @@
     def _fair_share(
         self, total: int, wanted: dict[str, int], router_id: str, round_key: str
     ) -> int:
-        """Return a router's fair share, with something to spare while there is plenty.
+        """Return a router's fair share, plus a part of the surplus if there is any.
 
-        What is spared saves reports; half of the surplus stays for those who ask next.
+        The extra units save reports; half of the surplus is kept for later requests.
         """
         fair = fair_shares(total, wanted, round_key)[router_id]
         if not wanted[router_id]:
--- a/packages/decisions/src/damaskwind/decisions/limits/allocator_choice.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/allocator_choice.py
@@ -1,8 +1,8 @@
-"""Choose the allocator router of each account, blocks of accounts together.
+"""Assign accounts to allocator routers in blocks.
 
 Accounts of one block share an allocator in each failure domain, so that a router
-talks to few allocators and its reports travel in few datagrams. Small fleets of
-accounts have few blocks; many accounts spread over all routers.
+communicates with few allocators and needs few datagrams for its reports. The number
+of blocks grows with that of accounts, so that many accounts spread over all routers.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -16,7 +16,7 @@
 
 
 def block_count(accounts: int) -> int:
-    """Return how many blocks there are; a power of two, so that it seldom changes.
+    """Return the number of blocks, a power of two, so that it rarely changes.
 
     >>> block_count(1), block_count(10), block_count(1400)
     (1, 8, 1024)
@@ -31,7 +31,7 @@
 
 
 class AllocatorChoice:
-    """Which router allocates for an account, by the routers known at present.
+    """The mapping of accounts to allocators, given the routers known at present.
 
     >>> choice = AllocatorChoice()
     >>> choice.set_accounts(["x"])
@@ -46,21 +46,21 @@
         self._chosen: dict[tuple[str, str], str] = {}
 
     def set_accounts(self, accounts: Collection[str]) -> None:
-        """Follow the configured accounts, which must be the same on all routers."""
+        """Set the configured accounts, which must be the same on all routers."""
         if self._blocks.keys() == set(accounts):
             return
         blocks = block_count(len(accounts))
         self._blocks = {account: block_of(account, blocks) for account in accounts}
 
     def set_routers(self, routers: Mapping[str, Sequence[str]]) -> None:
-        """Follow the live routers of each domain."""
+        """Set the live routers of each domain."""
         sorted_routers = {domain: tuple(sorted(names)) for domain, names in routers.items()}
         if sorted_routers != self._routers:
             self._routers = sorted_routers
             self._chosen = {}
 
     def find(self, account: str, domain: str) -> str:
-        """Return an account's allocator in a domain; empty when no router is known there."""
+        """Return an account's allocator in a domain, or `""` if no router is known there."""
         key = (self._blocks[account], domain)
         chosen = self._chosen.get(key)
         if chosen is None:
--- a/packages/decisions/src/damaskwind/decisions/limits/codec.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/codec.py
@@ -1,10 +1,10 @@
-"""Code reports and grants in few bytes; names travel as digests.
+"""Encode reports and grants compactly, with digests in place of names.
 
 Both ends know the accounts and failure domains from the confirmed configuration,
-so a name is sent as 32 bits of its hash. A name that shares its digest with
-another is sent whole. The router that a datagram comes from is known from its
-envelope and not repeated. Numbers that are usual are left out at the end of a
-demand: what is held matters only to an allocator that did not grant it.
+so a name is sent as 32 bits of its hash. Names whose digests collide are sent in
+full. The sender of a datagram is known from its envelope and not repeated. Trailing
+fields of a demand with default values are omitted: the lease of a router matters only
+to an allocator that did not grant it.
 """
 
 from collections.abc import Iterable
@@ -32,7 +32,7 @@
 
 
 class _PackedDemand(NamedTuple):
-    """A demand; `age` is how many reports ago the grant applied was asked for."""
+    """A demand; `age` is how many reports ago the applied grant was requested."""
 
     name: _Name
     in_use: int
@@ -46,7 +46,7 @@
 
 
 class _PackedReport(NamedTuple):
-    """A report; an empty `router_domain` is that of the slice."""
+    """A report; an empty `router_domain` stands for the domain of the slice."""
 
     sequence: int
     slice_domain: _Name
@@ -55,7 +55,7 @@
 
 
 class _PackedShare(NamedTuple):
-    """An account's share."""
+    """The share of one account, with `CONFIRM` and `RECALL_PENDING` as `flags`."""
 
     name: _Name
     units: int
@@ -64,7 +64,7 @@
 
 
 class _PackedGrant(NamedTuple):
-    """A grant for each account of a report that is answered."""
+    """The grants that respond to the report numbered `sequence`."""
 
     sequence: int
     slice_domain: _Name
@@ -78,7 +78,7 @@
 
 
 def name_digest(name: str) -> int:
-    """Return the digest that stands for a name.
+    """Return the 32-bit digest that represents a name.
 
     >>> name_digest("account-1") == name_digest("account-1") <= DIGEST_MASK
     True
@@ -87,7 +87,7 @@
 
 
 class LimitsCodec:
-    """Encode and decode the messages of limits for the names configured.
+    """Encode and decode reports and grants for the configured names.
 
     >>> codec = LimitsCodec()
     >>> codec.set_names(["x"], ["a"])
@@ -102,7 +102,7 @@
         self._digests: dict[str, int] = {}
 
     def set_names(self, accounts: Iterable[str], domains: Iterable[str]) -> None:
-        """Follow the configured accounts and failure domains."""
+        """Set the configured accounts and failure domains."""
         configured = frozenset((*accounts, *domains))
         if configured == self._configured:
             return
@@ -118,7 +118,7 @@
         self._digests = {name: digest for digest, name in self._names.items()}
 
     def encode_report(self, report: DemandReport, allocator_id: str) -> bytes:
-        """Encode a report to the router that allocates."""
+        """Encode a report to an allocator."""
         router_domain = report.router_domain
         packed = _PackedReport(
             report.sequence,
@@ -129,7 +129,7 @@
         return _ENCODER.encode(packed)
 
     def decode_report(self, router_id: str, allocator_id: str, payload: bytes) -> DemandReport:
-        """Decode a report from `router_id`, without accounts that are not known here."""
+        """Decode a report from `router_id`, omitting unknown accounts."""
         packed = _decode(_REPORT_DECODER, payload)
         slice_domain = self._unpack(packed.slice_domain) or ""
         demands = (
@@ -150,7 +150,7 @@
         return _ENCODER.encode((grant.report_sequence, domain, grant.lease_ms, grants))
 
     def decode_grant(self, allocator_id: str, payload: bytes) -> ShareGrant:
-        """Decode a grant from `allocator_id`, without accounts that are not known here."""
+        """Decode a grant from `allocator_id`, omitting unknown accounts."""
         packed = _decode(_GRANT_DECODER, payload)
         grants = (self._unpack_share(item) for item in packed.grants)
         return ShareGrant(
@@ -162,21 +162,21 @@
         )
 
     def _pack(self, name: str) -> _Name:
-        """Return a name's digest, or the name where the digest says too little."""
+        """Return a name's digest, or the name itself if the digest is not unique."""
         return self._digests.get(name, name)
 
     def _unpack(self, packed: _Name) -> str | None:
-        """Return the name that was packed; `None` for a digest that is not known."""
+        """Return the name that was packed, or `None` for an unknown digest."""
         return packed if isinstance(packed, str) else self._names.get(packed)
 
     def _pack_share(self, share: AccountGrant) -> tuple:
-        """Pack a share; most need not be confirmed at once."""
+        """Pack a share, omitting the flags if none is set."""
         packed = (self._pack(share.account), share.units, share.tokens_per_s)
         flags = CONFIRM * share.confirm + RECALL_PENDING * share.recall_pending
         return (*packed, flags) if flags else packed
 
     def _unpack_share(self, packed: _PackedShare) -> AccountGrant:
-        """Restore a share; one without an account is to be dropped."""
+        """Unpack a share; its account is empty if the digest is unknown."""
         flags = packed.flags
         return AccountGrant(
             self._unpack(packed.name) or "",
@@ -187,7 +187,7 @@
         )
 
     def _pack_demand(self, demand: AccountDemand, sequence: int, allocator_id: str) -> tuple:
-        """Pack a demand, without what its own allocator knows better."""
+        """Pack a demand, omitting the lease if the recipient granted it."""
         is_other_allocator = demand.granted_by not in ("", allocator_id)
         age = sequence - demand.applied_sequence if demand.granted_by else 0
         packed = (self._pack(demand.account), demand.in_use, demand.wanted)
@@ -200,7 +200,7 @@
     def _unpack_demand(
         self, packed: _PackedDemand, sequence: int, allocator_id: str
     ) -> AccountDemand:
-        """Restore a demand; one without an account is to be dropped."""
+        """Unpack a demand; its account is empty if the digest is unknown."""
         return AccountDemand(
             self._unpack(packed.name) or "",
             packed.in_use,
--- a/packages/decisions/src/damaskwind/decisions/limits/demand.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/demand.py
@@ -1,4 +1,4 @@
-"""What a router lately wanted of one account."""
+"""The recent demand for one account at one router."""
 
 from collections import deque
 from math import exp
@@ -13,10 +13,10 @@
 
 
 class Demand:
-    """Follow the requests in hand, those not let in, and the rate of tokens.
+    """Track the requests in progress, those not admitted at once, and the token rate.
 
-    What is wanted falls only after `idle_s`, so that a share is not given back
-    between two requests.
+    The demand decreases only after `idle_s`, so that a share is not returned between
+    two requests.
     """
 
     def __init__(self, idle_s: float) -> None:
@@ -29,57 +29,57 @@
         self._last_arrival_s = float("-inf")
 
     def record_arrival(self, tokens: int, now_s: float) -> None:
-        """Note a request and what it is expected to cost."""
+        """Record a request and its expected cost."""
         self._decay(now_s)
         self._tokens += tokens
         self._last_arrival_s = now_s
 
     def record_unmet(self, now_s: float) -> None:
-        """Note a request that could not be let in at once."""
+        """Record a request that could not be admitted at once."""
         self._unmet.append(now_s)
 
     def change_in_use(self, change: int, now_s: float) -> None:
-        """Note a request that was let in or ended."""
+        """Record a request that was admitted or ended."""
         self._record_peak(now_s)
         self.in_use = max(0, self.in_use + change)
         self._record_peak(now_s)
 
     def reset_peaks(self, now_s: float) -> None:
-        """Want no more than what is in hand or was not let in, since others lack it."""
+        """Reduce the demand to current use and unmet requests, since other routers need units."""
         self._peaks.clear()
         self._record_peak(now_s)
 
     def unmet(self, now_s: float) -> int:
-        """Return how many requests were lately not let in at once."""
+        """Return how many recent requests were not admitted at once."""
         while self._unmet and self._unmet[0] <= now_s - UNMET_S:
             self._unmet.popleft()
         return len(self._unmet)
 
     def wanted(self, now_s: float) -> int:
-        """Return how many requests at once to ask for."""
+        """Return the number of concurrent requests to ask for."""
         self._record_peak(now_s)
         return max(self._peaks[0][1], self.in_use + self.unmet(now_s))
 
     def wanted_tokens_per_s(self, now_s: float) -> int:
-        """Return which rate to ask for; 0 when nothing came and nothing runs."""
+        """Return the token rate to ask for; 0 if there are no recent or running requests."""
         if not self.in_use and now_s - self._last_arrival_s >= self.idle_s:
             return 0
         self._decay(now_s)
         return int(HEADROOM_FACTOR * self._tokens / TOKENS_WINDOW_S + 0.5)
 
     def needed_tokens_per_s(self, now_s: float) -> int:
-        """Return which rate has to be there; less than is asked for."""
+        """Return the token rate that suffices, which is lower than the one asked for."""
         self._decay(now_s)
         return int(NEEDED_FACTOR * self._tokens / TOKENS_WINDOW_S + 0.5)
 
     def _decay(self, now_s: float) -> None:
-        """Let old arrivals fade."""
+        """Decay the tokens of past arrivals exponentially."""
         if now_s > self._decayed_s:
             self._tokens *= exp((self._decayed_s - now_s) / TOKENS_WINDOW_S)
             self._decayed_s = now_s
 
     def _record_peak(self, now_s: float) -> None:
-        """Keep the falling sequence of peaks of the last `idle_s`."""
+        """Update the decreasing sequence of peaks of the last `idle_s` seconds."""
         while self._peaks and self._peaks[-1][1] <= self.in_use:
             self._peaks.pop()
         self._peaks.append((now_s, self.in_use))
--- a/packages/decisions/src/damaskwind/decisions/limits/fair_share.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/fair_share.py
@@ -8,9 +8,10 @@
 
 
 def fair_shares(total: int, wanted: Mapping[str, int], round_key: str) -> dict[str, int]:
-    """Give everyone what it wants or, where that is too much, an equal part.
+    """Return each claimant's demand or, if the total is too small, an equal share.
 
-    Units that can't be divided equally go round: `round_key` names the present order.
+    Units that can't be divided equally go to the first claimants in the rendezvous order
+    of `round_key`, so that a new key in each round distributes them in turn.
 
     >>> fair_shares(10, {"a": 2, "b": 20, "c": 20}, "")
     {'a': 2, 'b': 4, 'c': 4}
--- a/packages/decisions/src/damaskwind/decisions/limits/limit_changes.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/limit_changes.py
@@ -1,7 +1,7 @@
-"""Tell which accounts' limits differ from those that are set.
+"""Detect the accounts whose limits changed with the configuration.
 
 Dividing a limit costs a hash for each failure domain, and most revisions of the
-configuration change one account or none.
+configuration change at most one account.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -12,7 +12,7 @@
 
 
 class LimitChanges:
-    """The limits that are set, and the failure domains that they are divided over.
+    """The applied limits, and the failure domains that they are divided over.
 
     >>> changes = LimitChanges()
     >>> one, two = AccountLimit(1, 10.0), AccountLimit(2, 10.0)
@@ -29,10 +29,10 @@
     def update(
         self, limits: Mapping[str, AccountLimit], domains: Sequence[str]
     ) -> Iterator[tuple[str, AccountLimit]]:
-        """Yield each account whose limit is to be set, all once the domains changed.
+        """Yield each account whose limit changed; all accounts if the domains changed.
 
-        A limit counts as set when the next is asked for, so that one whose setting
-        failed, and those after it, are yielded again.
+        A limit counts as applied when the next item is requested. If applying it
+        fails, it and the limits after it are yielded again by the next call.
         """
         if frozenset(domains) != self._domains:
             self._domains = frozenset(domains)
--- a/packages/decisions/src/damaskwind/decisions/limits/limiter.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/limiter.py
@@ -1,4 +1,4 @@
-"""Hold accounts to their limits at one router, by the shares leased to it."""
+"""Enforce account limits at one router, using the shares leased to it."""
 
 from collections.abc import Mapping, Sequence
 
@@ -30,13 +30,14 @@
 
 
 class AccountLimiter:
-    """Admit and release requests; say what to report and take what is granted.
-
-    Every `AccountLimiter.admit` that says `ADMITTED` must be followed by one
-    `release`. Call `reports` whenever `next_report_s` says so and send each report
-    to the router it is addressed to, possibly this one. Reports and grants may be
-    lost, doubled or reordered. `first_sequence` must be above those that an earlier
-    run of this router used, so that grants meant for it are not taken.
+    """Admit and release requests, create demand reports and apply grants.
+
+    Every `AccountLimiter.admit` that returns `ADMITTED` must be followed by one
+    `release`. Call `reports` at the time returned by `next_report_s` and send each
+    report to the router it is addressed to, possibly this one. Reports and grants may
+    be lost, duplicated or reordered. `first_sequence` must be above all sequence
+    numbers used by an earlier run of this router, so that grants addressed to that run
+    are ignored.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         self._report_sent_s: dict[int, float] = {}
 
     def set_limits(self, limits: Mapping[str, AccountLimit], domains: Sequence[str]) -> None:
-        """Follow the confirmed limits; `domains` must be the same on all routers."""
+        """Apply the confirmed limits; `domains` must be the same on all routers."""
         self._allocators.set_accounts(limits)
         for account, limit in self._changes.update(limits, domains):
             slices = divide_limit(account, limit, domains)
@@ -71,11 +72,11 @@
     def admit(
         self, account: str, tokens: int, now_s: float, wait_until_s: float | None = None
     ) -> LimitDecision:
-        """Let a request in, have it wait for a grant, or refuse it.
+        """Admit a request, let it wait for a grant, or refuse it.
 
-        `tokens` is its expected cost. A request that was told to wait is tried
-        again, with the decision's `wait_until_s`, when a grant has come or another
-        request ended, and at `retry_at_s` at the latest.
+        `tokens` is its expected cost. Call this again for a waiting request, with the
+        `wait_until_s` of the decision, when a grant has arrived or another request has
+        ended, and at `retry_at_s` at the latest.
         """
         leases = self._accounts.get(account)
         if leases is None:
@@ -98,13 +99,13 @@
         return LimitDecision(LimitOutcome.WAIT, until_s, retry_at_s=retry_at_s)
 
     def _next_renewal_s(self, account: str, now_s: float) -> float:
-        """Return when an account is reported next: with the others of its allocator."""
+        """Return when to report an account next, together with others of its allocator."""
         allocator = self._allocators.find(account, self.domain)
         renewed_s = self._renewed_s.get(allocator, now_s)
         return max(now_s, renewed_s + self.policy.renew_s)
 
     def _next_report_s(self, account: str, leases: AccountLeases, now_s: float) -> float:
-        """Return when to report again: soon while requests wait and no answer came."""
+        """Return when to report again: soon if requests wait, in case the report is lost."""
         if not leases.demand.unmet(now_s):
             return self._next_renewal_s(account, now_s)
         self._awaiting_grant.add(account)
@@ -113,12 +114,12 @@
     def _schedule_report(
         self, account: str, leases: AccountLeases, now_s: float, gap_s: float = 0.0
     ) -> None:
-        """Report an account soon, but ever more seldom while its limit is used up."""
+        """Report an account soon, backing off while its limit is exhausted."""
         earliest_s = max(now_s, leases.reported_s + max(gap_s, leases.urgent_gap_s))
         self._due_s[account] = min(self._due_s.get(account, earliest_s), earliest_s)
 
     def release(self, account: str, expected_tokens: int, used_tokens: int, now_s: float) -> None:
-        """Note that an admitted request ended, and what it really cost."""
+        """Record the end of an admitted request and its actual cost."""
         leases = self._accounts.get(account)
         if leases is None:
             return
@@ -129,13 +130,14 @@
             self._schedule_report(account, leases, now_s)
 
     def next_report_s(self) -> float | None:
-        """Return when `reports` has something to say; `None` while nothing is."""
+        """Return when the next report is due, or `None` if there is nothing to report."""
         return min(self._due_s.values(), default=None)
 
     def reports(self, routers: Mapping[str, Sequence[str]], now_s: float) -> list[AddressedReport]:
-        """Return the reports that are due, for the routers of each domain.
+        """Return the reports that are due.
 
-        A domain without routers, or one that can't be reached, is left out.
+        `routers` maps each domain to its routers; omit domains that have none or can't
+        be reached.
         """
         self._allocators.set_routers(routers)
         batches: dict[tuple[str, str], list[AccountDemand]] = {}
@@ -156,10 +158,10 @@
         ]
 
     def _accounts_due(self, now_s: float) -> list[str]:
-        """Return the accounts that are due, and those that may ride with them.
+        """Return the accounts that are due, and others to renew along with them.
 
-        A report to an allocator renews all that is leased from it, unless that was
-        done just before.
+        A report to an allocator renews all leases from it, unless they were renewed
+        just before.
         """
         due = [account for account, due_s in self._due_s.items() if due_s <= now_s]
         due_allocators = {self._allocators.find(account, self.domain) for account in due}
@@ -182,7 +184,7 @@
     def _split_into_reports(
         self, domain: str, allocator: str, demands: list[AccountDemand], now_s: float
     ) -> list[AddressedReport]:
-        """Make reports that each fit into a datagram."""
+        """Split demands into reports that each fit into a datagram."""
         reports = []
         for start in range(0, len(demands), MAX_DEMANDS_PER_REPORT):
             chunk = tuple(demands[start : start + MAX_DEMANDS_PER_REPORT])
@@ -195,9 +197,9 @@
         return reports
 
     def apply_grant(self, grant: ShareGrant, now_s: float) -> None:
-        """Apply a grant; its leases run from when the report was sent.
+        """Apply a grant; its leases start when the report was sent.
 
-        One that recalls units makes this router report what it needs now.
+        A recall makes this router report its current demand.
         """
         if grant.lease_ms == 0:
             self._apply_recall(grant, now_s)
@@ -220,7 +222,7 @@
                 self._schedule_report(item.account, leases, now_s, gap_s)
 
     def _apply_recall(self, grant: ShareGrant, now_s: float) -> None:
-        """Report the accounts that another router lacks units of, without what was idle."""
+        """Report the recalled accounts without idle units, since another router needs them."""
         for item in grant.grants:
             leases = self._accounts.get(item.account)
             if leases is not None:
@@ -228,15 +230,15 @@
                 self._schedule_report(item.account, leases, now_s)
 
     def share(self, account: str, now_s: float) -> AccountLimit:
-        """Return what this router may use of an account now, for the metrics."""
+        """Return the share of an account that this router may use now, for metrics."""
         leases = self._accounts[account]
         return AccountLimit(leases.units(now_s), leases.tokens_per_s(now_s))
 
     def in_use(self, account: str) -> int:
-        """Return the requests of an account in hand here."""
+        """Return how many requests of an account are in progress at this router."""
         return self._accounts[account].demand.in_use
 
     def _refuse(self, detail: str, retry_after_s: float | None) -> LimitDecision:
-        """Refuse a request that was not sent anywhere."""
+        """Return a refusal for a request that was not sent to any target."""
         refusal = Refusal(Reason.ACCOUNT_LIMIT, Verdict.NOT_RUN, detail, retry_after_s)
         return LimitDecision(LimitOutcome.REFUSED, refusal=refusal)
--- a/packages/decisions/src/damaskwind/decisions/limits/messages.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/messages.py
@@ -1,4 +1,4 @@
-"""The messages between routers and share allocators, and what a limiter decides."""
+"""Messages between routers and share allocators, and the decisions of a limiter."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -25,16 +25,19 @@
 
 
 class LimitPolicy(NamedTuple):
-    """How shares are leased.
-
-    `lease_s` is the life of a lease, `renew_s` the time between reports,
-    `idle_s` how long an unused share is kept, `burst_s` how many seconds of its
-    rate a token bucket saves up, `credit_s` how many it lends; their sum is the
-    longest burst. `floor_share` of a domain's slice is divided
-    over `floor_routers` routers, whether they exist or not: what a router that
-    no allocator answers may still use. `linger_s` keeps the units of a router that
-    is not heard of, and not known to be dead, booked after their lease ended,
-    since their requests may still run; it covers the longest request.
+    """Parameters of leases, token buckets and the share that needs no lease.
+
+    `lease_s` is the duration of a lease, `renew_s` the time between reports and
+    `idle_s` how long an unused share is kept. A token bucket saves up at most
+    `burst_s` seconds of its rate and lends `credit_s` seconds; their sum is the
+    longest burst. A request waits at most `wait_s` for a grant, and a refused caller
+    is asked to wait at least `retry_after_s`.
+
+    `floor_share` of a domain's slice is divided over `floor_routers` routers, whether
+    or not they exist: a router may use its part even if no allocator responds.
+    `linger_s` keeps the units of a router that stopped reporting, and is not known to
+    be dead, booked after their lease has expired, since their requests may still run;
+    it covers the longest request.
     """
 
     lease_s: float = 8.0
@@ -50,10 +53,12 @@
 
 
 class AccountDemand(NamedTuple):
-    """What a router holds and wants of one account from one domain's slice.
+    """A router's use of one account's slice in one domain, its request and its lease.
 
-    `applied_sequence` is the newest report whose grant it applied; it never goes
-    back to an older one. `granted_by` is the allocator that gave what it holds.
+    `in_use` counts requests in progress. `wanted` and `wanted_tokens_per_s` are the
+    units and the rate that the router asks for; the `held` fields describe its current
+    lease and `granted_by` is the allocator that granted it. `applied_sequence` is the
+    newest report whose grant was applied; it never decreases.
     """
 
     account: str
@@ -68,7 +73,7 @@
 
 
 class DemandReport(NamedTuple):
-    """A router's demand, sent to the router that allocates for these accounts."""
+    """The demand of a router, sent to the allocator of these accounts."""
 
     router_id: str
     router_domain: str
@@ -78,10 +83,11 @@
 
 
 class AccountGrant(NamedTuple):
-    """The whole share of one account that a router may use from now on.
+    """The total share of one account that a router may use from now on.
 
-    `confirm` asks to hear at once that it was applied, since others wait for units.
-    `recall_pending` tells that others were just asked to give units back.
+    `confirm` asks the router to report at once that it applied a smaller share, since
+    other routers wait for units. `recall_pending` indicates that other routers were
+    just asked to return units.
     """
 
     account: str
@@ -92,10 +98,10 @@
 
 
 class ShareGrant(NamedTuple):
-    """The answer to the report with `report_sequence`.
+    """The response to the report numbered `report_sequence`.
 
-    Its leases run from the moment the router sent that report. One with a lease of
-    0 grants nothing: it asks the router to report at once what it needs now.
+    Its leases start when the router sent that report. A grant with `lease_ms` 0 is a
+    recall: it grants nothing and asks the router to report its current demand at once.
     """
 
     allocator_id: str
@@ -106,7 +112,7 @@
 
 
 class LimitOutcome(StrEnum):
-    """Name what the limiter says to a request."""
+    """The result of asking a limiter to admit a request."""
 
     ADMITTED = "admitted"
     WAIT = "wait"
@@ -114,9 +120,9 @@
 
 
 class LimitDecision(NamedTuple):
-    """Admit, wait for a grant until `wait_until_s` at most, or refuse.
+    """The decision to admit a request, to let it wait until `wait_until_s`, or to refuse it.
 
-    A request that waits is to be tried again at `retry_at_s` even without a grant.
+    A waiting request should be tried again at `retry_at_s` even if no grant arrives.
     """
 
     outcome: LimitOutcome
--- a/packages/decisions/src/damaskwind/decisions/limits/slices.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/slices.py
@@ -1,8 +1,8 @@
 """Divide an account's limit over failure domains, and order names by rendezvous.
 
-Every router works the slices out by itself from the configured limit and the
-configured list of failure domains, so that they never sum to more than the limit
-whoever can talk to whom.
+Every router computes the slices itself from the configured limit and the configured
+list of failure domains, so that they never sum to more than the limit, even while
+the network is partitioned.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,7 +15,7 @@
 
 
 def _weight(key: str, name: str) -> int:
-    """Return the weight of a name for a key."""
+    """Return the rendezvous weight of a name for a key."""
     return xxhash.xxh3_64_intdigest(f"{key}\x00{name}".encode())
 
 
@@ -32,12 +32,12 @@
 
 
 def choose_allocator(account: str, routers: Sequence[str]) -> str:
-    """Return which of a domain's routers allocates for an account."""
+    """Return the router of a domain that allocates for an account."""
     return min(routers, key=lambda name: _weight(account, name))
 
 
 def _divide(total: int, ordered: Sequence[str]) -> dict[str, int]:
-    """Divide whole units evenly; the first names get what is left over."""
+    """Divide whole units evenly; the first names get the remainder."""
     quotient, remainder = divmod(total, len(ordered))
     return {name: quotient + (index < remainder) for index, name in enumerate(ordered)}
 
@@ -58,7 +58,7 @@
 
 
 def floor_of(domain_slice: AccountLimit, policy: LimitPolicy) -> AccountLimit:
-    """Return what each router of a domain may use without any lease.
+    """Return the share that each router of a domain may use without a lease.
 
     >>> floor_of(AccountLimit(2, 6400), LimitPolicy())
     AccountLimit(max_concurrent_requests=0, max_tokens_per_s=10)
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/fleet.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of limiters and allocators over a lossy network, in one thread."""
+"""A simulated fleet of limiters and allocators over a lossy network."""
 
 from heapq import heappop, heappush
 from itertools import count
@@ -16,7 +16,7 @@
 
 
 class Fleet:
-    """Routers named `domain/number`; every one may allocate for its domain."""
+    """Routers named `domain/number`, each with a limiter and an allocator of its domain."""
 
     def __init__(self, domains, routers_per_domain, limits, policy=None, **network):
         self.policy = policy or LimitPolicy(lease_s=3.0, renew_s=1.0, idle_s=3.0)
@@ -46,23 +46,23 @@
             for name in names:
                 self.start(name, domain, 0.0)
 
-    def start(self, name, domain, began_s):
-        """Start a router, or restart it with its requests lost."""
-        first = 1000 * int(self.now_s)
-        self.limiters[name] = AccountLimiter(name, domain, self.policy, first)
-        self.allocators[name] = self.allocator_class(name, domain, self.policy, began_s)
-        for part in (self.limiters[name], self.allocators[name]):
-            part.set_limits(self.limits, self.domains)
+    def start(self, name, domain, started_s):
+        """Start a router, or restart it and lose its requests."""
+        first_sequence = 1000 * int(self.now_s)
+        self.limiters[name] = AccountLimiter(name, domain, self.policy, first_sequence)
+        self.allocators[name] = self.allocator_class(name, domain, self.policy, started_s)
+        for component in (self.limiters[name], self.allocators[name]):
+            component.set_limits(self.limits, self.domains)
         self.running[name] = []
 
-    def reach(self, one, other):
-        """Tell whether two routers can talk."""
+    def can_reach(self, one, other):
+        """Return whether two routers can communicate."""
         first, second = one.split("/")[0], other.split("/")[0]
         return first == second or not {first, second} & self.cut
 
     def post(self, source, target, deliver):
-        """Carry a message, unless it is lost; now and then twice."""
-        if not self.reach(source, target) or self.random.random() < self.loss:
+        """Deliver a message after a delay; it may be lost or duplicated."""
+        if not self.can_reach(source, target) or self.random.random() < self.loss:
             return
         copies = 2 if self.random.random() < self.loss else 1
         for _ in range(copies):
@@ -70,7 +70,7 @@
             heappush(self._queue, (at_s, next(self._order), deliver))
 
     def request(self, name, account, duration_s, tokens=10):
-        """Let a request come in at a router."""
+        """Submit a request to a router."""
         self.attempt(name, account, duration_s, tokens, None)
 
     def attempt(self, name, account, duration_s, tokens, until_s):
@@ -88,15 +88,15 @@
         self.now_s += STEP_S
         while self._queue and self._queue[0][0] <= self.now_s:
             heappop(self._queue)[2]()
-        self.try_again()
+        self.retry_waiting()
         for name, limiter in self.limiters.items():
             self.finish(name, limiter)
             due_s = limiter.next_report_s()
             if due_s is not None and due_s <= self.now_s:
                 self.report(name, limiter)
 
-    def try_again(self):
-        """Try the requests whose time has come, or whose router had a grant or an end."""
+    def retry_waiting(self):
+        """Retry requests that are due, or whose router applied a grant or ended a request."""
         waiting, self.waiting = self.waiting, []
         woken, self.woken = self.woken, set()
         for retry_at_s, item in waiting:
@@ -114,14 +114,16 @@
             limiter.release(account, 10, 10, self.now_s)
 
     def report(self, name, limiter):
-        known = {
-            d: names for d, names in self.routers.items() if names and self.reach(name, names[0])
+        reachable = {
+            d: names
+            for d, names in self.routers.items()
+            if names and self.can_reach(name, names[0])
         }
-        for target, report in limiter.reports(known, self.now_s):
+        for target, report in limiter.reports(reachable, self.now_s):
             self.sent_reports.append(report)
-            self.post(name, target, lambda t=target, r=report, n=name: self.answer(t, r, n))
+            self.post(name, target, lambda t=target, r=report, n=name: self.deliver_report(t, r, n))
 
-    def answer(self, target, report, source):
+    def deliver_report(self, target, report, source):
         allocator = self.allocators.get(target)
         if allocator is None:
             return
@@ -130,13 +132,15 @@
             holder = self.limiters.get(router_id)
             if holder is not None:
                 self.post(
-                    target, router_id, lambda i=router_id, h=holder, r=recall: self.take(i, h, r)
+                    target,
+                    router_id,
+                    lambda i=router_id, h=holder, r=recall: self.deliver_grant(i, h, r),
                 )
         if grant is not None and source in self.limiters:
             limiter = self.limiters[source]
-            self.post(target, source, lambda: self.take(source, limiter, grant))
+            self.post(target, source, lambda: self.deliver_grant(source, limiter, grant))
 
-    def take(self, source, limiter, grant):
+    def deliver_grant(self, source, limiter, grant):
         limiter.apply_grant(grant, self.now_s)
         self.woken.add(source)
 
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/fuzzing.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/fuzzing.py
@@ -1,4 +1,4 @@
-"""Run random histories of account limits for as long as asked."""
+"""Run random histories of account limits for a given time."""
 
 from itertools import count
 from time import monotonic
@@ -12,7 +12,7 @@
 
 
 class FuzzResult(NamedTuple):
-    """What a run gave; `first_failed` is a history's number in it."""
+    """The result of a run; `first_failed` is the number of a history within it."""
 
     histories: int
     duration_s: float
@@ -21,7 +21,7 @@
 
 
 def fuzz_limits(seed: int, seconds: float, histories: int, bug: str | None = None) -> FuzzResult:
-    """Run histories of consecutive seeds until the time or the count is used up."""
+    """Run histories of consecutive seeds until the time or count limit is reached."""
     allocator_class = SEEDED_FAULTS[bug] if bug else ShareAllocator
     started_s = monotonic()
     for number in count():
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/histories.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/histories.py
@@ -1,4 +1,4 @@
-"""Seeded histories of a fleet: loss, delay, cuts and routers that die."""
+"""Seeded histories of a fleet with loss, delay, partitions and router crashes."""
 
 from collections.abc import Iterable
 from random import Random
@@ -15,7 +15,7 @@
 
 
 class LimitHistory:
-    """One history; `run` returns the first step that broke a limit."""
+    """One history; `run` returns the first step that exceeded a limit, or `None`."""
 
     def __init__(self, seed: int, allocator_class: type) -> None:
         self.random = Random(seed)
@@ -30,12 +30,12 @@
             loss=self.random.choice((0.0, 0.1, 0.4)),
             delay_s=self.random.choice((0.002, 0.05, 0.3)),
         )
-        self.arrivals = self.random.choice((0.02, 0.2, 0.6))
+        self.arrival_probability = self.random.choice((0.02, 0.2, 0.6))
         self.duration_s = self.random.choice((0.05, 0.5, 2.0))
 
     def run(self) -> int | None:
         for step in range(STEPS):
-            self.load()
+            self.submit_requests()
             if self.random.random() < 0.004:
                 self.fleet.cut = set() if self.fleet.cut else {self.random.choice(DOMAINS)}
             if self.random.random() < 0.003:
@@ -45,25 +45,25 @@
                 return step
         return None
 
-    def load(self) -> None:
+    def submit_requests(self) -> None:
         for name in self.fleet.limiters:
-            if self.random.random() < self.arrivals:
+            if self.random.random() < self.arrival_probability:
                 self.fleet.request(name, ACCOUNT, self.duration_s)
 
     def kill_allocator(self, domain: str) -> None:
-        """Kill the router that allocates, and have another take over."""
+        """Crash the allocator of a domain and let another router take over."""
         fleet = self.fleet
         if len(fleet.routers[domain]) < 2:
             return
-        gone = fleet.allocator_of(ACCOUNT, domain)
-        fleet.routers[domain].remove(gone)
+        failed = fleet.allocator_of(ACCOUNT, domain)
+        fleet.routers[domain].remove(failed)
         for table in (fleet.limiters, fleet.allocators, fleet.running):
-            del table[gone]
-        fleet.waiting = [item for item in fleet.waiting if item[1][0] != gone]
-        heir = fleet.allocator_of(ACCOUNT, domain)
-        allocator = self.allocator_class(heir, domain, fleet.policy, fleet.now_s)
+            del table[failed]
+        fleet.waiting = [item for item in fleet.waiting if item[1][0] != failed]
+        successor = fleet.allocator_of(ACCOUNT, domain)
+        allocator = self.allocator_class(successor, domain, fleet.policy, fleet.now_s)
         allocator.set_limits(fleet.limits, DOMAINS)
-        fleet.allocators[heir] = allocator
+        fleet.allocators[successor] = allocator
         for name in fleet.routers[domain]:
             fleet.allocators[name].set_routers(fleet.routers[domain])
 
@@ -76,7 +76,7 @@
 
 
 def find_violation(seeds: Iterable[int], allocator_class: type = ShareAllocator) -> int | None:
-    """Return the first seed whose history breaks the limit, or `None`."""
+    """Return the first seed whose history exceeds the limit, or `None`."""
     for seed in seeds:
         if LimitHistory(seed, allocator_class).run() is not None:
             return seed
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/seeded_faults.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Allocators with a fault put in on purpose, by name."""
+"""Allocators with deliberate faults, by name."""
 
 from damaskwind.decisions.limits.allocator import ShareAllocator
 
@@ -6,7 +6,7 @@
 
 
 class TrustsLastGrant(ShareAllocator):
-    """Takes for granted that its last, smaller grant arrived."""
+    """Assumes that its last, smaller grant was applied."""
 
     def _grant(self, report, demand, now_s):
         grant = super()._grant(report, demand, now_s)
@@ -16,21 +16,21 @@
 
 
 class AdoptsNothing(ShareAllocator):
-    """Takes no notice of leases from another allocator."""
+    """Ignores leases granted by another allocator."""
 
     def _adopt(self, account, share, demand, now_s):
         pass
 
 
 class ForgetsUse(ShareAllocator):
-    """Books leases alone, not the requests that outlive them."""
+    """Books only leases, not the requests that outlive them."""
 
     def _grant(self, report, demand, now_s):
         return super()._grant(report, demand._replace(in_use=0), now_s)
 
 
 class NeverWaits(ShareAllocator):
-    """Grants at once what the allocator before it may have leased."""
+    """Skips the learning phase, so grants what its predecessor may have leased."""
 
     def __init__(self, router_id, domain, policy, now_s, is_alone=False):
         super().__init__(router_id, domain, policy, now_s, True)
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/test_codec.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the packed messages."""
+"""Tests of the encoding of reports and grants."""
 
 from unittest import TestCase
 from unittest.mock import patch
@@ -24,22 +24,22 @@
 
 
 class LimitsCodecTest(TestCase):
-    def test_report_comes_back_whole_from_another_allocators_lease(self):
+    def test_report_with_another_allocators_lease_round_trips(self):
         held = AccountDemand("x", 1, 2, 300, 4, 500, 6000, "before", 1_790_000_000_100)
         report = report_of(held, AccountDemand("y", 0, 1, 1), router_domain="b")
         codec = make_codec()
         payload = codec.encode_report(report, "now")
         self.assertEqual(codec.decode_report("r", "now", payload), report)
 
-    def test_own_lease_keeps_what_its_allocator_needs(self):
+    def test_lease_granted_by_the_recipient_is_omitted(self):
         held = AccountDemand("x", 1, 2, 300, 4, 500, 6000, "now", 1_790_000_000_100)
         codec = make_codec()
         payload = codec.encode_report(report_of(held), "now")
         self.assertLess(len(payload), 35)
-        (back,) = codec.decode_report("r", "now", payload).demands
-        self.assertEqual(back, held._replace(held=0, held_tokens_per_s=0, held_remaining_ms=0))
+        (decoded,) = codec.decode_report("r", "now", payload).demands
+        self.assertEqual(decoded, held._replace(held=0, held_tokens_per_s=0, held_remaining_ms=0))
 
-    def test_names_that_share_a_digest_stay_apart(self):
+    def test_names_with_colliding_digests_are_sent_in_full(self):
         report = report_of(AccountDemand("x", 1, 2, 3), AccountDemand("y", 4, 5, 6))
         with patch("damaskwind.decisions.limits.codec.name_digest", return_value=1):
             codec = make_codec()
@@ -47,7 +47,7 @@
             codec.decode_report("r", "now", codec.encode_report(report, "now")), report
         )
 
-    def test_unknown_accounts_are_left_out_and_damage_is_refused(self):
+    def test_unknown_accounts_are_omitted_and_malformed_payloads_raise(self):
         grant = ShareGrant(
             "r", "a", 9, 6000, (AccountGrant("x", 1, 2), AccountGrant("y", 3, 4, False, True))
         )
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/test_fleet.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of leased shares over whole fleets, with loss, partitions and restarts."""
+"""Tests of leased shares in simulated fleets, with loss, partitions and restarts."""
 
 from unittest import TestCase
 
@@ -10,7 +10,7 @@
 
 
 class NeverRecalls(ShareAllocator):
-    """Leaves idle units where they are until the next renewal."""
+    """Never recalls units, which stay leased until the next renewal."""
 
     def _recall(self, *args):
         return False
@@ -18,7 +18,7 @@
 
 class FleetTest(TestCase):
     def run_for(self, fleet, duration_s, per_step=None):
-        """Step the fleet and check the limits all the time."""
+        """Step the fleet and check the limits after each step."""
         for _ in range(int(duration_s / STEP_S)):
             if per_step is not None:
                 per_step()
@@ -29,15 +29,15 @@
                 self.assertLessEqual(share.max_tokens_per_s, limit.max_tokens_per_s)
                 self.assertLessEqual(fleet.total_running(account), limit.max_concurrent_requests)
 
-    def everywhere(self, fleet, account, duration_s=0.2, share=0.2):
-        """Return a load that comes in at all routers alike."""
+    def uniform_load(self, fleet, account, duration_s=0.2, share=0.2):
+        """Return a function that submits the same random load to every router."""
 
-        def come():
+        def submit():
             for name in fleet.limiters:
                 if fleet.random.random() < share:
                     fleet.request(name, account, duration_s)
 
-        return come
+        return submit
 
     def test_two_units_over_eight_routers_serve_any_router_in_turn(self):
         fleet = Fleet(DOMAINS, 3, {"small": AccountLimit(2, 1000.0)})
@@ -49,73 +49,75 @@
     def test_whole_limit_is_usable_from_one_router(self):
         fleet = Fleet(DOMAINS, 3, {"x": AccountLimit(12, 100_000.0)})
 
-        def come():
+        def submit():
             while fleet.limiters["a/0"].in_use("x") + len(fleet.waiting) < 20:
                 fleet.request("a/0", "x", 60.0)
 
-        self.run_for(fleet, 6.0, come)
+        self.run_for(fleet, 6.0, submit)
         self.assertEqual(fleet.total_running("x"), 12)
 
     def test_shares_follow_demand(self):
         fleet = Fleet(("a",), 4, {"x": AccountLimit(8, 100_000.0)})
         for busy in ("a/0", "a/1"):
 
-            def come(busy=busy):
+            def submit(busy=busy):
                 fleet.request(busy, "x", 0.1)
 
-            self.run_for(fleet, 10.0, come)
+            self.run_for(fleet, 10.0, submit)
             share = fleet.limiters[busy].share("x", fleet.now_s)
             self.assertGreaterEqual(share.max_concurrent_requests, 6, busy)
 
     def test_contended_limit_is_shared_fairly(self):
         fleet = Fleet(("a",), 4, {"x": AccountLimit(8, 100_000.0)})
-        self.run_for(fleet, 20.0, self.everywhere(fleet, "x", share=0.5))
+        self.run_for(fleet, 20.0, self.uniform_load(fleet, "x", share=0.5))
         self.assertGreater(min(fleet.served.values()), 0.6 * max(fleet.served.values()))
 
     def test_limits_hold_under_loss_and_duplicates(self):
         for seed in range(3):
             fleet = Fleet(DOMAINS, 3, {"x": AccountLimit(7, 900.0)}, loss=0.3, seed=seed)
-            self.run_for(fleet, 12.0, self.everywhere(fleet, "x"))
+            self.run_for(fleet, 12.0, self.uniform_load(fleet, "x"))
             self.assertGreater(sum(fleet.served.values()), 100)
 
-    def test_cut_off_domain_keeps_to_its_slice_and_comes_back(self):
+    def test_partitioned_domain_keeps_to_its_slice_and_recovers(self):
         fleet = Fleet(DOMAINS, 2, {"x": AccountLimit(30, 100_000.0)})
-        load = self.everywhere(fleet, "x", duration_s=0.5, share=0.6)
+        load = self.uniform_load(fleet, "x", duration_s=0.5, share=0.6)
         self.run_for(fleet, 5.0, load)
         fleet.cut = {"a"}
         served = dict(fleet.served)
         self.run_for(fleet, 10.0, load)
         for name, before in served.items():
             self.assertGreater(fleet.served[name], before, name)
-        mine = [fleet.limiters[name].share("x", fleet.now_s) for name in fleet.routers["a"]]
-        self.assertLessEqual(sum(share.max_concurrent_requests for share in mine), 10)
+        domain_shares = [
+            fleet.limiters[name].share("x", fleet.now_s) for name in fleet.routers["a"]
+        ]
+        self.assertLessEqual(sum(share.max_concurrent_requests for share in domain_shares), 10)
         fleet.cut = set()
         self.run_for(fleet, 5.0, load)
 
-    def test_new_allocator_waits_out_what_it_can_not_see(self):
+    def test_new_allocator_recovers_the_slice_after_its_learning_phase(self):
         fleet = Fleet(("a",), 4, {"x": AccountLimit(8, 1000.0)})
-        load = self.everywhere(fleet, "x")
+        load = self.uniform_load(fleet, "x")
         self.run_for(fleet, 5.0, load)
-        gone = fleet.allocator_of("x", "a")
-        fleet.routers["a"].remove(gone)
-        heir = fleet.allocator_of("x", "a")
-        fleet.start(heir, "a", fleet.now_s)
+        failed = fleet.allocator_of("x", "a")
+        fleet.routers["a"].remove(failed)
+        successor = fleet.allocator_of("x", "a")
+        fleet.start(successor, "a", fleet.now_s)
         self.run_for(fleet, 2.0, load)
-        fleet.limiters.pop(gone)
-        fleet.running.pop(gone)
+        fleet.limiters.pop(failed)
+        fleet.running.pop(failed)
         self.run_for(fleet, 8.0, load)
         share = fleet.total_share("x")
         self.assertGreaterEqual(share.max_concurrent_requests, 6)
 
     def test_router_without_any_allocator_has_its_floor(self):
         fleet = Fleet(("a",), 2, {"x": AccountLimit(6400, 6400.0)})
-        self.run_for(fleet, 2.0, self.everywhere(fleet, "x"))
+        self.run_for(fleet, 2.0, self.uniform_load(fleet, "x"))
         fleet.allocators.clear()
-        self.run_for(fleet, 4.0, self.everywhere(fleet, "x"))
+        self.run_for(fleet, 4.0, self.uniform_load(fleet, "x"))
         for limiter in fleet.limiters.values():
             self.assertEqual(limiter.share("x", fleet.now_s), AccountLimit(10, 10))
 
-    def test_units_of_a_dead_router_come_free_with_its_lease(self):
+    def test_units_of_a_dead_router_are_freed_with_its_lease(self):
         fleet = Fleet(("a",), 3, {"x": AccountLimit(2, 1000.0)})
         dead = next(name for name in fleet.routers["a"] if name != fleet.allocator_of("x", "a"))
         for _ in range(2):
@@ -132,7 +134,7 @@
 
     def test_idle_fleet_sends_nothing(self):
         fleet = Fleet(DOMAINS, 2, {"x": AccountLimit(6, 1000.0)})
-        self.run_for(fleet, 3.0, self.everywhere(fleet, "x"))
+        self.run_for(fleet, 3.0, self.uniform_load(fleet, "x"))
         self.run_for(fleet, 12.0)
         before = len(fleet.sent_reports)
         self.run_for(fleet, 5.0)
@@ -141,13 +143,13 @@
 
     def test_lost_report_is_sent_again_while_a_request_waits(self):
         fleet = Fleet(("a",), 3, {"x": AccountLimit(2, 1000.0)})
-        asking = next(name for name in fleet.limiters if name != fleet.allocator_of("x", "a"))
+        requester = next(name for name in fleet.limiters if name != fleet.allocator_of("x", "a"))
         fleet.loss = 1.0
-        fleet.request(asking, "x", 60.0)
+        fleet.request(requester, "x", 60.0)
         self.run_for(fleet, 0.1)
         fleet.loss = 0.0
         self.run_for(fleet, 0.6)
-        self.assertEqual(fleet.served.get(asking), 1)
+        self.assertEqual(fleet.served.get(requester), 1)
 
     def test_accounts_of_one_allocator_are_renewed_together(self):
         names = [f"account-{number}" for number in range(8)]
@@ -166,7 +168,7 @@
         for report in renewals:
             self.assertIn({demand.account for demand in report.demands}, groups.values())
 
-    def test_idle_units_are_called_back_for_a_router_that_lacks_them(self):
+    def test_idle_units_are_recalled_for_a_router_that_lacks_them(self):
         for allocator_class, served in ((ShareAllocator, 1), (NeverRecalls, None)):
             limits = {"x": AccountLimit(2, 1000.0)}
             fleet = Fleet(("a",), 3, limits, allocator_class=allocator_class)
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/test_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""The limit holds over random histories, and a seeded fault is found."""
+"""Test that limits hold in random histories, and that these detect seeded faults."""
 
 from unittest import TestCase
 
--- a/packages/decisions/src/damaskwind/decisions/limits/tests/test_limit_changes.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/tests/test_limit_changes.py
@@ -1,4 +1,4 @@
-"""Test that a changed configuration divides only the limits that differ."""
+"""Test that a new configuration divides only the limits that changed."""
 
 import unittest
 from unittest import mock
@@ -20,8 +20,8 @@
 LIMITS = {name: AccountLimit(6000, 60000.0) for name in ("x", "y", "z")}
 
 
-class _Both:
-    """A limiter and an allocator, and the accounts that each divided last."""
+class _LimiterAndAllocator:
+    """A limiter and an allocator; counts the accounts that each divides."""
 
     def __init__(self) -> None:
         self.limiter = AccountLimiter("a/0", "a", POLICY)
@@ -29,17 +29,17 @@
 
     def set_limits(self, limits, domains=DOMAINS, divide=divide_limit) -> tuple[list, list]:
         divided = []
-        for module, part in ((limiter, self.limiter), (allocator, self.allocator)):
-            with mock.patch.object(module, "divide_limit", side_effect=divide) as counted:
-                part.set_limits(limits, domains)
-            divided.append([call.args[0] for call in counted.call_args_list])
+        for module, component in ((limiter, self.limiter), (allocator, self.allocator)):
+            with mock.patch.object(module, "divide_limit", side_effect=divide) as divide_mock:
+                component.set_limits(limits, domains)
+            divided.append([call.args[0] for call in divide_mock.call_args_list])
         return tuple(divided)
 
     def floor(self, account: str) -> AccountLimit:
         return self.limiter.share(account, 0.0)
 
     def grant(self, account: str, sequence: int) -> int:
-        """Return the units that the allocator gives a router that wants all."""
+        """Return the units granted to a router that asks for the whole slice."""
         demand = AccountDemand(account, 0, 10**6, 0)
         report = DemandReport("a/1", "a", "a", sequence, (demand,))
         granted = self.allocator.handle_report(report, float(sequence)).grants
@@ -48,45 +48,45 @@
 
 class LimitChangesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.both = _Both()
-        self.first = self.both.set_limits(LIMITS)
+        self.pair = _LimiterAndAllocator()
+        self.first = self.pair.set_limits(LIMITS)
 
     def test_first_and_same_limits(self) -> None:
         self.assertEqual(self.first, (["x", "y", "z"], ["x", "y", "z"]))
-        self.assertEqual(self.both.set_limits(dict(LIMITS), DOMAINS[::-1]), ([], []))
+        self.assertEqual(self.pair.set_limits(dict(LIMITS), DOMAINS[::-1]), ([], []))
 
     def test_one_changed_account_is_divided_and_applied(self) -> None:
-        floor = self.both.floor("x")
-        granted = self.both.grant("x", 1)
+        floor = self.pair.floor("x")
+        granted = self.pair.grant("x", 1)
         for changed in (AccountLimit(12000, 60000.0), AccountLimit(12000, 120000.0)):
-            self.assertEqual(self.both.set_limits({**LIMITS, "y": changed}), (["y"], ["y"]))
-        self.assertEqual(self.both.floor("x"), floor)
-        self.assertEqual(self.both.floor("y").max_concurrent_requests, 6)
-        self.assertEqual(self.both.floor("y").max_tokens_per_s, 62)
-        self.assertGreater(self.both.grant("y", 2), granted)
-        self.assertEqual(self.both.set_limits(LIMITS), (["y"], ["y"]))
+            self.assertEqual(self.pair.set_limits({**LIMITS, "y": changed}), (["y"], ["y"]))
+        self.assertEqual(self.pair.floor("x"), floor)
+        self.assertEqual(self.pair.floor("y").max_concurrent_requests, 6)
+        self.assertEqual(self.pair.floor("y").max_tokens_per_s, 62)
+        self.assertGreater(self.pair.grant("y", 2), granted)
+        self.assertEqual(self.pair.set_limits(LIMITS), (["y"], ["y"]))
 
     def test_changed_domains_divide_all(self) -> None:
-        granted = self.both.grant("x", 1)
-        self.assertEqual(self.both.set_limits(LIMITS, ("a", "b")), (list(LIMITS), list(LIMITS)))
-        self.assertEqual(self.both.floor("x").max_concurrent_requests, 4)
-        self.assertGreater(self.both.grant("x", 2), granted)
-
-    def test_removed_account_goes_and_comes_back_new(self) -> None:
-        self.both.limiter.admit("y", 1, 0.0)
-        self.both.grant("y", 1)
+        granted = self.pair.grant("x", 1)
+        self.assertEqual(self.pair.set_limits(LIMITS, ("a", "b")), (list(LIMITS), list(LIMITS)))
+        self.assertEqual(self.pair.floor("x").max_concurrent_requests, 4)
+        self.assertGreater(self.pair.grant("x", 2), granted)
+
+    def test_removed_account_is_forgotten_and_starts_anew(self) -> None:
+        self.pair.limiter.admit("y", 1, 0.0)
+        self.pair.grant("y", 1)
         without = {name: limit for name, limit in LIMITS.items() if name != "y"}
-        self.assertEqual(self.both.set_limits(without), ([], []))
-        refused = self.both.limiter.admit("y", 1, 0.0)
+        self.assertEqual(self.pair.set_limits(without), ([], []))
+        refused = self.pair.limiter.admit("y", 1, 0.0)
         self.assertEqual(refused.outcome, LimitOutcome.REFUSED)
-        self.assertIsNone(self.both.limiter.next_report_s())
-        self.assertEqual(self.both.grant("y", 2), 0)
-        self.assertEqual(self.both.allocator.booked("y", 2.0), AccountLimit(0, 0))
-        self.assertEqual(self.both.set_limits(LIMITS), (["y"], ["y"]))
-        self.assertEqual(self.both.limiter.in_use("y"), 0)
+        self.assertIsNone(self.pair.limiter.next_report_s())
+        self.assertEqual(self.pair.grant("y", 2), 0)
+        self.assertEqual(self.pair.allocator.booked("y", 2.0), AccountLimit(0, 0))
+        self.assertEqual(self.pair.set_limits(LIMITS), (["y"], ["y"]))
+        self.assertEqual(self.pair.limiter.in_use("y"), 0)
 
     def test_failed_division_is_tried_again(self) -> None:
         changed = {**LIMITS, "y": AccountLimit(1, 1.0), "z": AccountLimit(2, 2.0)}
         with self.assertRaises(OverflowError):
-            self.both.set_limits(changed, divide=OverflowError)
-        self.assertEqual(self.both.set_limits(changed), (["y", "z"], ["y", "z"]))
+            self.pair.set_limits(changed, divide=OverflowError)
+        self.assertEqual(self.pair.set_limits(changed), (["y", "z"], ["y", "z"]))
--- a/packages/decisions/src/damaskwind/decisions/limits/token_bucket.py
+++ b/packages/decisions/src/damaskwind/decisions/limits/token_bucket.py
@@ -1,14 +1,15 @@
-"""A token bucket that lends some seconds of its rate, and one request beyond."""
+"""A token bucket with a credit of some seconds of its rate, plus one request."""
 
 __all__ = ["TokenBucket"]
 
 
 class TokenBucket:
-    """Save up tokens at a rate that may change, for at most `burst_s` seconds.
+    """Accumulate tokens at a variable rate, up to `burst_s` seconds of it.
 
-    A request is let in while the debt is at most `credit_s` seconds of the rate and
-    then takes its whole cost, so that one larger than all this gets through and is
-    paid off before the next. Over time the rate holds.
+    A request may enter while the debt is at most `credit_s` seconds of the rate, and
+    then takes its whole cost. A request larger than burst and credit is thus
+    admitted too, and its debt is repaid before the next one enters. The long-term
+    average stays within the rate.
 
     >>> bucket = TokenBucket(burst_s=2.0)
     >>> bucket.take(500, 0.0)
@@ -27,22 +28,22 @@
         self._filled_s = 0.0
 
     def fill(self, rate_per_s: float, now_s: float) -> None:
-        """Add what the rate gave since the last call."""
+        """Add the tokens gained since the last call."""
         gained = rate_per_s * max(0.0, now_s - self._filled_s)
         self._filled_s = max(now_s, self._filled_s)
         self._level = min(self._level + gained, max(rate_per_s * self.burst_s, 0.0))
 
     def take(self, tokens: float, now_s: float) -> None:
-        """Take tokens, into debt if need be; a negative number gives some back."""
+        """Take tokens, going into debt if necessary; a negative number returns tokens."""
         self._filled_s = max(now_s, self._filled_s)
         self._level -= tokens
 
     def debt(self) -> float:
-        """Return the tokens still to be paid off."""
+        """Return the number of tokens still to be repaid."""
         return max(0.0, -self._level)
 
     def wait_s(self, rate_per_s: float, now_s: float) -> float | None:
-        """Return how long until a request may come in; `None` without any rate."""
+        """Return the seconds until a request may enter, or `None` if the rate is 0."""
         self.fill(rate_per_s, now_s)
         if rate_per_s <= 0:
             return None
--- a/packages/decisions/src/damaskwind/decisions/pacing/tests/test_pacer.py
+++ b/packages/decisions/src/damaskwind/decisions/pacing/tests/test_pacer.py
@@ -20,13 +20,13 @@
     def offer(self, name: str, size: int, urgency: Urgency, now_s: float = 0.0) -> None:
         self.pacer.offer(name, size, urgency, name, now_s)
 
-    def test_the_most_urgent_goes_first_and_equals_in_order(self):
+    def test_most_urgent_goes_first_and_equally_urgent_in_order(self):
         for name, urgency in (("r", Urgency.ROUTINE), ("j1", Urgency.JOIN), ("l", Urgency.LEAVE)):
             self.offer(name, 50, urgency)
         self.offer("j2", 50, Urgency.JOIN)
         self.assertEqual(self.pacer.pop_ready(0.0), ["l", "j1", "j2", "r"])
 
-    def test_no_second_sends_more_than_its_share(self):
+    def test_sends_of_any_second_stay_within_their_share(self):
         for step in range(200):
             now_s = step * 0.05
             for urgency in Urgency:
@@ -35,7 +35,7 @@
             self.assertLessEqual(self.pacer._sends.total_bytes, BUDGET * SEND_SHARE)
         self.assertGreater(self.pacer.counters(10.0).deferred_sends, 0)
 
-    def test_the_bucket_bounds_any_stretch_when_all_comes_at_once(self):
+    def test_bucket_bounds_any_interval_under_a_flood_in_both_directions(self):
         moved = []
         for step in range(600):
             now_s = step * 0.05
@@ -51,7 +51,7 @@
         bound = BUDGET * (30 * FILL_SHARE + BURST_S + OVERDRAFT_S)
         self.assertLessEqual(sum(size for _, size in moved), bound)
 
-    def test_what_arrives_pushes_sends_back(self):
+    def test_received_bytes_delay_sends(self):
         self.pacer.received(BUDGET, "flood", 0.0)
         self.offer("news", 200, Urgency.JOIN)
         self.offer("leave", 200, Urgency.LEAVE)
@@ -62,7 +62,7 @@
         self.offer("leave", 200, Urgency.LEAVE, 1.0)
         self.assertEqual(self.pacer.pop_ready(1.0), [])
 
-    def test_news_leaves_room_for_the_probes_of_the_second(self):
+    def test_updates_leave_the_reserve_for_probes(self):
         for _ in range(20):
             self.offer("news", 300, Urgency.JOIN)
         self.pacer.pop_ready(0.0)
@@ -70,7 +70,7 @@
         self.offer("ack", 300, Urgency.PROBE)
         self.assertEqual(self.pacer.pop_ready(0.0), ["probe", "ack"])
 
-    def test_a_send_that_waited_too_long_is_dropped_and_reported(self):
+    def test_expired_send_is_dropped_and_reported(self):
         self.pacer.received(4 * BUDGET, "flood", 0.0)
         self.offer("probe", 100, Urgency.PROBE)
         self.assertEqual(self.pacer.pop_ready(0.1), [])
@@ -79,7 +79,7 @@
         self.assertEqual(self.pacer.pop_dropped(), ["probe"])
         self.assertEqual(self.pacer.counters(late_s).dropped_sends, 1)
 
-    def test_a_full_queue_drops_the_least_urgent(self):
+    def test_full_queue_drops_the_least_urgent(self):
         self.pacer.received(9 * BUDGET, "flood", 0.0)
         for _ in range(600):
             self.offer("news", 100, Urgency.ROUTINE)
@@ -97,13 +97,13 @@
         self.assertEqual(counters.highest_second_bytes, 906)
         self.assertEqual(counters.mean_bytes_per_s, 453)
 
-    def test_bytes_of_streams_are_charged_too(self):
+    def test_stream_bytes_delay_sends(self):
         self.pacer.sent_on_stream(2 * BUDGET, "follow", 0.0)
         self.offer("news", 200, Urgency.JOIN)
         self.assertEqual(self.pacer.pop_ready(0.5), [])
         self.assertEqual(self.pacer.counters(0.5).sent_bytes, {"follow": 2 * BUDGET})
 
-    def test_a_whole_configuration_delays_news_but_no_probe(self):
+    def test_large_stream_transfer_delays_updates_but_no_probe(self):
         whole_bytes = 30 * BUDGET
         self.pacer.received_on_stream(whole_bytes, "follow", 0.0)
         self.offer("news", 100, Urgency.JOIN)
@@ -113,14 +113,14 @@
         self.assertEqual(self.pacer.pop_ready(1.0), ["news"])
         self.assertEqual(self.pacer.counters(1.0).highest_second_bytes, whole_bytes + 128)
 
-    def test_bytes_of_streams_forgive_no_debt_of_datagrams(self):
+    def test_stream_bytes_do_not_reduce_the_debt_of_datagrams(self):
         self.pacer.received(3 * BUDGET, "flood", 0.0)
         self.pacer.sent_on_stream(100, "follow", 0.0)
         self.offer("leave", 100, Urgency.LEAVE)
         self.assertEqual(self.pacer.pop_ready(1.0), [])
         self.assertEqual(self.pacer.pop_ready(2.0), ["leave"])
 
-    def test_a_clock_that_goes_back_gives_no_budget(self):
+    def test_clock_that_steps_back_adds_no_budget(self):
         self.pacer.received(3 * BUDGET, "flood", 10.0)
         self.offer("leave", 200, Urgency.LEAVE, 5.0)
         self.assertEqual(self.pacer.pop_ready(5.0), [])
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/test_budget_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/test_budget_histories.py
@@ -9,7 +9,7 @@
 
 
 class BudgetHistoriesTest(TestCase):
-    def test_the_bound_holds_in_every_window_also_over_restarts(self):
+    def test_bound_holds_in_every_window_across_restarts(self):
         self.assertIsNone(find_violation(SEEDS))
 
     def test_the_same_histories_find_seeded_faults(self):
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/test_decision.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/test_decision.py
@@ -79,7 +79,7 @@
             self.assertLessEqual(taken, 0.1 * 1000 + 1)
         self.assertGreater(len(events), 1500)
 
-    def test_old_requests_earn_nothing(self):
+    def test_requests_outside_the_window_allow_no_retries(self):
         budget = RetryBudget(0.5, floor_retries=0)
         for _ in range(100):
             budget.count_request(0.0)
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/test_shared_budget.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/test_shared_budget.py
@@ -9,7 +9,7 @@
 
 
 class SharedBudgetTest(unittest.TestCase):
-    def test_all_routers_together_keep_to_the_bound_in_every_window(self):
+    def test_sum_over_all_routers_stays_within_the_bound_in_every_window(self):
         random = Random(3)
         routers = [SharedRetryBudget(TERMS, lambda: 8) for _ in range(8)]
         requests, retries = [], []
@@ -27,7 +27,7 @@
             asked = sum(start <= at < start + 10 for at in requests)
             self.assertLessEqual(len(window), 0.2 * asked + 56)
 
-    def test_a_window_that_has_passed_gives_its_part_back(self):
+    def test_allowance_returns_when_the_window_has_passed(self):
         budget = SharedRetryBudget(TERMS, lambda: 8)
         taken = sum(budget.take(0.0) for _ in range(100))
         self.assertEqual(taken, 5)
