--- a/packages/decisions/src/damaskwind/decisions/admission/drain_rate.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/drain_rate.py
@@ -1,4 +1,4 @@
-"""How fast a queue with a backlog drains, as a moving average of the gaps."""
+"""The drain rate of a queue with a backlog, as a moving average of departure gaps."""
 
 __all__ = ["DrainRate"]
 
@@ -7,10 +7,10 @@
 
 
 class DrainRate:
-    """Estimate requests a second from the gaps between departures.
+    """Estimate the departures per second from the gaps between them.
 
-    Gaps count only while requests are waiting: those of an idle queue say
-    nothing of how fast targets free up.
+    Gaps count only while requests are waiting: those of an idle queue do not show
+    how fast targets become free.
 
     >>> rate = DrainRate()
     >>> for number in range(7):
@@ -25,7 +25,7 @@
         self._samples = 0
 
     def record_departure(self, now_s: float, backlog: bool) -> None:
-        """Count a departure; `backlog` tells whether others still wait."""
+        """Record a departure; `backlog` is true if other requests still wait."""
         if self._last_s is not None:
             gap_s = now_s - self._last_s
             previous_s = gap_s if self._gap_s is None else self._gap_s
@@ -34,7 +34,7 @@
         self._last_s = now_s if backlog else None
 
     def per_s(self) -> float | None:
-        """Return the estimate, or `None` before there are enough departures."""
+        """Return the departures per second, or `None` if there are too few samples."""
         if self._samples < MIN_SAMPLES or not self._gap_s:
             return None
         return 1.0 / self._gap_s
--- a/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
@@ -1,17 +1,18 @@
-"""Decide for each request to a pool: send it now, let it wait, or turn it away at once.
-
-Pure: the caller of these methods owns the clock, the timers and the sockets. A
-request is sent while its target has room by its window and by its own word.
-Otherwise it waits if it can be expected to be sent while it is still worth sending,
-and is turned away if not; a more urgent one that comes meanwhile may push it beyond
-that, and then it is turned away at that moment, never at the end of its time.
-
-A second bound holds for all targets of the pool together. A router with a sliver of
-the traffic may always have one request begin at each target: 195 routers then have 195
-at each, which bounds nothing. In a surge of twice the capacity 65 routers before 12
-engines served 399 requests a second in time without it and 539 with it, 195 before 39
-engines 1,147 and 1,569; of their refusals 96 and 99.7 in 100 came later than an eighth of
-the objective, and 41 and 36 with it.
+"""Admission control of a pool: send a request now, queue it, or reject it at once.
+
+This module performs no I/O: the caller owns the clock, the timers and the sockets. A
+request is sent while its target has headroom, both by the window that this router keeps
+for it and by the free slots that the target reported. Otherwise it is queued if it is
+expected to be sent while its answer can still be in time, and rejected if not. A more
+urgent request that arrives later may delay a queued one beyond that point; the queued
+one is then rejected at once, not when its time is over.
+
+A second window covers all targets of the pool together. Without it, a router with a
+small share of the traffic may always have one request pending at each target: 195 routers
+then have 195 at each, which bounds nothing. At twice the capacity, 65 routers and 12
+engines served 399 requests per second in time without the second window and 539 with it,
+and 195 routers and 39 engines 1,147 and 1,569. Without it 96% and 99.7% of the rejections
+came later than an eighth of the objective, with it 41% and 36%.
 """
 
 from collections import Counter
@@ -34,31 +35,32 @@
 
 __all__ = ["AdmissionDecision", "AdmissionStep", "PoolAdmission", "PoolRejection", "TargetSlots"]
 
-# A request may be expected to wait for this part of its objective: the rest is for
-# the answer's beginning, which the window holds at some half of it.
+# A request may wait for this fraction of its objective. The rest is for the answer to
+# start, which the window keeps at about half of the objective.
 MAX_WAIT_FRACTION = 0.4
-# One that came back is late already and asks no third time: it may wait for this part
-# of its time, but no longer than half of what callers of silent streams bear (2 s).
+# A retried request is late already and is not retried again, so it may wait for this
+# fraction of its remaining time. Callers abandon a stream without data after 2 s, so it
+# waits at most for half of that.
 RETRY_WAIT_FRACTION = 0.3
 RETRY_MAX_WAIT_S = 1.0
-# Without a departure seen, one takes about so long.
+# The assumed time between two departures before any has been observed.
 INITIAL_GAP_S = 0.05
-# So long after a request that came for the first time was turned away, more of them
-# are on their way, and those that came back keep to their share of the places.
+# For this time after the rejection of a first attempt, more first attempts are expected,
+# and retries are admitted only on the turns reserved for the earliest deadline.
 SURGE_S = 0.3
-# After so long without turning anybody away, the next time is another surge.
+# After this time without a rejection, the next rejection starts a new surge.
 SURGE_GAP_S = 2.0
 
 
 class TargetSlots(NamedTuple):
-    """A target that takes work, and how many of its places are free by its own word."""
+    """A target that accepts work, and how many free slots it reported."""
 
     target_id: str
     free: float
 
 
 class AdmissionStep(StrEnum):
-    """What becomes of a request now."""
+    """What to do with a request now."""
 
     START = "start"
     WAIT = "wait"
@@ -66,7 +68,7 @@
 
 
 class PoolRejection(NamedTuple):
-    """A request that is given up on, not run, and when its caller should come back."""
+    """A rejected request, which was not run, and when its caller should retry."""
 
     number: int
     retry_after_s: float
@@ -74,11 +76,13 @@
 
 
 class AdmissionDecision(NamedTuple):
-    """What was decided, what was expected, and who had to give way.
+    """The decision on a request, the estimates behind it, and the requests it displaced.
 
-    `expected_wait_s` is the wait that was predicted, `wait_until_s` the time at which a
-    request that waits is to be given up on, `room` how many more the targets could
-    take, and `begun_part` the part of the objective that answers took lately to begin.
+    `expected_wait_s` is the predicted wait and `wait_until_s` the time at which a queued
+    request expires. `room` is the headroom, how many more requests the targets could
+    take. `begun_part` is the median time in which recent answers started, as a fraction of
+    the objective. `turned_away` lists the requests rejected by this decision, which may
+    include the request itself.
     """
 
     step: AdmissionStep
@@ -90,7 +94,7 @@
 
 
 class PoolAdmission:
-    """One router's entry to one pool.
+    """Admission control of one router for one pool.
 
     >>> pool = PoolAdmission(Random(1), WindowPolicy(initial_limit=1.0))
     >>> first, second = (PoolRequest(n, 0, "a", 0.0, 4.0, 1.0) for n in (1, 2))
@@ -120,7 +124,7 @@
     def offer(
         self, request: PoolRequest, target_slots: Sequence[TargetSlots], now_s: float
     ) -> AdmissionDecision:
-        """Decide on a request that has just come."""
+        """Decide on a request that has just arrived."""
         room = self._headroom(request.target_id, target_slots, now_s)
         begun_part = self._median_start_fraction(now_s)
         must_queue = request.came_back and self._is_surge(now_s)
@@ -136,11 +140,11 @@
         return AdmissionDecision(step, expected_wait_s, wait_until_s, room, begun_part, turned_away)
 
     def waiting_for(self, target_id: str) -> int:
-        """Return how many requests wait here for a target."""
+        """Return how many requests wait at this router for a target."""
         return self.queue.waiting_for(target_id)
 
     def sent(self, number: int, target_id: str, objective_s: float, now_s: float) -> None:
-        """Note where a request is sent, for the first time or once more."""
+        """Record the target that a request is sent to, for the first time or again."""
         self._admitted_unsent.discard(number)
         if self._target_of.get(number) == target_id:
             return
@@ -150,14 +154,14 @@
         self._pool_window.sent(number, now_s, objective_s)
 
     def answer_started(self, number: int, now_s: float) -> None:
-        """Note that an answer began."""
+        """Record that an answer started."""
         target_id = self._target_of.get(number)
         if target_id is not None:
             self._window(target_id).answer_started(number, now_s)
             self._pool_window.answer_started(number, now_s)
 
     def ended(self, number: int) -> None:
-        """Note that no answer of the last send will begin any more."""
+        """Record that the last send of a request will not start an answer any more."""
         self._admitted_unsent.discard(number)
         target_id = self._target_of.pop(number, None)
         if target_id is not None:
@@ -165,7 +169,7 @@
             self._pool_window.ended(number)
 
     def admit_waiting(self, target_slots: Sequence[TargetSlots], now_s: float) -> tuple[int, ...]:
-        """Return who may be sent now."""
+        """Return the numbers of the waiting requests that may be sent now."""
         admitted: list[int] = []
 
         def can_run(target_id: str) -> bool:
@@ -181,24 +185,24 @@
         return tuple(admitted)
 
     def rejected_by_target(self, target_id: str, now_s: float) -> None:
-        """Note that a target had no place for a request."""
+        """Record that a target rejected a request because it had no free slot."""
         self._window(target_id).rejected(now_s)
 
     def forget(self, target_id: str) -> None:
-        """Drop what was learned of a target that is gone."""
+        """Drop the state of a target that is gone."""
         self._windows.pop(target_id, None)
         self._rates.pop(target_id, None)
 
     def withdraw(self, number: int) -> None:
-        """Take out a request that waits and whose caller left."""
+        """Remove a waiting request whose caller disconnected."""
         self.queue.remove(number)
 
     def release_all(self) -> tuple[int, ...]:
-        """Take out all who wait, for nothing that they could wait for is left."""
+        """Remove and return all waiting requests, since no target accepts work."""
         return tuple(request.number for request in self.queue.clear())
 
     def expire(self, number: int, now_s: float) -> PoolRejection | None:
-        """Turn away a request that has waited until its `wait_until_s`."""
+        """Reject a request that has waited until its `wait_until_s`."""
         request = self.queue.remove(number)
         return None if request is None else self._reject(request, "waited in vain", now_s)
 
@@ -210,37 +214,37 @@
             self._admitted_unsent.add(request.number)
 
     def _rate(self, target_id: str) -> DrainRate:
-        """Return how fast those who wait for a target go on."""
+        """Return the drain rate of the requests that wait for a target."""
         return self._rates.setdefault(target_id, DrainRate())
 
     def _window(self, target_id: str) -> StartWindow:
-        """Return a target's window, made when it is first asked for."""
+        """Return the window of a target, created on first use."""
         window = self._windows.get(target_id)
         if window is None:
             window = self._windows[target_id] = StartWindow(self._policy, self._start_delays)
         return window
 
     def _target_headroom(self, target_slots: TargetSlots, now_s: float) -> int:
-        """Return how many more a target may be sent."""
+        """Return how many more requests may be sent to a target."""
         return min(self._window(target_slots.target_id).headroom(now_s), ceil(target_slots.free))
 
     def _headroom(self, target_id: str, target_slots: Sequence[TargetSlots], now_s: float) -> int:
-        """Return how many more may be sent to a target, or to any, less those on their way."""
+        """Return the headroom of a target, or of the pool less its admitted unsent requests."""
         if not target_id:
             room = sum(max(0, self._target_headroom(item, now_s)) for item in target_slots)
             return min(room, self._pool_window.headroom(now_s)) - len(self._admitted_unsent)
         preferred = next((item for item in target_slots if item.target_id == target_id), None)
-        # A home that is gone meanwhile holds nobody up: the request is placed anew.
+        # A target that has gone blocks no request: the request is placed again.
         room = 1 if preferred is None else self._target_headroom(preferred, now_s)
         return min(room, self._pool_window.headroom(now_s))
 
     def _median_start_fraction(self, now_s: float) -> float:
-        """Return the median part of the objective that the pool's answers took to begin."""
+        """Return the pool's median time to start an answer, as a fraction of the objective."""
         fractions = self._start_delays.recent(now_s)
         return median(fractions) if fractions else 0.0
 
     def _wait_until_s(self, request: PoolRequest) -> float:
-        """Return until when it makes sense that a request waits."""
+        """Return until when it is useful for a request to wait."""
         wait_s = MAX_WAIT_FRACTION * request.objective_s
         if request.came_back:
             left_s = request.deadline_s - request.arrived_s
@@ -253,18 +257,18 @@
         return INITIAL_GAP_S if per_s is None else 1.0 / per_s
 
     def _is_surge(self, now_s: float) -> bool:
-        """Tell whether requests that came for the first time are being turned away."""
+        """Return whether first attempts have been rejected recently."""
         return now_s - self._first_attempt_rejected_s < SURGE_S
 
     def _expected_wait_s(self, request: PoolRequest, now_s: float) -> float:
-        """Return how long a request will probably wait."""
+        """Return how long a request is expected to wait."""
         same_target = [
             item for item in self.queue.ordered(now_s) if item.target_id == request.target_id
         ]
         return (same_target.index(request) + 0.5) * self._gap_s(request.target_id)
 
     def _reject_late(self, now_s: float) -> tuple[PoolRejection, ...]:
-        """Turn away whoever can't be sent in time at the present pace."""
+        """Reject all waiting requests that can't be sent in time at the current drain rate."""
         turned_away: list[PoolRejection] = []
         ahead: Counter[str] = Counter()
         pool_per_s = self._pool_rate.per_s()
@@ -281,7 +285,7 @@
         return tuple(turned_away)
 
     def retry_after_s(self, objective_s: float, left_s: float, now_s: float) -> float:
-        """Return when a caller that is turned away now should come back."""
+        """Return after how many seconds a caller that is rejected now should retry."""
         if now_s - self._last_rejected_s > SURGE_GAP_S:
             self._surge_started_s = now_s
         self._last_rejected_s = now_s
@@ -289,7 +293,7 @@
         return draw_retry_after_s(objective_s, left_s, now_s - surge_started_s, self._random)
 
     def _reject(self, request: PoolRequest, why: str, now_s: float) -> PoolRejection:
-        """Give up on a request that waits."""
+        """Reject a waiting request."""
         self.queue.remove(request.number)
         if not request.came_back:
             self._first_attempt_rejected_s = now_s
--- a/packages/decisions/src/damaskwind/decisions/admission/queue.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/queue.py
@@ -4,8 +4,8 @@
 Scheduling: Deterministic Proportional-Share Resource Management", Waldspurger
 and Weihl, MIT 1995), so that none starves; ties go to the lower rank. When the
 queue is full the newest request of the lowest class is shed first. A request
-that can't be served in time gets its final answer at once, with when to come
-back, never near its deadline.
+that can't be served in time is refused at once, not close to its deadline, and
+the refusal says when to retry.
 """
 
 from collections import deque
@@ -26,7 +26,7 @@
 
 
 class QueuedRequest(NamedTuple):
-    """A request that waits; `deadline_s` is its caller's, on the router's clock."""
+    """A request to queue; `deadline_s` is the caller's deadline on the router's clock."""
 
     request_id: str
     account: str
@@ -35,16 +35,17 @@
 
 
 class RefusedRequest(NamedTuple):
-    """A request that leaves the queue unserved, with the answer it gets now."""
+    """A request that leaves the queue without being served, and its refusal."""
 
     request: QueuedRequest
     refusal: Refusal
 
 
 class OfferResult(NamedTuple):
-    """Whether a request was queued, and who was given up on to make room.
+    """Whether a request was queued, and the requests refused as a consequence.
 
-    A request that was not queued is itself among `refused`.
+    `refused` holds the request that was shed to make room, or the offered request
+    itself if it was not queued.
     """
 
     queued: bool
@@ -52,14 +53,14 @@
 
 
 class _QueueEntry(NamedTuple):
-    """A queued request and the time at which it is given up on."""
+    """A queued request and the time at which it expires."""
 
     request: QueuedRequest
     expires_s: float
 
 
 class _ClassQueue:
-    """The waiting requests of one class and its place in the schedule."""
+    """The waiting requests of one class and its pass value in stride scheduling."""
 
     def __init__(self, priority_class: PriorityClass) -> None:
         self.priority_class = priority_class
@@ -68,11 +69,11 @@
 
 
 class AdmissionQueue:
-    """The queue before one pool of targets.
+    """The queue of requests for one pool of targets.
 
-    `limit_requests` bounds all classes together; each class has its own bound
-    and time besides. The queue holds no timer: call `expire` at the time that
-    `next_expiry_s` names.
+    `limit_requests` bounds all classes together; in addition each class has its own
+    bound and timeout. The queue has no timer: call `expire` at the time returned by
+    `next_expiry_s`.
     """
 
     def __init__(self, classes: Mapping[str, PriorityClass], limit_requests: int) -> None:
@@ -85,7 +86,7 @@
         return sum(len(queue.waiting) for queue in self._queues.values())
 
     def set_classes(self, classes: Mapping[str, PriorityClass]) -> None:
-        """Follow a new configuration; a class that went keeps what it queued."""
+        """Apply the configured classes; a removed class keeps its queued requests."""
         for name, priority_class in classes.items():
             queue = self._queues.setdefault(name, _ClassQueue(priority_class))
             queue.priority_class = priority_class
@@ -94,7 +95,7 @@
                 del self._queues[name]
 
     def offer(self, request: QueuedRequest, now_s: float) -> OfferResult:
-        """Queue a request, or say at once that it is given up on."""
+        """Queue a request, or refuse it at once."""
         queue = self._queues[request.priority_class]
         expires_s = min(
             now_s + queue.priority_class.queue_timeout_s, request.deadline_s - RESERVE_S
@@ -113,14 +114,14 @@
         return OfferResult(True, shed)
 
     def _append(self, queue: _ClassQueue, entry: _QueueEntry) -> None:
-        """Put a request last; a class that was idle earns no credit for that."""
+        """Append a request to its class; an idle class accumulates no credit."""
         if not queue.waiting:
             backlogged = [other.pass_value for other in self._queues.values() if other.waiting]
             queue.pass_value = max(queue.pass_value, min(backlogged, default=queue.pass_value))
         queue.waiting.append(entry)
 
     def _expected_wait_s(self, queue: _ClassQueue) -> float:
-        """Estimate the wait at the end of a class from its share of the drain rate."""
+        """Estimate the wait of a new request from its class's share of the drain rate."""
         per_s = self._rate.per_s()
         if per_s is None or not queue.waiting:
             return 0.0
@@ -129,7 +130,7 @@
         return len(queue.waiting) / (per_s * queue.priority_class.weight / weights)
 
     def _shed_below(self, rank: int) -> RefusedRequest | None:
-        """Give up on the newest request of the lowest class below `rank`."""
+        """Remove and refuse the newest request of the lowest class below `rank`."""
         lower = [
             queue
             for queue in self._queues.values()
@@ -141,7 +142,7 @@
         return self._refuse(lowest.waiting.pop().request, "shed for a higher class")
 
     def _refuse(self, request: QueuedRequest, detail: str) -> RefusedRequest:
-        """Make the final answer: nothing was sent, come back after the backlog."""
+        """Return a refusal: the request was not sent; retry when the backlog is served."""
         per_s = self._rate.per_s()
         fallback_s = self._queues[request.priority_class].priority_class.queue_timeout_s
         backlog_s = len(self) / per_s if per_s else fallback_s
@@ -152,10 +153,10 @@
     def next_ready(
         self, now_s: float, can_run: Callable[[QueuedRequest], bool] = lambda request: True
     ) -> QueuedRequest | None:
-        """Take out the next request that `can_run`, by class and then by age.
+        """Remove and return the next request that `can_run`, by class and then by age.
 
-        Within a class at most the first `SCAN_LIMIT` requests are looked at, so
-        that one request without a target does not hold up those behind it.
+        Within a class the first `SCAN_LIMIT` requests are examined, so that a
+        request without a target does not block those behind it.
         """
         by_pass_value = sorted(
             (queue for queue in self._queues.values() if queue.waiting),
@@ -172,7 +173,7 @@
         return None
 
     def expire(self, now_s: float) -> tuple[RefusedRequest, ...]:
-        """Give up on every request whose time in the queue is over."""
+        """Remove and refuse all expired requests."""
         expired = []
         for queue in self._queues.values():
             class_expired = [entry for entry in queue.waiting if entry.expires_s <= now_s]
@@ -182,12 +183,12 @@
         return tuple(self._refuse(entry.request, "no target in time") for entry in expired)
 
     def next_expiry_s(self) -> float | None:
-        """Return when `expire` has something to do next."""
+        """Return when the next request expires, or `None` if the queue is empty."""
         times = [entry.expires_s for queue in self._queues.values() for entry in queue.waiting]
         return min(times, default=None)
 
     def remove(self, request_id: str) -> bool:
-        """Take out a request whose caller went away."""
+        """Remove a request whose caller disconnected; return whether it was queued."""
         for queue in self._queues.values():
             for index, entry in enumerate(queue.waiting):
                 if entry.request.request_id == request_id:
--- a/packages/decisions/src/damaskwind/decisions/admission/return_time.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/return_time.py
@@ -1,34 +1,34 @@
-"""Choose when a caller that is turned away should come back.
-
-The pattern: all that were turned away in a surge come back at one moment, or while
-it lasts, and are turned away again; a caller asks but a few times. A surge that has
-just begun may be over in a moment: then they come back within their objective. Of one
-that lasts nothing is known but its age, which is the best guess of what is still to
-come; whoever comes back is late by then, so that later costs little, and a refusal
-more all. The times are spread evenly up to a third of what the caller has left: what
-is named beyond that is not honoured.
+"""Choose when a rejected caller should retry.
+
+Callers rejected in a surge must not all retry at the same moment, nor while it lasts,
+since they would be rejected again and a caller makes only a few attempts. A surge that
+has just begun may be over in a moment, so callers retry within their objective. The
+remaining duration of a longer surge is estimated by its age, the only thing known of
+it. A retry is late by then anyway, so that a later one costs little, while another
+rejection may cost the request. The times are spread evenly up to a third of the
+caller's remaining time, since callers do not honour longer ones.
 """
 
 from random import Random
 
 __all__ = ["draw_retry_after_pause_s", "draw_retry_after_s"]
 
-# A caller comes back after this part of its objective at the earliest: early enough
-# to be served within it, late enough that a place may be free.
+# A caller retries after this fraction of its objective at the earliest: early enough
+# to be served within it, late enough that a slot may be free.
 MIN_OBJECTIVE_FRACTION = 0.3
 MIN_RETRY_AFTER_S = 0.05
 MAX_REMAINING_FRACTION = 1.0 / 3.0
-# A surge younger than this may be a clump of requests that came together.
+# A surge younger than this may be a mere burst of requests.
 BURST_S = 0.3
 
 
 def draw_retry_after_s(
     objective_s: float, remaining_s: float, surge_age_s: float, random: Random
 ) -> float:
-    """Return the seconds after which to come back.
+    """Return the seconds after which to retry.
 
-    `remaining_s` is the time that the caller has, `surge_age_s` for how long requests
-    have been turned away.
+    `remaining_s` is the time that the caller has left, `surge_age_s` for how long
+    requests have been rejected.
 
     >>> draw_retry_after_s(1.0, 9.0, 0.0, Random(1))
     0.3
@@ -44,7 +44,7 @@
 
 
 def draw_retry_after_pause_s(pause_left_s: float, objective_s: float, random: Random) -> float:
-    """Return when to come back to targets that all want no requests for so long.
+    """Return after how many seconds to retry while all targets requested a pause.
 
     >>> 2.5 <= draw_retry_after_pause_s(2.5, 0.2, Random(1)) <= 2.7
     True
--- a/packages/decisions/src/damaskwind/decisions/admission/service_pace.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/service_pace.py
@@ -1,45 +1,46 @@
-"""Admit of a plain service's requests what its targets bear, by what all routers see.
-
-The pattern: a target of few places that tells no load, before many routers. Each of them sees a
-sliver of its answers and may always have one request there, so that together they keep its queue
-full; who is served then is late, and callers come back. What all routers see together in a second
-tells what the targets bear: the answers that came while they were pressed. Each router admits the
-same part of what it is asked, at random, and turns the rest away at once. Nothing is bounded while
-answers come in time. See Google's adaptive throttling at the client (Beyer and others, "Site
-Reliability Engineering", 2016, chapter 21), of which this is the kind that sums over all clients.
+"""Throttle the requests to a service without load reports, by what all routers observe.
+
+A target with few slots that reports no load is used by many routers. Each router has only a
+partial observation of its answers and may always have one request there, so that together they
+keep its queue full; requests are then served late, and callers retry. The observations of all
+routers in one second show the capacity of the targets: the number of answers given while they
+were overloaded. Each router admits the same fraction of its requests, at random, and rejects the
+rest at once. There is no limit while answers are in time. This is adaptive throttling at the
+client (Beyer and others, "Site Reliability Engineering", 2016, chapter 21), with statistics summed
+over all clients.
 """
 
 from typing import NamedTuple
 
 __all__ = ["ServiceStats", "ServiceThrottle"]
 
-# A service is pressed when more than this part of what was sent was late or turned away.
+# A service is overloaded if more than this fraction of sends was late or rejected.
 OVERLOADED_FRACTION = 0.1
-# Beyond this its queue stands full, and has to become shorter.
+# Above this fraction it has a standing queue, which has to become shorter.
 STANDING_QUEUE_FRACTION = 0.4
-# What is admitted, as a part of what the targets answered while they were pressed.
+# Requests to admit, as a fraction of those that the targets answered while overloaded.
 OVERLOADED_FACTOR = 0.95
 STANDING_QUEUE_FACTOR = 0.8
-# Without pressure it grows by this part in a second, by twice as much in the next, and so on:
-# slowly to where the targets were pressed, fast back from an outage.
+# Without overload the admitted share grows by this fraction in the first second, by twice as
+# much in the next, and so on: slowly near the last overload, quickly after an outage.
 INITIAL_GROWTH = 0.15
 MAX_DOUBLINGS = 5.0
-# Fewer sends than this in a second say nothing.
+# Statistics of fewer sends than this in a second are not significant.
 MIN_SENDS = 10
 MIN_ADMITTED_SHARE = 0.05
-# What all see is a second old on the mean: what follows from a change shows no sooner.
+# The statistics are a second old on average, so the effect of a change is not visible sooner.
 MIN_UPDATE_GAP_S = 0.8
-# What all saw counts for so long; later the part grows as without pressure, since a router
-# that is cut off from the others is no longer told that there is room again.
+# Statistics are valid for this time. After that the share grows as without overload, since a
+# router that is partitioned from the others does not learn that there is headroom again.
 STATS_VALID_S = 2.5
 
 
 class ServiceStats(NamedTuple):
-    """What was seen of a service in about a second, by one router or by all.
+    """Observations of a service over about one second, by one router or by all.
 
-    `asked` counts requests that came for it, whether sent or not, `answered` its answers, of
-    which `late` were late, `turned_away` those for which a target had no place, `busy_ms` the
-    time that all answers took together.
+    `asked` counts received requests, whether sent or not, `answered` the answers, of which
+    `late` were late, `turned_away` the requests rejected by a target without a free slot, and
+    `busy_ms` the total time that the answers took.
     """
 
     asked: int = 0
@@ -49,12 +50,12 @@
     busy_ms: int = 0
 
     def plus(self, other: "ServiceStats") -> "ServiceStats":
-        """Return both together."""
+        """Return the sum of two observations."""
         return ServiceStats(*(mine + others for mine, others in zip(self, other, strict=True)))
 
 
 class ServiceThrottle:
-    """The part of a service's requests that one router admits.
+    """The share of a service's requests that one router admits, from 0 to 1.
 
     >>> throttle = ServiceThrottle()
     >>> stats = ServiceStats(asked=165, answered=130, late=100, turned_away=60, busy_ms=30_000)
@@ -74,16 +75,16 @@
         self._overloaded_s = float("-inf")
 
     def admitted_share_at(self, now_s: float) -> float:
-        """Return the part that is admitted now."""
+        """Return the share that is admitted now."""
         if self._updated_s is None:
             return 1.0
         stale_s = max(0.0, now_s - self._updated_s - STATS_VALID_S)
         return self._share_after_growth(stale_s, now_s)
 
     def update(self, stats: ServiceStats, slots: int, now_s: float) -> None:
-        """Take what all routers saw of targets with so many places together.
+        """Update the share by the statistics of all routers; the targets have `slots` in total.
 
-        It says nothing new so soon after the last time.
+        An update too soon after the last one is ignored, as it has no new information.
         """
         previous_s = now_s if self._updated_s is None else self._updated_s
         if self._updated_s is not None and now_s - previous_s < MIN_UPDATE_GAP_S:
@@ -103,17 +104,17 @@
         self.admitted_share = min(1.0, max(sustained_share, MIN_ADMITTED_SHARE))
 
     def _share_after_growth(self, duration_s: float, now_s: float) -> float:
-        """Return the part after some seconds without pressure."""
+        """Return the share after `duration_s` without overload."""
         doublings = min(MAX_DOUBLINGS, max(0.0, now_s - self._overloaded_s - 1.0))
         growth_per_s = 1.0 + INITIAL_GROWTH * 2.0**doublings
         return min(1.0, self.admitted_share * growth_per_s**duration_s)
 
 
 def _overload_fraction(stats: ServiceStats, slots: int) -> float:
-    """Return the part of what was sent that was turned away, or late in a queue.
+    """Return the fraction of sends that were rejected, or late because of a queue.
 
-    Answers that are late while places are free are late for another reason, behind a slow
-    link or at a target that hangs, and fewer requests would not make them faster.
+    Answers that are late while slots are free have another cause, such as a slow link or a
+    target that hangs, and fewer requests would not make them faster.
     """
     sends = stats.answered + stats.turned_away
     if sends < MIN_SENDS:
--- a/packages/decisions/src/damaskwind/decisions/admission/service_tally.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/service_tally.py
@@ -1,4 +1,4 @@
-"""Count what one router saw of a service in the last second."""
+"""Count what one router observed of a service in the last second."""
 
 from collections import deque
 from typing import NamedTuple
@@ -7,13 +7,13 @@
 
 __all__ = ["ServiceReport", "ServiceTally"]
 
-# What was seen counts for so long, and is kept in as many parts as follow.
+# The length of the sliding window, and the number of slots it is divided into.
 WINDOW_S = 1.0
 SLOTS = 4
 
 
 class ServiceReport(NamedTuple):
-    """What was seen of a service, which its digest stands for."""
+    """The statistics of a service, which is identified by its digest."""
 
     service: int
     stats: ServiceStats
@@ -25,7 +25,7 @@
 
 
 class ServiceTally:
-    """A sliding sum of what was seen.
+    """A sliding sum of the observations of one service.
 
     >>> tally = ServiceTally()
     >>> tally.add(ServiceStats(asked=1), 0.0); tally.add(ServiceStats(asked=1, answered=1), 0.6)
@@ -37,7 +37,7 @@
         self._slots: deque[_Slot] = deque()
 
     def add(self, stats: ServiceStats, now_s: float) -> None:
-        """Note what was seen now."""
+        """Add observations made now."""
         slot = self._slots[-1] if self._slots else None
         if slot is None or now_s - slot.started_s >= WINDOW_S / SLOTS:
             self._slots.append(_Slot(now_s, stats))
@@ -46,7 +46,7 @@
         self._drop_expired(now_s)
 
     def recent(self, now_s: float) -> ServiceStats:
-        """Return what was seen in the last second."""
+        """Return the sum of the last second."""
         self._drop_expired(now_s)
         total = ServiceStats()
         for slot in self._slots:
--- a/packages/decisions/src/damaskwind/decisions/admission/start_window.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/start_window.py
@@ -1,16 +1,16 @@
-"""Bound the requests at a target whose answers have not begun.
-
-The pattern: a surge. Engines take all that they are sent and read the prompts in
-turns, or let them wait for a place, so that each request beyond what can begin in
-time makes all of them late, and what is begun and given up on has cost those that
-could have been served. The bound holds one router's requests to a target between the
-send and the first piece of the answer. It grows while answers begin well within
-their objectives and it is used, and shrinks when half of them no longer do (additive
-increase, multiplicative decrease: Chiu and Jain, Computer Networks and ISDN Systems
-17, 1989; delay as the signal: Brakmo, O'Malley and Peterson, "TCP Vegas", SIGCOMM 1994).
-An answer that is overdue counts as late at once: what waits for its beginning would
-tell a second after the fact, and the bound would swing between all and nothing.
-Each target has its own, so that a slow one, or one behind a cut, holds up no other.
+"""A window on the requests at a target whose answers have not started.
+
+Under overload, engines accept every request and process the prompts in turns, or queue
+them for a slot. Each request beyond those that can start in time delays all others, and
+requests that are started and then abandoned waste capacity that could have served others.
+The window limits the requests of one router to a target between the send and the first
+piece of the answer. It grows while it is in use and answers start well within their
+objectives, and shrinks when half of them are late (additive increase, multiplicative
+decrease: Chiu and Jain, Computer Networks and ISDN Systems 17, 1989; delay as the signal:
+Brakmo, O'Malley and Peterson, "TCP Vegas", SIGCOMM 1994). An overdue answer counts as late
+at once: waiting until it starts would give the signal a second too late, and the window
+would oscillate between its extremes. Each target has its own window, so that a slow or
+partitioned target blocks no other.
 """
 
 from collections import deque
@@ -22,19 +22,21 @@
 
 
 class WindowPolicy(NamedTuple):
-    """How the bound follows what is observed.
-
-    `initial_limit` holds until something is known. `min_limit` lets a router with a sliver
-    of the traffic go on asking. Parts are of the objective, to the answer's
-    beginning: above `late_fraction` for half of the answers of `memory_s` the bound
-    is multiplied by `decrease`, once in `min_decrease_gap_s`, since the answers of that time
-    were under way before; below `early_fraction` it grows by `increase` for each
-    round of answers. What is overdue by `lost_fraction` holds no place any more: it
-    may wait for a target that is gone. Where a target has given fewer than
-    `min_answers`, those of its whole pool count: one router in many sees few.
-    `initial_pool_limit` is the same as `initial_limit` for the bound of all targets together, and
-    `counts_overdue` is false there: what is overdue behind a cut must not hold up
-    those targets that answer.
+    """Parameters of the window.
+
+    `initial_limit` applies until there are observations, `min_limit` and `max_limit` bound
+    the limit; the minimum lets a router with little traffic keep sending. Fractions are
+    times from the send to the start of the answer, divided by the objective. If half of the
+    answers of the last `memory_s` seconds exceed `late_fraction`, the limit is multiplied by
+    `decrease`, at most once in `min_decrease_gap_s`, since the answers of that interval were
+    sent before the decrease. While the median is below `early_fraction`, it grows by
+    `increase` for each round of answers. A request older than `lost_fraction` no longer
+    counts against the limit, since it may wait for a target that is gone.
+
+    If a target has started fewer than `min_answers` answers, those of the whole pool are
+    used, since one of many routers sees few. `initial_pool_limit` replaces
+    `initial_limit` in the window of the whole pool. `counts_overdue` is false there, so that
+    overdue requests to a partitioned target do not block the targets that answer.
     """
 
     initial_limit: float = 4.0
@@ -56,32 +58,32 @@
 
 
 class StartDelays:
-    """The parts of their objectives that answers took lately to begin."""
+    """Recent times to start an answer, as fractions of the objective."""
 
     def __init__(self, memory_s: float) -> None:
         self._memory_s = memory_s
         self._fractions: deque[tuple[float, float]] = deque(maxlen=64)
 
     def record(self, fraction: float, now_s: float) -> None:
-        """Note one."""
+        """Record the fraction of one answer."""
         self._fractions.append((now_s, fraction))
 
     def recent(self, now_s: float) -> list[float]:
-        """Return those that count now."""
+        """Return the fractions of the last `memory_s` seconds."""
         while self._fractions and self._fractions[0][0] < now_s - self._memory_s:
             self._fractions.popleft()
         return [fraction for _, fraction in self._fractions]
 
 
 class _PendingStart(NamedTuple):
-    """When a request was sent, and how soon its answer should begin."""
+    """When a request was sent, and within what time its answer should start."""
 
     at_s: float
     objective_s: float
 
 
 class StartWindow:
-    """One router's bound for one target; `pool_delays` gathers the beginnings at all of them.
+    """One router's window for one target; `pool_delays` is shared by all targets of the pool.
 
     >>> window = StartWindow(WindowPolicy(initial_limit=8.0))
     >>> for number in range(8): window.sent(number, 0.0, 1.0)
@@ -100,11 +102,11 @@
         self._last_decrease_s = float("-inf")
 
     def sent(self, number: int, now_s: float, objective_s: float) -> None:
-        """Note that a request is sent."""
+        """Record that a request is sent."""
         self._pending[number] = _PendingStart(now_s, objective_s)
 
     def answer_started(self, number: int, now_s: float) -> None:
-        """Note that an answer began."""
+        """Record that an answer started."""
         pending_start = self._pending.pop(number, None)
         if pending_start is None:
             return
@@ -118,11 +120,11 @@
             self.limit = min(self._policy.max_limit, increased)
 
     def ended(self, number: int) -> None:
-        """Note that no answer will begin."""
+        """Record that no answer will start."""
         self._pending.pop(number, None)
 
     def headroom(self, now_s: float) -> int:
-        """Return how many more may be sent; below 0 when the bound has shrunk since."""
+        """Return how many more requests may be sent; negative after the limit has shrunk."""
         self._shrink_if_late(now_s)
         lost_fraction = self._policy.lost_fraction
         pending = sum(
@@ -132,16 +134,16 @@
         return ceil(self.limit) - pending
 
     def median_start_fraction(self, now_s: float) -> float:
-        """Return the median part that answers took lately to begin, overdue ones among them."""
+        """Return the median fraction of recent answers, including overdue ones."""
         fractions = self._recent_fractions(now_s)
         return median(fractions) if fractions else 0.0
 
     def rejected(self, now_s: float) -> None:
-        """Note that the target had no place left."""
+        """Record that the target rejected a request because it had no free slot."""
         self._shrink(now_s)
 
     def _recent_fractions(self, now_s: float) -> list[float]:
-        """Return the parts that count now."""
+        """Return the fractions to evaluate, from the pool if the target has too few."""
         overdue = []
         if self._policy.counts_overdue:
             waited = (
@@ -154,7 +156,7 @@
         return self._pool_delays.recent(now_s) + overdue
 
     def _shrink_if_late(self, now_s: float) -> None:
-        """Shrink if half of the answers are late."""
+        """Shrink the limit if half of the answers are late."""
         fractions = self._recent_fractions(now_s)
         if (
             len(fractions) >= self._policy.min_answers
@@ -163,7 +165,7 @@
             self._shrink(now_s)
 
     def _shrink(self, now_s: float) -> None:
-        """Take a part off the bound."""
+        """Multiply the limit by `decrease`, unless that was just done."""
         policy = self._policy
         if now_s - self._last_decrease_s < policy.min_decrease_gap_s:
             return
@@ -172,5 +174,5 @@
 
 
 def _elapsed_fraction(pending_start: _PendingStart, now_s: float) -> float:
-    """Return the time since a send as a part of the objective."""
+    """Return the time since a send as a fraction of the objective."""
     return (now_s - pending_start.at_s) / pending_start.objective_s
--- a/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
@@ -1,4 +1,4 @@
-"""Replay load patterns against the decision on waiting and turning away."""
+"""Tests of admission to a pool under load patterns."""
 
 from random import Random
 from unittest import TestCase
@@ -39,7 +39,7 @@
         headrooms = [window.headroom(0.7 + step * 0.2) for step in range(10)]
         self.assertLess(window.limit, 2.0)
         self.assertGreaterEqual(window.limit, 1.0)
-        # What is lost holds no place for ever: the target is asked again.
+        # Lost requests do not count forever: the target is sent requests again.
         self.assertGreater(headrooms[-1], 0)
 
     def test_window_with_few_answers_uses_those_of_the_whole_pool(self):
@@ -53,7 +53,7 @@
 
 
 class PoolWindowTest(TestCase):
-    """One router in many: one request at each target is more than its part."""
+    """One of many routers, for which one request at each target exceeds its share."""
 
     def setUp(self):
         policy = WindowPolicy(initial_limit=2.0, initial_pool_limit=3.0)
@@ -68,20 +68,20 @@
         steps = [self.offer(number) for number in range(5)]
         self.assertEqual(steps, [AdmissionStep.START] * 3 + [AdmissionStep.WAIT] * 2)
         self.admission.answer_started(0, 0.05)
-        # One place came free, and the bound grew by a part since the answer began early.
+        # One request started its answer, and early, so that the limit grew too.
         self.assertEqual(self.admission.admit_waiting(self.target_slots, 0.05), (3, 4))
         self.assertEqual(self.offer(5, now_s=0.05), AdmissionStep.WAIT)
 
     def test_unresponsive_targets_do_not_shrink_the_pool_window(self):
         for number in range(3):
             self.offer(number)
-        # Their targets are behind a cut: what is overdue by its objective holds no place.
+        # The targets are partitioned: requests older than their objective do not count.
         self.assertEqual(self.offer(3, now_s=1.1), AdmissionStep.START)
         self.assertEqual(self.offer(4, now_s=1.1), AdmissionStep.START)
 
 
 class SurgeTest(TestCase):
-    """More comes than its target can begin."""
+    """More requests arrive than the target can start."""
 
     def setUp(self):
         self.admission = PoolAdmission(Random(1), WindowPolicy(initial_limit=2.0))
@@ -127,7 +127,7 @@
         self.assertEqual(self.admission.admit_waiting([TargetSlots("b", 8.0)], 0.1), (2,))
 
     def test_retries_are_limited_while_first_attempts_are_rejected(self):
-        # Else a surge ends with nobody served in time: those that came back are late.
+        # Otherwise a surge ends with no request served in time, since retries are late.
         for number in range(20):
             self.offer(request(number))
         retry = self.offer(request(100, came_back=True, left_s=5.0), 0.1)
--- a/packages/decisions/src/damaskwind/decisions/admission/waiting_line.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/waiting_line.py
@@ -1,12 +1,12 @@
-"""Order the requests that wait for a pool: who is next, and who can't be served in time.
-
-The pattern: more comes than can begin in time. The most urgent are next; among
-equals those of accounts that have had no more than their share lately (a virtual counter
-of work served: Sheng et al., "Fairness in Serving Large Language Models", OSDI 2024);
-then those who can still be served within their objective, before those who came back
-after a refusal and can't: the other way round, a surge ends with nobody served in time.
-Each fourth place goes to the earliest deadline alone, so that neither these nor a rank
-starve.
+"""Order the requests that wait for a pool.
+
+Under overload more requests arrive than can be served in time. The most urgent go first;
+at equal urgency, those of accounts that have recently received no more than their share
+(a virtual counter of work served: Sheng et al., "Fairness in Serving Large Language
+Models", OSDI 2024). Next are first attempts, which can still be served within their
+objective, before retries after a rejection, which can't: in the opposite order a surge
+would end with no request served in time. Every fourth turn goes to the earliest deadline
+regardless of this order, so that neither retries nor a rank starve.
 """
 
 from collections.abc import Callable
@@ -14,22 +14,22 @@
 
 __all__ = ["FairQueue", "PoolRequest"]
 
-# One place in so many goes to the earliest deadline whatever its rank: a fourth of
-# the places keeps every kind above the quarter below which it counts as starved.
+# Every fourth turn goes to the earliest deadline regardless of rank. This keeps every
+# kind of request above a quarter of the turns, below which it counts as starved.
 DEADLINE_TURN = 4
-# An account is over its share beyond so many times the mean of those served lately:
-# shares are uneven by nature, the largest of ten has some three times the mean.
+# An account is over its share above this multiple of the mean of recently served accounts.
+# Shares are naturally uneven: the largest of ten accounts has about three times the mean.
 SHARE_MULTIPLE = 4.0
-# What an account was served counts for about so long.
+# The time over which served work decays to zero.
 SHARE_MEMORY_S = 4.0
 
 
 class PoolRequest(NamedTuple):
-    """A request that asks for a place; `rank` 0 is the most urgent.
+    """A request to a pool; `rank` 0 is the most urgent.
 
-    `arrived_s` and `deadline_s` are monotonic; `objective_s` counts from its
-    arrival. `came_back` tells that its caller was turned away before. With a
-    `target_id` it waits for that target, which holds what it shares with others.
+    `arrived_s` and `deadline_s` are times of a monotonic clock; `objective_s` counts
+    from the arrival. `came_back` marks a retry after a rejection. A request with a
+    `target_id` waits for that target, which holds what it shares with other requests.
     """
 
     number: int
@@ -43,14 +43,14 @@
 
 
 class _ServedWork(NamedTuple):
-    """Work served to an account, decayed up to a time."""
+    """The work served to an account, decayed up to `at_s`."""
 
     work: float
     at_s: float
 
 
 class FairQueue:
-    """The tickets that wait.
+    """The waiting requests of a pool, in the order described above.
 
     >>> queue = FairQueue()
     >>> queue.add(PoolRequest(1, 2, "a", 0.0, 9.0, 1.0))
@@ -68,21 +68,21 @@
         return len(self._requests)
 
     def add(self, request: PoolRequest) -> None:
-        """Let a request wait."""
+        """Add a request."""
         self._requests[request.number] = request
 
     def remove(self, number: int) -> PoolRequest | None:
-        """Take a request out whose caller left or who was given up on."""
+        """Remove and return a request whose caller disconnected or that was rejected."""
         return self._requests.pop(number, None)
 
     def clear(self) -> tuple[PoolRequest, ...]:
-        """Take out all."""
+        """Remove and return all requests."""
         requests = tuple(self._requests.values())
         self._requests.clear()
         return requests
 
     def ordered(self, now_s: float) -> list[PoolRequest]:
-        """Return those who wait, the next one first."""
+        """Return the waiting requests, the next one first."""
         over_share = self._over_share(now_s)
 
         def sort_key(request: PoolRequest) -> tuple[int, bool, bool, float, int]:
@@ -100,11 +100,11 @@
     def pop_next(
         self, now_s: float, can_run: Callable[[str], bool], is_surge: bool = False
     ) -> PoolRequest | None:
-        """Take out the next request of those whose target can take one now.
+        """Remove and return the next request whose target can accept one now.
 
-        In a surge those that came back get the open turns only: a place that one
-        of them takes is one that a request of the next moment, which could be
-        served within its objective, does not find.
+        In a surge retries get only the deadline turns, since a slot taken by a retry is
+        not available to the next first attempt, which could be served within its
+        objective.
         """
         runs = {target_id: can_run(target_id) for target_id in self._targets()}
         if not any(runs.values()):
@@ -121,26 +121,26 @@
         return request
 
     def waiting_for(self, target_id: str) -> int:
-        """Return how many wait for a target."""
+        """Return how many requests wait for a target."""
         return sum(request.target_id == target_id for request in self._requests.values())
 
     def _targets(self) -> set[str]:
-        """Return the targets that somebody waits for."""
+        """Return the targets that requests wait for."""
         return {request.target_id for request in self._requests.values()}
 
     def record_served(self, account: str, now_s: float) -> None:
-        """Count a request as served to its account."""
+        """Count a request as work served to its account."""
         self._served[account] = _ServedWork(self._recent_work(account, now_s) + 1.0, now_s)
 
     def _recent_work(self, account: str, now_s: float) -> float:
-        """Return what an account was served lately."""
+        """Return the decayed work served to an account."""
         served = self._served.get(account)
         if served is None:
             return 0.0
         return served.work * max(0.0, 1.0 - (now_s - served.at_s) / SHARE_MEMORY_S)
 
     def _over_share(self, now_s: float) -> set[str]:
-        """Return the accounts far above the mean, and forget those long unseen."""
+        """Return the accounts far above the mean, and drop those without recent work."""
         work_by_account = {account: self._recent_work(account, now_s) for account in self._served}
         self._served = {name: self._served[name] for name, work in work_by_account.items() if work}
         active = [work for work in work_by_account.values() if work]
