--- a/packages/decisions/src/damaskwind/decisions/pacing/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/pacing/__init__.py
@@ -1,1 +1,1 @@
-"""The one budget for all control traffic of a router; pure."""
+"""The budget for all control traffic of a router, without I/O."""
--- a/packages/decisions/src/damaskwind/decisions/pacing/pacer.py
+++ b/packages/decisions/src/damaskwind/decisions/pacing/pacer.py
@@ -1,24 +1,24 @@
-"""Hold all control traffic of a router below one budget.
+"""Keep all control traffic of a router within one budget.
 
 The pacer is a token bucket that fills at `FILL_SHARE` of the budget's rate and
 holds `BURST_S` seconds of the budget. Every datagram and announcement counts, in both
-directions and with headers. What arrives can't be refused any more, so it is
-taken from the bucket first, even below zero, and pushes the router's own sends
-back. Leaves, probes and their answers may overdraw the bucket by
-`OVERDRAFT_S`; all else waits until the debt is paid. So over any time T the
-router moves at most budget x (FILL_SHARE x T + BURST_S + OVERDRAFT_S) bytes,
-plus what its peers send beyond that: 0.96 of the budget over ten seconds.
-
-What goes by streams and calls counts whole, but takes the bucket no lower than
-`STREAM_DEBT_S`: a whole configuration is many seconds' budget, and a router that
-paid it off before its next probe would be taken for dead.
-
-What arrives is itself bounded: every router spends at most `SEND_SHARE` of its
-budget on sends in any second, and routers choose whom they send to by a common
-ring, so that each of them hits another one; in the mean a router hears what it
-sends. The rest of the budget is for announcements and for chance. Of the
-sends, `PROBE_SHARE` of the budget is kept for probes and their answers: a
-failure detector that is starved by the news of a failure makes more of them.
+directions and with headers. Received bytes can't be refused any more, so they are
+taken from the bucket at once, even below zero, and delay the router's own sends.
+Leave messages, probes and their answers may overdraw the bucket by `OVERDRAFT_S`; all
+other sends wait until the debt is repaid. So over any time T the router transfers at
+most budget x (FILL_SHARE x T + BURST_S + OVERDRAFT_S) bytes, plus what its peers send
+beyond that: 0.96 of the budget over ten seconds.
+
+Bytes of streams and calls count in full, but take the bucket no lower than
+`STREAM_DEBT_S`: a whole configuration amounts to many seconds of the budget, and a
+router that repaid it before its next probe would be considered dead.
+
+Received traffic is itself bounded: every router spends at most `SEND_SHARE` of its
+budget on sends in any second, and routers select their peers by a common ring, so that
+each sends to a different one; on average a router receives as much as it sends. The rest
+of the budget is for announcements and random variation. Of the sends, `PROBE_SHARE` of
+the budget is reserved for probes and their answers: if the updates about a failure
+starved the failure detector, it would report more failures.
 
 >>> pacer = ControlPacer(2000, now_s=0.0)
 >>> pacer.offer("routine", 300, Urgency.ROUTINE, "probe", 0.0)
@@ -51,7 +51,7 @@
 
 
 class PacerCounters(NamedTuple):
-    """What went through the pacer since it was made, in bytes with headers."""
+    """Traffic since the creation or reset of the counters, in bytes with headers."""
 
     sent_bytes: dict[str, int]
     received_bytes: dict[str, int]
@@ -63,7 +63,7 @@
 
 
 class _Window:
-    """The bytes of the last seconds."""
+    """The bytes transferred in the last `length_s` seconds."""
 
     def __init__(self, length_s: float = WINDOW_S) -> None:
         self._length_s = length_s
@@ -71,18 +71,18 @@
         self.total_bytes = 0
 
     def add(self, size_bytes: int, now_s: float) -> None:
-        """Count bytes that move now."""
+        """Count bytes transferred now."""
         self._entries.append((now_s, size_bytes))
         self.total_bytes += size_bytes
 
     def advance(self, now_s: float) -> None:
-        """Forget what is older than the window."""
+        """Drop entries that are older than the window."""
         while self._entries and self._entries[0][0] <= now_s - self._length_s:
             self.total_bytes -= self._entries.popleft()[1]
 
 
 class _QueuedSend(NamedTuple):
-    """A send in the queue; the first two fields give its order."""
+    """A queued send, ordered by its first two fields."""
 
     urgency: Urgency
     order: int
@@ -93,7 +93,7 @@
 
 
 class ControlPacer:
-    """The one gate for control sends; sizes are payloads, headers are added here."""
+    """The queue and budget of all control sends; sizes are payloads without headers."""
 
     def __init__(self, bytes_per_s: int, now_s: float) -> None:
         self.bytes_per_s = bytes_per_s
@@ -117,24 +117,24 @@
     def received(
         self, size_bytes: int, kind: str, now_s: float, header_bytes: int = UDP_HEADER_BYTES
     ) -> None:
-        """Count bytes that arrived."""
+        """Count the bytes of a received datagram or announcement."""
         self._advance(now_s)
         size_bytes += header_bytes
         self._received[kind] += size_bytes
         self._count(size_bytes)
 
     def sent_on_stream(self, size_bytes: int, kind: str, now_s: float) -> None:
-        """Count control bytes that went another way, such as a stream; they can't wait."""
+        """Count control bytes sent on a stream or call, which is not paced."""
         self._sent[kind] += size_bytes
         self._count_stream_bytes(size_bytes, now_s)
 
     def received_on_stream(self, size_bytes: int, kind: str, now_s: float) -> None:
-        """Count control bytes that came another way."""
+        """Count control bytes received on a stream or call."""
         self._received[kind] += size_bytes
         self._count_stream_bytes(size_bytes, now_s)
 
     def _count_stream_bytes(self, size_bytes: int, now_s: float) -> None:
-        """Count bytes that take the bucket no lower than the debt of streams."""
+        """Count bytes, taking the bucket no lower than the debt allowed for streams."""
         self._advance(now_s)
         floor = min(self._tokens, -STREAM_DEBT_S * self.bytes_per_s)
         self._count(size_bytes)
@@ -156,7 +156,7 @@
             self._drop(least_urgent)
 
     def pop_ready(self, now_s: float) -> list[Any]:
-        """Return the sends that may go now, the most urgent first."""
+        """Return and remove the sends that may go now, the most urgent first."""
         self._advance(now_s)
         ready = []
         while self._queue:
@@ -177,12 +177,12 @@
         return ready
 
     def pop_dropped(self) -> list[Any]:
-        """Return the sends that were dropped since the last call."""
+        """Return and clear the sends that were dropped since the last call."""
         dropped, self._dropped_sends = self._dropped_sends, []
         return dropped
 
     def headroom_bytes(self, now_s: float) -> int:
-        """Return how many payload bytes of news could go now beside what waits."""
+        """Return how many payload bytes of updates could be sent now after the queued sends."""
         self._advance(now_s)
         queued_bytes = sum(queued.size_bytes for queued in self._queue)
         return max(self._headroom_bytes(Urgency.JOIN) - queued_bytes - UDP_HEADER_BYTES, 0)
@@ -203,7 +203,7 @@
         )
 
     def reset_counters(self, now_s: float) -> None:
-        """Start the counters anew; what the window holds stays in it."""
+        """Reset the counters; the contents of the windows remain."""
         self._advance(now_s)
         self._started_s = self._now_s
         self._sent.clear()
@@ -213,7 +213,7 @@
         self._highest_ten_seconds_bytes = self._ten_seconds.total_bytes
 
     def _advance(self, now_s: float) -> None:
-        """Move to `now_s`; a clock that goes back stands still instead."""
+        """Advance to `now_s`; a clock that steps back is taken as standing still."""
         elapsed_s = max(now_s - self._now_s, 0.0)
         self._now_s += elapsed_s
         filled = self._tokens + elapsed_s * self.bytes_per_s * FILL_SHARE
@@ -224,12 +224,12 @@
         self._probe_sends.advance(self._now_s)
 
     def _drop(self, queued: _QueuedSend) -> None:
-        """Give a send up: it waited too long, or too many wait."""
+        """Drop a send that has expired or does not fit into the queue."""
         self._dropped += 1
         self._dropped_sends.append(queued.item)
 
     def _headroom_bytes(self, urgency: Urgency) -> int:
-        """Return how many bytes a send of this urgency may have now."""
+        """Return the largest size in bytes that a send of this urgency may have now."""
         share = int(self.bytes_per_s * SEND_SHARE) - self._sends.total_bytes
         if urgency <= Urgency.PROBE:
             return min(int(self._tokens + self.bytes_per_s * OVERDRAFT_S), share)
@@ -237,7 +237,7 @@
         return min(int(self._tokens), share) - max(probe_reserve, 0)
 
     def _fits(self, queued: _QueuedSend) -> bool:
-        """Tell whether a send fits the budget, the share for sends and its reserve."""
+        """Return whether a send fits the budget, the share for sends and the probe reserve."""
         return queued.size_bytes <= self._headroom_bytes(queued.urgency)
 
     def _count(self, size_bytes: int) -> None:
--- a/packages/decisions/src/damaskwind/decisions/pacing/urgency.py
+++ b/packages/decisions/src/damaskwind/decisions/pacing/urgency.py
@@ -1,4 +1,4 @@
-"""The urgency of control sends and how long each may wait for the budget."""
+"""The urgency of control sends and how long each may be queued."""
 
 from enum import IntEnum
 
@@ -16,7 +16,7 @@
     ROUTINE = 5
 
 
-# A probe that waits longer than its timeout would only accuse a live router.
+# A probe delayed beyond its timeout would only make a live router suspected.
 MAX_WAIT_S: dict[Urgency, float] = {
     Urgency.LEAVE: 10.0,
     Urgency.PROBE: 0.8,
--- a/packages/decisions/src/damaskwind/decisions/retries/budget.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/budget.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries to a share of requests over a sliding window."""
+"""A budget that limits retries to a share of requests in a sliding window."""
 
 from typing import NamedTuple
 
@@ -21,8 +21,8 @@
     """Count requests and retries over the last ten seconds.
 
     A retry is allowed while the retries of the window stay at or below `share`
-    of its first attempts. With little traffic a share allows nothing at all, so
-    `floor_retries` a window are always allowed.
+    of its first attempts. With little traffic a share would allow no retries at all, so
+    `floor_retries` per window are always allowed.
 
     >>> budget = RetryBudget(share=0.1, floor_retries=1)
     >>> budget.count_request(0.0)
@@ -46,7 +46,7 @@
         self._slots.append(_Slot(number, requests, retries))
 
     def _drop_expired(self, number: int) -> None:
-        """Drop the slots that left the window."""
+        """Drop the slots that are older than the window."""
         oldest = number - WINDOW_SLOTS
         self._slots = [slot for slot in self._slots if slot.number > oldest]
 
@@ -62,7 +62,7 @@
         return max(self.floor_retries, int(self.share * requests)) - retries
 
     def take(self, now_s: float) -> bool:
-        """Take one retry from the budget if it holds one."""
+        """Take one retry from the budget if any is left; return whether it was taken."""
         if self.remaining(now_s) <= 0:
             return False
         self._add(0, 1, now_s)
--- a/packages/decisions/src/damaskwind/decisions/retries/decision.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/decision.py
@@ -1,7 +1,7 @@
-"""Decide by verdict whether an attempt may be followed by another.
+"""Decide whether a failed attempt may be retried, by its verdict.
 
-`not-run` may go elsewhere. `may-have-run` is repeated only on idempotent
-routes and before the first byte reached the caller. Delays have full jitter:
+A `not-run` attempt may be retried at another target, one with `may-have-run` only on
+idempotent routes and before the first byte reached the caller. Delays have full jitter:
 uniform between zero and an exponentially growing cap, as in "Exponential
 Backoff And Jitter" (Brooker, AWS Architecture Blog, 2015).
 """
@@ -18,10 +18,10 @@
 
 
 class RetryPolicy(NamedTuple):
-    """How often and how soon to retry.
+    """Bounds on the number of attempts and on the delays between them.
 
-    `reserve_s` is the least time that must remain before the caller's deadline
-    after the delay, or the retry would be wasted.
+    `reserve_s` is the minimum time that must remain before the caller's deadline
+    after the delay; with less the retry would be wasted.
     """
 
     max_attempts: int = 3
@@ -31,7 +31,7 @@
 
 
 class RetryReason(StrEnum):
-    """Name why a retry is made or not."""
+    """The reason why a retry is allowed or not."""
 
     ALLOWED = "allowed"
     ANSWERED = "answered"
@@ -51,7 +51,7 @@
 
 
 class Attempt(NamedTuple):
-    """What is known after an attempt failed; `number` counts from 1."""
+    """A failed attempt; `number` counts from 1, `remaining_s` is the time to the deadline."""
 
     verdict: Verdict
     idempotent: bool
@@ -62,7 +62,7 @@
 
 _Rule = Callable[[Attempt, RetryPolicy], bool]
 
-# The first rule that holds ends the request; their order is the order of reasons told.
+# The first rule that applies forbids the retry and gives its reason, so the order matters.
 _STOP_RULES: tuple[tuple[RetryReason, _Rule], ...] = (
     (RetryReason.ANSWERED, lambda a, p: a.verdict == Verdict.RAN),
     (RetryReason.BYTES_DELIVERED, lambda a, p: a.bytes_delivered > 0),
@@ -92,10 +92,10 @@
     policy: RetryPolicy,
     random: Random,
 ) -> RetryDecision:
-    """Decide whether to send a request again and take it from the budget.
+    """Decide whether to send a request again, and if so take the retry from the budget.
 
-    `attempt` is the number of attempts already made. A positive decision has
-    been paid for: the caller waits `delay_s` and sends.
+    `attempt` is the number of attempts already made. After a positive decision the
+    retry is already counted: wait `delay_s`, then send.
 
     >>> decide_retry(
     ...     Verdict.MAY_HAVE_RUN, False, 0, 1, 10.0, 0.0,
--- a/packages/decisions/src/damaskwind/decisions/retries/shared_budget.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/shared_budget.py
@@ -1,12 +1,12 @@
-"""A retry budget that all routers share without speaking of it.
+"""A retry budget that all routers share without communication.
 
-The bound holds for the sum over all routers: repeats in any window stay below
-a ratio of the requests plus a fixed slack. Each router keeps to the ratio of
-its own requests plus its part of the slack, so the sum keeps to the whole.
+The bound holds for the sum over all routers: the retries in any window stay below
+a ratio of the requests plus a fixed slack. Each router is limited to the ratio of
+its own requests plus an equal share of the slack, so that the sum is within the bound.
 
-A router that restarts does not know what its former life has spent. In its
-first window it therefore spends only what its former life has surely left: the
-part of the bound that is otherwise not used, and of the slack as much as its age.
+A restarted router does not know how much its previous incarnation spent. In its first
+window it therefore spends only what that one certainly left: the part of the bound that
+`SAFETY_FACTOR` leaves unused, with a slack that grows with the router's age.
 """
 
 from collections import deque
@@ -15,14 +15,14 @@
 
 __all__ = ["BudgetTerms", "SharedRetryBudget"]
 
-# Part of the bound that is used: windows slide, and a repeat counts when it arrives.
+# The used part of the bound: windows slide, and a retry counts when it arrives.
 SAFETY_FACTOR = 0.8
-# Part that is used in a router's first window, while its former life's counts.
+# The part used in a router's first window, which includes its previous incarnation.
 FIRST_WINDOW_FACTOR = 1.0 - SAFETY_FACTOR
 
 
 class BudgetTerms(NamedTuple):
-    """The bound: `ratio` of the requests of `window_s` seconds, plus `slack` repeats."""
+    """The bound: `ratio` of the requests of `window_s` seconds, plus `slack` retries."""
 
     ratio: float = 0.2
     window_s: float = 10.0
@@ -30,7 +30,7 @@
 
 
 class SharedRetryBudget:
-    """One router's part of the budget for one service, since `started_s` on its clock.
+    """One router's part of a service's budget; the router started at `started_s`.
 
     >>> budget = SharedRetryBudget(BudgetTerms(0.2, 10.0, 5.0), lambda: 2)
     >>> [budget.take(0.0) for _ in range(3)]
@@ -50,12 +50,12 @@
         self._retries: deque[float] = deque()
 
     def count_request(self, now_s: float) -> None:
-        """Count a request of a caller."""
+        """Count a request of a caller, without its retries."""
         self._requests.append(now_s)
         self._drop_expired(now_s)
 
     def take(self, now_s: float) -> bool:
-        """Take one repeat if the budget holds it."""
+        """Take one retry from the budget if any is left; return whether it was taken."""
         self._drop_expired(now_s)
         if len(self._retries) + 1 > self.allowance(now_s):
             return False
@@ -63,7 +63,7 @@
         return True
 
     def allowance(self, now_s: float) -> float:
-        """Return how many repeats the present window allows in all."""
+        """Return how many retries the current window allows in total."""
         terms = self._terms
         age_windows = (now_s - self._started_s) / terms.window_s
         slack_share = min(1.0, age_windows) * terms.slack / max(self._routers(), 1)
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/budget_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/budget_histories.py
@@ -1,8 +1,8 @@
-"""Random histories of routers that spend one retry budget, and restart meanwhile.
+"""Random histories of routers that share one retry budget and restart.
 
-Requests come at any pace, each may want several repeats, and processes are killed
-and start anew with nothing remembered. The oracle sees all of them together and
-slides its window over the whole history.
+Requests arrive at varying rates, each may ask for several retries, and processes are
+killed and restart without state. The oracle counts the retries of all routers in every
+window of the history.
 """
 
 from bisect import bisect_left
@@ -22,7 +22,7 @@
 
 
 class FuzzResult(NamedTuple):
-    """What a run gave; `first_failed` is a history's number in it."""
+    """The result of a run; `first_failed` is the number of a history within it."""
 
     histories: int
     duration_s: float
@@ -31,7 +31,7 @@
 
 
 class _Fleet:
-    """All routers, and what the service counts."""
+    """All routers, and the requests and retries that reach the service."""
 
     def __init__(self, random: Random, make_budget: MakeBudget) -> None:
         self.random = random
@@ -45,24 +45,24 @@
         return self.make_budget(TERMS, lambda: self.count, now_s)
 
     def request(self, now_s: float, wanted: int) -> None:
-        """One request at some router, which wants so many repeats."""
+        """Submit a request to a random router and ask for `wanted` retries."""
         budget = self.random.choice(self.budgets)
         budget.count_request(now_s)
         self.requests.append(now_s)
         self.retries += [now_s for _ in range(wanted) if budget.take(now_s)]
 
     def restart(self, now_s: float) -> None:
-        """Kill some routers, or all."""
+        """Restart some routers, or all, without their state."""
         share = self.random.choice([0.2, 1.0])
         for number in range(self.count):
             if self.random.random() < share:
                 self.budgets[number] = self._start(now_s)
 
     def exceeded_at(self) -> float | None:
-        """Return the end of a window with too many repeats.
+        """Return the end of a window with too many retries, or `None`.
 
-        The requests are those of the window, of the one before it or of the one
-        half a window before it, whichever has most.
+        The bound uses the requests of the window itself, of the one before it or of the
+        one half a window earlier, whichever has most.
         """
         length_s = TERMS.window_s
         for end_s in (*self.retries, *(at_s + length_s for at_s in self.retries)):
@@ -102,7 +102,7 @@
 
 
 def fuzz_retries(seed: int, seconds: float, histories: int, bug: str | None = None) -> FuzzResult:
-    """Run histories of consecutive seeds until the time or the count is used up."""
+    """Run histories of consecutive seeds until the time or count limit is reached."""
     from damaskwind.decisions.retries.tests.seeded_faults import SEEDED_FAULTS
 
     make_budget = SEEDED_FAULTS[bug] if bug else SharedRetryBudget
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/seeded_faults.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Retry budgets with a fault put in on purpose, by name."""
+"""Retry budgets with deliberate faults, by name."""
 
 from damaskwind.decisions.retries.shared_budget import SharedRetryBudget
 
@@ -6,21 +6,21 @@
 
 
 class TakesAllSlack(SharedRetryBudget):
-    """Takes itself for the only router."""
+    """Assumes that it is the only router."""
 
     def __init__(self, terms, routers, started_s):
         super().__init__(terms, lambda: 1, started_s)
 
 
 class StartsWithSlack(SharedRetryBudget):
-    """Spends its part of the slack anew in each life."""
+    """Spends its whole share of the slack after each restart."""
 
     def __init__(self, terms, routers, started_s):
         super().__init__(terms, routers, float("-inf"))
 
 
 class ForgetsSoon(SharedRetryBudget):
-    """Forgets repeats after half a window."""
+    """Forgets retries after half a window."""
 
     def _drop_expired(self, now_s):
         super()._drop_expired(now_s)
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/test_budget_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/test_budget_histories.py
@@ -1,4 +1,4 @@
-"""The shared retry budget holds over random histories, and seeded faults are found."""
+"""Test that the shared retry budget holds in random histories, which detect faults."""
 
 from unittest import TestCase
 
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/test_decision.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/test_decision.py
@@ -1,4 +1,4 @@
-"""Tests of the decision to retry."""
+"""Tests of the retry decision and the retry budget."""
 
 from random import Random
 from unittest import TestCase
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/test_shared_budget.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/test_shared_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget that routers share without speaking."""
+"""Tests of the retry budget that routers share without communication."""
 
 import unittest
 from random import Random
