--- a/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
@@ -125,19 +125,21 @@
         self, request: PoolRequest, target_slots: Sequence[TargetSlots], now_s: float
     ) -> AdmissionDecision:
         """Decide on a request that has just arrived."""
-        room = self._headroom(request.target_id, target_slots, now_s)
+        headroom = self._headroom(request.target_id, target_slots, now_s)
         begun_part = self._median_start_fraction(now_s)
         must_queue = request.came_back and self._is_surge(now_s)
-        if room > 0 and not must_queue and not self.queue.waiting_for(request.target_id):
+        if headroom > 0 and not must_queue and not self.queue.waiting_for(request.target_id):
             self._admit(request, now_s)
-            return AdmissionDecision(AdmissionStep.START, 0.0, now_s, room, begun_part)
+            return AdmissionDecision(AdmissionStep.START, 0.0, now_s, headroom, begun_part)
         self.queue.add(request)
         expected_wait_s = self._expected_wait_s(request, now_s)
         turned_away = self._reject_late(now_s)
         is_rejected = any(item.number == request.number for item in turned_away)
         step = AdmissionStep.TURN_AWAY if is_rejected else AdmissionStep.WAIT
         wait_until_s = self._wait_until_s(request)
-        return AdmissionDecision(step, expected_wait_s, wait_until_s, room, begun_part, turned_away)
+        return AdmissionDecision(
+            step, expected_wait_s, wait_until_s, headroom, begun_part, turned_away
+        )
 
     def waiting_for(self, target_id: str) -> int:
         """Return how many requests wait at this router for a target."""
@@ -231,12 +233,12 @@
     def _headroom(self, target_id: str, target_slots: Sequence[TargetSlots], now_s: float) -> int:
         """Return the headroom of a target, or of the pool less its admitted unsent requests."""
         if not target_id:
-            room = sum(max(0, self._target_headroom(item, now_s)) for item in target_slots)
-            return min(room, self._pool_window.headroom(now_s)) - len(self._admitted_unsent)
-        preferred = next((item for item in target_slots if item.target_id == target_id), None)
+            headroom = sum(max(0, self._target_headroom(item, now_s)) for item in target_slots)
+            return min(headroom, self._pool_window.headroom(now_s)) - len(self._admitted_unsent)
+        target = next((item for item in target_slots if item.target_id == target_id), None)
         # A target that has gone blocks no request: the request is placed again.
-        room = 1 if preferred is None else self._target_headroom(preferred, now_s)
-        return min(room, self._pool_window.headroom(now_s))
+        headroom = 1 if target is None else self._target_headroom(target, now_s)
+        return min(headroom, self._pool_window.headroom(now_s))
 
     def _median_start_fraction(self, now_s: float) -> float:
         """Return the pool's median time to start an answer, as a fraction of the objective."""
