--- a/packages/decisions/src/damaskwind/decisions/admission/service_pace.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/service_pace.py
@@ -51,7 +51,7 @@
 
     def plus(self, other: "ServiceStats") -> "ServiceStats":
         """Return the sum of two observations."""
-        return ServiceStats(*(mine + others for mine, others in zip(self, other, strict=True)))
+        return ServiceStats(*(left + right for left, right in zip(self, other, strict=True)))
 
 
 class ServiceThrottle:
@@ -62,7 +62,7 @@
     >>> throttle.update(stats, slots=6, now_s=1.0)
     >>> round(throttle.admitted_share, 2)
     0.63
-    >>> throttle.update(ServiceStats(165, 104, 2, 0, 5_000), slots=6, now_s=2.0)
+    >>> throttle.update(ServiceStats(165, 104, 2, 0, 5_000), 6, 2.0)
     >>> round(throttle.admitted_share, 2)
     0.72
     >>> round(throttle.admitted_share_at(4.0), 2), throttle.admitted_share_at(30.0)
