--- a/benchmarks/overload/plain_ways.py
+++ b/benchmarks/overload/plain_ways.py
@@ -4,10 +4,10 @@
 from random import Random
 from typing import Any, Protocol
 
+from damaskwind.decisions.admission.fair_queue import PoolRequest
 from damaskwind.decisions.admission.pool_admission import AdmissionStep, PoolAdmission, TargetSlots
-from damaskwind.decisions.admission.service_pace import ServiceStats, ServiceThrottle
+from damaskwind.decisions.admission.service_throttle import ServiceStats, ServiceThrottle
 from damaskwind.decisions.admission.start_window import WindowPolicy
-from damaskwind.decisions.admission.waiting_line import PoolRequest
 from damaskwind.decisions.load.held_requests import LoadEstimator
 from damaskwind.decisions.placement.affinity import AffinityPolicy, Candidate, choose_target
 
--- a/benchmarks/overload/simulation.py
+++ b/benchmarks/overload/simulation.py
@@ -10,13 +10,13 @@
 
 from benchmarks.overload.engines import Engine, EngineFigures, Job
 from benchmarks.overload.patterns import AFTER_S, BEFORE_S, KINDS, SURGE_S, Arrival, Pattern
+from damaskwind.decisions.admission.fair_queue import PoolRequest
 from damaskwind.decisions.admission.pool_admission import (
     AdmissionStep,
     PoolAdmission,
     TargetSlots,
 )
 from damaskwind.decisions.admission.start_window import WindowPolicy
-from damaskwind.decisions.admission.waiting_line import PoolRequest
 from damaskwind.decisions.load.held_requests import LoadEstimator, TargetLoad
 from damaskwind.decisions.load.held_sums import HeldSums
 from damaskwind.decisions.placement.affinity import (
--- a/packages/control/src/damaskwind/control/fleet/news_site.py
+++ b/packages/control/src/damaskwind/control/fleet/news_site.py
@@ -6,7 +6,7 @@
 from damaskwind.control.fleet.news_board import NewsBoard
 from damaskwind.decisions.following.document_holders import PASSING_PART, DocumentHolders
 from damaskwind.decisions.load.held_sums import HeldSum
-from damaskwind.decisions.pacing.bulk_pace import BulkPacer
+from damaskwind.decisions.pacing.bulk_pacer import BulkPacer
 from damaskwind.model.exception import MessageError
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.http1.exchange import Exchange
--- a/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
@@ -24,14 +24,14 @@
 from typing import NamedTuple
 
 from damaskwind.decisions.admission.drain_rate import DrainRate
-from damaskwind.decisions.admission.return_time import draw_retry_after_s
+from damaskwind.decisions.admission.fair_queue import FairQueue, PoolRequest
+from damaskwind.decisions.admission.retry_after import draw_retry_after_s
 from damaskwind.decisions.admission.start_window import (
     DEFAULT_POLICY,
     StartDelays,
     StartWindow,
     WindowPolicy,
 )
-from damaskwind.decisions.admission.waiting_line import FairQueue, PoolRequest
 
 __all__ = ["AdmissionDecision", "AdmissionStep", "PoolAdmission", "PoolRejection", "TargetSlots"]
 
--- a/packages/decisions/src/damaskwind/decisions/admission/service_tally.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/service_tally.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from damaskwind.decisions.admission.service_pace import ServiceStats
+from damaskwind.decisions.admission.service_throttle import ServiceStats
 
 __all__ = ["ServiceReport", "ServiceTally"]
 
--- a/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
@@ -3,10 +3,10 @@
 from random import Random
 from unittest import TestCase
 
+from damaskwind.decisions.admission.fair_queue import FairQueue, PoolRequest
 from damaskwind.decisions.admission.pool_admission import AdmissionStep, PoolAdmission, TargetSlots
-from damaskwind.decisions.admission.return_time import draw_retry_after_s
+from damaskwind.decisions.admission.retry_after import draw_retry_after_s
 from damaskwind.decisions.admission.start_window import StartWindow, WindowPolicy
-from damaskwind.decisions.admission.waiting_line import FairQueue, PoolRequest
 
 TARGET_SLOTS = [TargetSlots("a", 64.0), TargetSlots("b", 64.0)]
 
--- a/packages/decisions/src/damaskwind/decisions/load/held_sums.py
+++ b/packages/decisions/src/damaskwind/decisions/load/held_sums.py
@@ -18,8 +18,8 @@
 from collections import Counter
 from typing import NamedTuple
 
-from damaskwind.decisions.admission.service_pace import ServiceStats
 from damaskwind.decisions.admission.service_tally import ServiceReport
+from damaskwind.decisions.admission.service_throttle import ServiceStats
 
 __all__ = ["HeldCount", "HeldSum", "HeldSums"]
 
--- a/packages/router/src/damaskwind/router/forwarding/document_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/document_relay.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from damaskwind.decisions.following.document_holders import LONGEST_S, PASSING_PART
-from damaskwind.decisions.pacing.bulk_pace import BulkPacer
+from damaskwind.decisions.pacing.bulk_pacer import BulkPacer
 from damaskwind.model.exception import MessageError
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.http1.exchange import Exchange
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -5,7 +5,7 @@
 from random import Random
 from types import MappingProxyType
 
-from damaskwind.decisions.admission.return_time import draw_retry_after_pause_s
+from damaskwind.decisions.admission.retry_after import draw_retry_after_pause_s
 from damaskwind.decisions.fatal_requests.identity import identify_request
 from damaskwind.decisions.fatal_requests.suspicion import Standing
 from damaskwind.decisions.membership.target_record import TargetRecord
--- a/packages/router/src/damaskwind/router/forwarding/pool_entries.py
+++ b/packages/router/src/damaskwind/router/forwarding/pool_entries.py
@@ -3,6 +3,7 @@
 import asyncio
 from random import Random
 
+from damaskwind.decisions.admission.fair_queue import PoolRequest
 from damaskwind.decisions.admission.pool_admission import (
     AdmissionDecision,
     AdmissionStep,
@@ -10,7 +11,6 @@
     PoolRejection,
 )
 from damaskwind.decisions.admission.start_window import WindowPolicy
-from damaskwind.decisions.admission.waiting_line import PoolRequest
 from damaskwind.decisions.placement.affinity import Candidate
 from damaskwind.router.forwarding.call import Call, EntryNote
 from damaskwind.router.forwarding.target_beliefs import TargetBeliefs, free_places
--- a/packages/router/src/damaskwind/router/forwarding/service_paces.py
+++ b/packages/router/src/damaskwind/router/forwarding/service_paces.py
@@ -4,8 +4,8 @@
 
 from loguru import logger
 
-from damaskwind.decisions.admission.service_pace import ServiceStats, ServiceThrottle
 from damaskwind.decisions.admission.service_tally import ServiceReport, ServiceTally
+from damaskwind.decisions.admission.service_throttle import ServiceStats, ServiceThrottle
 from damaskwind.decisions.load.held_requests import target_digest
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.router.forwarding.call import Call
--- a/packages/router/src/damaskwind/router/forwarding/table_exchange.py
+++ b/packages/router/src/damaskwind/router/forwarding/table_exchange.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from damaskwind.decisions.membership.target_table import TargetTable
-from damaskwind.decisions.pacing.bulk_pace import BulkPacer
+from damaskwind.decisions.pacing.bulk_pacer import BulkPacer
 from damaskwind.model.exception import MessageError
 from damaskwind.model.targets import Address
 from damaskwind.runtime.clock import read_clock
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_service_paces.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_service_paces.py
@@ -1,7 +1,7 @@
 """Tests of a router that is told that a service is pressed beyond what its targets bear."""
 
-from damaskwind.decisions.admission.service_pace import ServiceStats
 from damaskwind.decisions.admission.service_tally import ServiceReport
+from damaskwind.decisions.admission.service_throttle import ServiceStats
 from damaskwind.decisions.load.held_requests import target_digest
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.router.forwarding.tests.bench import ForwarderTestCase
