--- a/packages/decisions/src/damaskwind/decisions/admission/service_tally.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/service_tally.py
@@ -30,7 +30,7 @@
     >>> tally = ServiceTally()
     >>> tally.add(ServiceStats(asked=1), 0.0); tally.add(ServiceStats(asked=1, answered=1), 0.6)
     >>> tally.recent(0.9).asked, tally.recent(1.3).asked, tally.recent(3.0)
-    (2, 1, ServiceSeen(asked=0, answered=0, late=0, turned_away=0, busy_ms=0))
+    (2, 1, ServiceStats(asked=0, answered=0, late=0, turned_away=0, busy_ms=0))
     """
 
     def __init__(self) -> None:
