--- a/packages/decisions/src/damaskwind/decisions/admission/queue.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/queue.py
@@ -4,8 +4,8 @@
 Scheduling: Deterministic Proportional-Share Resource Management", Waldspurger
 and Weihl, MIT 1995), so that none starves; ties go to the lower rank. When the
 queue is full the newest request of the lowest class is shed first. A request
-that can't be served in time gets its final answer at once, with when to come
-back, never near its deadline.
+that can't be served in time is refused at once, not close to its deadline, and
+the refusal says when to retry.
 """
 
 from collections import deque
@@ -17,16 +17,16 @@
 from damaskwind.model.reason import Reason
 from damaskwind.model.verdict import Refusal, Verdict
 
-__all__ = ["AdmissionQueue", "GivenUp", "Offer", "QueuedRequest"]
+__all__ = ["AdmissionQueue", "OfferResult", "QueuedRequest", "RefusedRequest"]
 
 SCAN_LIMIT = 32
 RESERVE_S = 0.1
-LEAST_RETRY_AFTER_S = 1.0
-LONGEST_RETRY_AFTER_S = 60.0
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 60.0
 
 
 class QueuedRequest(NamedTuple):
-    """A request that waits; `deadline_s` is its caller's, on the router's clock."""
+    """A request to queue; `deadline_s` is the caller's deadline on the router's clock."""
 
     request_id: str
     account: str
@@ -34,45 +34,46 @@
     deadline_s: float
 
 
-class GivenUp(NamedTuple):
-    """A request that leaves the queue unserved, with the answer it gets now."""
+class RefusedRequest(NamedTuple):
+    """A request that leaves the queue without being served, and its refusal."""
 
     request: QueuedRequest
     refusal: Refusal
 
 
-class Offer(NamedTuple):
-    """Whether a request was queued, and who was given up on to make room.
+class OfferResult(NamedTuple):
+    """Whether a request was queued, and the requests refused as a consequence.
 
-    A request that was not queued is itself among `given_up`.
+    `refused` holds the request that was shed to make room, or the offered request
+    itself if it was not queued.
     """
 
     queued: bool
-    given_up: tuple[GivenUp, ...] = ()
+    refused: tuple[RefusedRequest, ...] = ()
 
 
-class _Waiting(NamedTuple):
-    """A queued request and the time at which it is given up on."""
+class _QueueEntry(NamedTuple):
+    """A queued request and the time at which it expires."""
 
     request: QueuedRequest
-    give_up_s: float
+    expires_s: float
 
 
 class _ClassQueue:
-    """The waiting requests of one class and its place in the schedule."""
+    """The waiting requests of one class and its pass value in stride scheduling."""
 
     def __init__(self, priority_class: PriorityClass) -> None:
         self.priority_class = priority_class
-        self.waiting: deque[_Waiting] = deque()
-        self.passed = 0.0
+        self.waiting: deque[_QueueEntry] = deque()
+        self.pass_value = 0.0
 
 
 class AdmissionQueue:
-    """The queue before one pool of targets.
+    """The queue of requests for one pool of targets.
 
-    `limit_requests` bounds all classes together; each class has its own bound
-    and time besides. The queue holds no timer: call `expire` at the time that
-    `next_expiry_s` names.
+    `limit_requests` bounds all classes together; in addition each class has its own
+    bound and timeout. The queue has no timer: call `expire` at the time returned by
+    `next_expiry_s`.
     """
 
     def __init__(self, classes: Mapping[str, PriorityClass], limit_requests: int) -> None:
@@ -85,7 +86,7 @@
         return sum(len(queue.waiting) for queue in self._queues.values())
 
     def set_classes(self, classes: Mapping[str, PriorityClass]) -> None:
-        """Follow a new configuration; a class that went keeps what it queued."""
+        """Apply the configured classes; a removed class keeps its queued requests."""
         for name, priority_class in classes.items():
             queue = self._queues.setdefault(name, _ClassQueue(priority_class))
             queue.priority_class = priority_class
@@ -93,43 +94,43 @@
             if not self._queues[name].waiting:
                 del self._queues[name]
 
-    def offer(self, request: QueuedRequest, now_s: float) -> Offer:
-        """Queue a request, or say at once that it is given up on."""
+    def offer(self, request: QueuedRequest, now_s: float) -> OfferResult:
+        """Queue a request, or refuse it at once."""
         queue = self._queues[request.priority_class]
-        give_up_s = min(
+        expires_s = min(
             now_s + queue.priority_class.queue_timeout_s, request.deadline_s - RESERVE_S
         )
-        if now_s + self._expected_wait_s(queue) >= give_up_s:
-            return Offer(False, (self._give_up(request, "no target in time"),))
+        if now_s + self._expected_wait_s(queue) >= expires_s:
+            return OfferResult(False, (self._refuse(request, "no target in time"),))
         if len(queue.waiting) >= queue.priority_class.queue_limit_requests:
-            return Offer(False, (self._give_up(request, "its class's queue is full"),))
-        shed: tuple[GivenUp, ...] = ()
+            return OfferResult(False, (self._refuse(request, "its class's queue is full"),))
+        shed: tuple[RefusedRequest, ...] = ()
         if len(self) >= self.limit_requests:
             victim = self._shed_below(queue.priority_class.rank)
             if victim is None:
-                return Offer(False, (self._give_up(request, "the queue is full"),))
+                return OfferResult(False, (self._refuse(request, "the queue is full"),))
             shed = (victim,)
-        self._append(queue, _Waiting(request, give_up_s))
-        return Offer(True, shed)
+        self._append(queue, _QueueEntry(request, expires_s))
+        return OfferResult(True, shed)
 
-    def _append(self, queue: _ClassQueue, waiting: _Waiting) -> None:
-        """Put a request last; a class that was idle earns no credit for that."""
+    def _append(self, queue: _ClassQueue, entry: _QueueEntry) -> None:
+        """Append a request to its class; an idle class accumulates no credit."""
         if not queue.waiting:
-            busy = [other.passed for other in self._queues.values() if other.waiting]
-            queue.passed = max(queue.passed, min(busy, default=queue.passed))
-        queue.waiting.append(waiting)
+            backlogged = [other.pass_value for other in self._queues.values() if other.waiting]
+            queue.pass_value = max(queue.pass_value, min(backlogged, default=queue.pass_value))
+        queue.waiting.append(entry)
 
     def _expected_wait_s(self, queue: _ClassQueue) -> float:
-        """Estimate the wait at the end of a class from its share of the drain rate."""
+        """Estimate the wait of a new request from its class's share of the drain rate."""
         per_s = self._rate.per_s()
         if per_s is None or not queue.waiting:
             return 0.0
-        busy = [other for other in self._queues.values() if other.waiting]
-        weights = sum(other.priority_class.weight for other in busy)
+        backlogged = [other for other in self._queues.values() if other.waiting]
+        weights = sum(other.priority_class.weight for other in backlogged)
         return len(queue.waiting) / (per_s * queue.priority_class.weight / weights)
 
-    def _shed_below(self, rank: int) -> GivenUp | None:
-        """Give up on the newest request of the lowest class below `rank`."""
+    def _shed_below(self, rank: int) -> RefusedRequest | None:
+        """Remove and refuse the newest request of the lowest class below `rank`."""
         lower = [
             queue
             for queue in self._queues.values()
@@ -138,59 +139,59 @@
         if not lower:
             return None
         lowest = max(lower, key=lambda queue: queue.priority_class.rank)
-        return self._give_up(lowest.waiting.pop().request, "shed for a higher class")
+        return self._refuse(lowest.waiting.pop().request, "shed for a higher class")
 
-    def _give_up(self, request: QueuedRequest, detail: str) -> GivenUp:
-        """Make the final answer: nothing was sent, come back after the backlog."""
+    def _refuse(self, request: QueuedRequest, detail: str) -> RefusedRequest:
+        """Return a refusal: the request was not sent; retry when the backlog is served."""
         per_s = self._rate.per_s()
         fallback_s = self._queues[request.priority_class].priority_class.queue_timeout_s
         backlog_s = len(self) / per_s if per_s else fallback_s
-        retry_after_s = min(LONGEST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, backlog_s))
+        retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, backlog_s))
         refusal = Refusal(Reason.OVERLOADED, Verdict.NOT_RUN, detail, retry_after_s)
-        return GivenUp(request, refusal)
+        return RefusedRequest(request, refusal)
 
     def next_ready(
         self, now_s: float, can_run: Callable[[QueuedRequest], bool] = lambda request: True
     ) -> QueuedRequest | None:
-        """Take out the next request that `can_run`, by class and then by age.
+        """Remove and return the next request that `can_run`, by class and then by age.
 
-        Within a class at most the first `SCAN_LIMIT` requests are looked at, so
-        that one request without a target does not hold up those behind it.
+        Within a class the first `SCAN_LIMIT` requests are examined, so that a
+        request without a target does not block those behind it.
         """
-        order = sorted(
+        by_pass_value = sorted(
             (queue for queue in self._queues.values() if queue.waiting),
-            key=lambda queue: (queue.passed, queue.priority_class.rank),
+            key=lambda queue: (queue.pass_value, queue.priority_class.rank),
         )
-        for queue in order:
+        for queue in by_pass_value:
             for index in range(min(SCAN_LIMIT, len(queue.waiting))):
-                waiting = queue.waiting[index]
-                if now_s < waiting.give_up_s and can_run(waiting.request):
+                entry = queue.waiting[index]
+                if now_s < entry.expires_s and can_run(entry.request):
                     del queue.waiting[index]
-                    queue.passed += 1.0 / queue.priority_class.weight
-                    self._rate.count(now_s, backlog=bool(len(self)))
-                    return waiting.request
+                    queue.pass_value += 1.0 / queue.priority_class.weight
+                    self._rate.record_departure(now_s, backlog=bool(len(self)))
+                    return entry.request
         return None
 
-    def expire(self, now_s: float) -> tuple[GivenUp, ...]:
-        """Give up on every request whose time in the queue is over."""
-        over = []
+    def expire(self, now_s: float) -> tuple[RefusedRequest, ...]:
+        """Remove and refuse all expired requests."""
+        expired = []
         for queue in self._queues.values():
-            late = [waiting for waiting in queue.waiting if waiting.give_up_s <= now_s]
-            if late:
-                queue.waiting = deque(w for w in queue.waiting if w.give_up_s > now_s)
-                over += late
-        return tuple(self._give_up(waiting.request, "no target in time") for waiting in over)
+            class_expired = [entry for entry in queue.waiting if entry.expires_s <= now_s]
+            if class_expired:
+                queue.waiting = deque(kept for kept in queue.waiting if kept.expires_s > now_s)
+                expired += class_expired
+        return tuple(self._refuse(entry.request, "no target in time") for entry in expired)
 
     def next_expiry_s(self) -> float | None:
-        """Return when `expire` has something to do next."""
-        times = [waiting.give_up_s for queue in self._queues.values() for waiting in queue.waiting]
+        """Return when the next request expires, or `None` if the queue is empty."""
+        times = [entry.expires_s for queue in self._queues.values() for entry in queue.waiting]
         return min(times, default=None)
 
     def remove(self, request_id: str) -> bool:
-        """Take out a request whose caller went away."""
+        """Remove a request whose caller disconnected; return whether it was queued."""
         for queue in self._queues.values():
-            for index, waiting in enumerate(queue.waiting):
-                if waiting.request.request_id == request_id:
+            for index, entry in enumerate(queue.waiting):
+                if entry.request.request_id == request_id:
                     del queue.waiting[index]
                     return True
         return False
--- a/packages/decisions/src/damaskwind/decisions/retries/tests/seeded_faults.py
+++ b/packages/decisions/src/damaskwind/decisions/retries/tests/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Retry budgets with a fault put in on purpose, by name."""
+"""Retry budgets with deliberate faults, by name."""
 
 from damaskwind.decisions.retries.shared_budget import SharedRetryBudget
 
@@ -6,26 +6,26 @@
 
 
 class TakesAllSlack(SharedRetryBudget):
-    """Takes itself for the only router."""
+    """Assumes that it is the only router."""
 
     def __init__(self, terms, routers, started_s):
         super().__init__(terms, lambda: 1, started_s)
 
 
 class StartsWithSlack(SharedRetryBudget):
-    """Spends its part of the slack anew in each life."""
+    """Spends its whole share of the slack after each restart."""
 
     def __init__(self, terms, routers, started_s):
         super().__init__(terms, routers, float("-inf"))
 
 
 class ForgetsSoon(SharedRetryBudget):
-    """Forgets repeats after half a window."""
+    """Forgets retries after half a window."""
 
-    def _forget(self, now_s):
-        super()._forget(now_s)
-        while self._repeats and self._repeats[0] <= now_s - self._terms.window_s / 2:
-            self._repeats.popleft()
+    def _drop_expired(self, now_s):
+        super()._drop_expired(now_s)
+        while self._retries and self._retries[0] <= now_s - self._terms.window_s / 2:
+            self._retries.popleft()
 
 
 SEEDED_FAULTS = {
