--- a/benchmarks/overload/simulation.py
+++ b/benchmarks/overload/simulation.py
@@ -232,7 +232,7 @@
         ]
         arrival = call.arrival
         key = f"{arrival.kind.name}-{arrival.subject}".encode()
-        policy = policy_for(len(self._routers), router.loads.knows_sums(self.now_s))
+        policy = policy_for(len(self._routers), router.loads.has_sums(self.now_s))
         choice = choose_target(candidates, key, "d", policy, router.random)
         return choice.candidate.target_id
 
--- a/benchmarks/placement_gossip.py
+++ b/benchmarks/placement_gossip.py
@@ -111,7 +111,7 @@
         """Give one router the notes that it heard and count how late they are."""
         for note in event.notes:
             named = note._replace(target_id=self.engine_of[note.target_id])
-            self.placers[number].heard_spill(named, self.now_s)
+            self.placers[number].observe_spill_note(named, self.now_s)
             published_s = self.published.get((note.chat_short_digest, note.target_id))
             if published_s is not None:
                 self.heard_after_s.append(self.now_s - published_s)
@@ -133,7 +133,7 @@
         """Hand every router's notes to its gossip."""
         self.at(self.now_s + 0.5, self.gossip)
         for placer, node in zip(self.placers, self.nodes, strict=True):
-            notes = placer.take_spill_notes(self.now_s)
+            notes = placer.pop_spill_notes(self.now_s)
             named = [note._replace(target_id=self.name_of[note.target_id]) for note in notes]
             node.publish_spills(named, SETTLE_S + self.now_s)
             if self.setting.warm_up_s < self.now_s < self.setting.seconds - IN_TIME_S:
@@ -156,7 +156,7 @@
         super().sample()
         alive = [engine.name for engine in self.engines.values() if engine.alive]
         for placer in self.placers[::10]:
-            ages = [placer.book.load(name).age_s(self.now_s) for name in alive]
+            ages = [placer.load_table.load(name).age_s(self.now_s) for name in alive]
             self.ages_s += [age for age in ages if age is not None]
 
     def gossip_line(self) -> str:
--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -251,7 +251,7 @@
         """Pass every router's notes to every other one, half a second late."""
         self.at(self.now_s + GOSSIP_EVERY_S, self.gossip)
         for number, placer in enumerate(self.placers):
-            notes = placer.take_spill_notes(self.now_s)
+            notes = placer.pop_spill_notes(self.now_s)
             if self.now_s > self.setting.warm_up_s:
                 self.counts["notes"] += len(notes)
             if notes and self.setting.notes:
@@ -262,7 +262,7 @@
         for number, placer in enumerate(self.placers):
             if number != sender:
                 for note in notes:
-                    placer.heard_spill(note, self.now_s)
+                    placer.observe_spill_note(note, self.now_s)
 
     def churn(self) -> None:
         """Stop one engine for a while, and let another one flap on some routers' lists."""
@@ -309,7 +309,7 @@
         )
         placer = self.placers[0]
         for engine in alive[:: max(1, len(alive) // 50)]:
-            load = placer.book.load(engine.name)
+            load = placer.load_table.load(engine.name)
             error = placer.estimate_tokens(engine.name, self.now_s) - engine.load_tokens
             self.errors.append((error / mean, load.error_sd_tokens(self.now_s) / mean))
 
--- a/packages/decisions/src/damaskwind/decisions/load/estimate.py
+++ b/packages/decisions/src/damaskwind/decisions/load/estimate.py
@@ -16,7 +16,7 @@
 
 from damaskwind.model.targets import LoadReport
 
-__all__ = ["LoadBook", "TargetLoad"]
+__all__ = ["LoadTable", "TargetLoad"]
 
 DRIFT_WINDOW_S = 30.0
 VARIANCE_WINDOW_S = 20.0
@@ -152,10 +152,10 @@
     return max(1.0 - exp(-step_s / window_s), step_s / learned_s)
 
 
-class LoadBook:
+class LoadTable:
     """The loads of every target that one router knows.
 
-    >>> book = LoadBook()
+    >>> book = LoadTable()
     >>> book.observe("a", LoadReport(100, 1000, 1, 0, 0.5), now_s=10.0)
     >>> book.started("r1", "a", 30.0, now_s=10.1)
     >>> book.estimate_tokens("a", now_s=10.2)
--- a/packages/decisions/src/damaskwind/decisions/load/held_requests.py
+++ b/packages/decisions/src/damaskwind/decisions/load/held_requests.py
@@ -170,7 +170,7 @@
         told = self._told.get(replica, {})
         self._sums[replica] = _Sum(dict(held.counts), told, held.routers, now_s - held.age_s)
 
-    def knows_sums(self, now_s: float) -> bool:
+    def has_sums(self, now_s: float) -> bool:
         """Tell whether a replica lately told what all routers hold."""
         return self._best_sum(now_s) is not None
 
--- a/packages/decisions/src/damaskwind/decisions/load/tests/release_replay.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/release_replay.py
@@ -69,7 +69,7 @@
         names = sorted(self.known[self._index[id(loads)]])
         loads_by_name = loads.estimates(names, len(self.routers), now_s)
         candidates = [Candidate(name, "d", loads_by_name[name], SLOTS, False) for name in names]
-        policy = policy_for(len(self.routers), loads.knows_sums(now_s))
+        policy = policy_for(len(self.routers), loads.has_sums(now_s))
         choice = choose_target(candidates, key, "d", policy, self.random)
         engine = self.engines[choice.candidate.target_id]
         self.note(engine, choice.rank, now_s)
--- a/packages/decisions/src/damaskwind/decisions/load/tests/sliver_replay.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/sliver_replay.py
@@ -109,7 +109,7 @@
         """Choose as a router does, and note how that was."""
         known = loads.estimates(self.engines, len(self.routers), now_s)
         candidates = [Candidate(name, "d", known[name], SLOTS, False) for name in self.engines]
-        policy = policy_for(len(self.routers), loads.knows_sums(now_s))
+        policy = policy_for(len(self.routers), loads.has_sums(now_s))
         choice = choose_target(candidates, key, "d", policy, self.random)
         engine = self.engines[choice.candidate.target_id]
         held = [other.held for other in self.engines.values()]
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_estimate.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_estimate.py
@@ -5,7 +5,7 @@
 from statistics import pstdev
 from unittest import TestCase
 
-from damaskwind.decisions.load.estimate import LoadBook
+from damaskwind.decisions.load.estimate import LoadTable
 from damaskwind.model.targets import LoadReport
 
 
@@ -17,7 +17,7 @@
     """A report, own work since it was measured, and drift."""
 
     def setUp(self) -> None:
-        self.book = LoadBook()
+        self.book = LoadTable()
 
     def test_own_work_after_the_measurement_is_added_once(self) -> None:
         self.book.started("before", "a", 50.0, 1.0)
@@ -70,7 +70,7 @@
 
     def _errors(self, lag_s: float) -> tuple[float, float]:
         """Return the measured and the stated sd of the error at an age."""
-        random, book, load_tokens, errors = Random(7), LoadBook(), 100_000.0, []
+        random, book, load_tokens, errors = Random(7), LoadTable(), 100_000.0, []
         stated = 0.0
         for step in range(4000):
             if step > 500:
@@ -85,7 +85,7 @@
         self.assertLess(abs(stated / measured - 1.0), 0.2)
 
     def test_it_grows_with_the_square_root_of_age(self) -> None:
-        book = LoadBook()
+        book = LoadTable()
         for step, load_tokens in enumerate((1000, 1500, 900, 1600, 1000)):
             book.observe("a", _report(load_tokens), float(step))
         ratio = book.load("a").error_sd_tokens(8.0) / book.load("a").error_sd_tokens(5.0)
--- a/packages/decisions/src/damaskwind/decisions/placement/affinity.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/affinity.py
@@ -30,11 +30,11 @@
 
 # Up to so many routers, what one of them can't see of the others' sends is within the
 # slack; with more, each hears a target more seldom while all send to it.
-ROUTERS_SEEN = 16
+FULL_SLACK_ROUTERS = 16
 # A sum is half a second old: where engines hold five requests, two come in that time, and
 # with the whole slack 1 in 100 sends came above the users' bound in the worst five seconds
 # (65 routers, 30 engines, 60 requests a second), with this none.
-SUMMED_SLACK_REQUESTS = 1.5
+MIN_SLACK_WITH_SUMS_REQUESTS = 1.5
 
 
 class AffinityPolicy(NamedTuple):
@@ -42,21 +42,21 @@
 
     The users' bound is twice the mean plus three requests, seen by all routers
     together; each sees loads that are some hundred ms old, so this stays below.
-    `far_requests` is what leaving the failure domain costs, in requests. A
-    target younger than `donor_age_s` is a poor donor, since callers ask again
+    `far_penalty_requests` is what leaving the failure domain costs, in requests. A
+    target younger than `min_donor_age_s` is a poor donor, since callers ask again
     for a part only after some seconds.
     """
 
     load_factor: float = 1.6
     load_slack_requests: float = 2.5
-    far_requests: float = 0.75
-    donor_age_s: float = 6.0
+    far_penalty_requests: float = 0.75
+    min_donor_age_s: float = 6.0
 
 
-def policy_for(routers: int, knows_sums: bool = False) -> AffinityPolicy:
+def policy_for(routers: int, has_sums: bool = False) -> AffinityPolicy:
     """Return the policy of one router among so many.
 
-    One that knows what all hold together has `SUMMED_SLACK_REQUESTS` at least: at 65 to
+    One that knows what all hold together has `MIN_SLACK_WITH_SUMS_REQUESTS` at least: at 65 to
     300 routers 3 to 7 in 100 requests leave their home then, 5 to 9 with its part, and
     at most 0.5 in 100 come above the users' bound in any five seconds. For one that
     does not, the part prevents that a hot part overflows its home before most routers
@@ -67,9 +67,9 @@
     (2.5, 0.625)
     """
     policy = AffinityPolicy()
-    slack = policy.load_slack_requests * min(1.0, ROUTERS_SEEN / max(routers, 1))
-    if knows_sums:
-        slack = max(slack, SUMMED_SLACK_REQUESTS)
+    slack = policy.load_slack_requests * min(1.0, FULL_SLACK_ROUTERS / max(routers, 1))
+    if has_sums:
+        slack = max(slack, MIN_SLACK_WITH_SUMS_REQUESTS)
     return policy._replace(load_slack_requests=slack)
 
 
@@ -80,7 +80,7 @@
     has lately failed or not been heard. One that is leaving or has just left
     takes no work, but still holds what it has read. `age_s` counts from its start. One that
     `is_slow` gets work only when all others are above the bound, but is a
-    sound donor. Where it `has_told_load`, `load` rests on its own word
+    healthy donor. Where it `has_known_load`, `load` rests on its own word
     or on what all routers hold there. One that `is_held_back` serves, and counts for the
     mean, but an operator or its being cold keeps work from it.
     """
@@ -93,7 +93,7 @@
     takes_work: bool = True
     age_s: float = 3600.0
     is_slow: bool = False
-    has_told_load: bool = True
+    has_known_load: bool = True
     is_held_back: bool = False
 
 
@@ -125,7 +125,7 @@
 def choose_target(
     candidates: Sequence[Candidate],
     key: bytes | None,
-    near: str,
+    near_domain: str,
     policy: AffinityPolicy,
     random: Random,
 ) -> Choice | None:
@@ -136,21 +136,21 @@
     'b'
     """
     serving = [item for item in candidates if item.takes_work]
-    sound = [item for item in serving if not item.is_doubtful] or serving
-    if not sound:
+    healthy = [item for item in serving if not item.is_doubtful] or serving
+    if not healthy:
         return None
     if key is None:
-        return _least_loaded(sound, near, policy, random)
+        return _least_loaded(healthy, near_domain, policy, random)
     # The users' mean is that of all that serve: those that are kept from work make it lower.
     held_back = [item for item in candidates if item.is_held_back and not item.is_doubtful]
-    mean = sum(item.load for item in (*sound, *held_back)) / (len(sound) + len(held_back))
+    mean = sum(item.load for item in (*healthy, *held_back)) / (len(healthy) + len(held_back))
     bound = policy.load_factor * mean + policy.load_slack_requests
-    ranked = _rank(sound, key)
+    ranked = _rank(healthy, key)
     for rank, item in enumerate(ranked):
         if item.load < bound and not item.is_slow:
             donor_id = _donor(candidates, key, item, policy)
             return Choice(item, rank, bound, donor_id)
-    return _least_loaded(sound, near, policy, random)
+    return _least_loaded(healthy, near_domain, policy, random)
 
 
 def _rank(candidates: Sequence[Candidate], key: bytes) -> list[Candidate]:
@@ -167,17 +167,17 @@
     if chosen not in ranked:
         return ""
     others = [item for item in ranked if item is not chosen]
-    old = [item for item in others if item.age_s >= policy.donor_age_s]
+    old = [item for item in others if item.age_s >= policy.min_donor_age_s]
     return next((item.target_id for item in old or others), "")
 
 
 def _least_loaded(
-    candidates: Sequence[Candidate], near: str, policy: AffinityPolicy, random: Random
+    candidates: Sequence[Candidate], near_domain: str, policy: AffinityPolicy, random: Random
 ) -> Choice:
     """Return the least loaded target, by its share of slots; ties fall at random."""
 
     def cost(item: Candidate) -> tuple[float, float]:
-        far = 0.0 if item.failure_domain == near else policy.far_requests
+        far = 0.0 if item.failure_domain == near_domain else policy.far_penalty_requests
         return (item.load + far) / max(item.slots, 1) + item.is_slow, random.random()
 
     return Choice(min(candidates, key=cost), 0, 0.0)
--- a/packages/decisions/src/damaskwind/decisions/placement/bounded.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/bounded.py
@@ -1,7 +1,7 @@
 """Keep chats at home while it is under the load bound, and spill along their rank.
 
 A chat is first looked for where it was last served away from home, then at its
-home, then down its own ranked list. Chats that return hold their place until the
+home, then down its own ranked list. Chats that return ramp their place until the
 target nears the bound; chats that are new, or have to move anyway, take only a
 target that is well below it. Since each chat has its own ranked list, the chats
 that leave a hot target scatter over all others in place of herding onto the one
@@ -20,15 +20,15 @@
     spill_share,
 )
 from damaskwind.decisions.placement.messages import (
-    CandidateNote,
+    CandidateResult,
     CandidateOutcome,
     PlacementChoice,
     PlacementReason,
     short_digest,
 )
-from damaskwind.decisions.placement.policies import Situation, placement_policy
+from damaskwind.decisions.placement.policies import PlacementContext, placement_policy
 from damaskwind.decisions.placement.rank import rank_order, scores
-from damaskwind.decisions.placement.spills import LastPlace
+from damaskwind.decisions.placement.spills import LastTarget
 
 __all__ = ["bounded_rendezvous"]
 
@@ -36,7 +36,7 @@
 NEW_RAMP = SpillRamp(0.2, 1.0, 0.3)
 HOME_RAMP = SpillRamp(0.2, 1.0, 0.3)
 MOVE_RAMP = SpillRamp(-0.7, 1.6, 1.2)
-LEAST_ROOM_REQUESTS = 2.0
+MIN_HEADROOM_REQUESTS = 2.0
 MAX_CANDIDATES = 64
 
 
@@ -50,101 +50,103 @@
 
 
 def _candidates(
-    situation: Situation, chat_scores: list[int], last: LastPlace | None
+    context: PlacementContext, chat_scores: list[int], last: LastTarget | None
 ) -> Iterator[_Candidate]:
     """Yield the candidates in order; the full ranking is made only when needed."""
-    target_ids = situation.tier.target_ids
+    target_ids = context.tier.target_ids
     home = chat_scores.index(max(chat_scores))
-    hold = NEW_RAMP if situation.query.is_new else STAY_RAMP
+    ramp = NEW_RAMP if context.query.is_new else STAY_RAMP
     tried = set()
     if last is not None and last.target_id in target_ids:
         position = target_ids.index(last.target_id)
         reason = PlacementReason.SPILL_NOTE if last.from_peer else PlacementReason.RETURNED_TO_LAST
         tried.add(position)
-        yield _Candidate(position, 0 if position == home else -1, hold, reason)
-        hold = HOME_RAMP
+        yield _Candidate(position, 0 if position == home else -1, ramp, reason)
+        ramp = HOME_RAMP
     if home not in tried:
         tried.add(home)
-        yield _Candidate(home, 0, hold, PlacementReason.HOME)
+        yield _Candidate(home, 0, ramp, PlacementReason.HOME)
     for rank, position in enumerate(rank_order(chat_scores)[:MAX_CANDIDATES]):
         if position not in tried:
             yield _Candidate(position, rank, MOVE_RAMP, PlacementReason.SPILLED)
 
 
-def _levels(situation: Situation, target_id: str, ramp: SpillRamp) -> LoadLevels:
+def _levels(context: PlacementContext, target_id: str, ramp: SpillRamp) -> LoadLevels:
     """Return the levels of a target for a ramp."""
-    load = situation.book.load(target_id)
-    error_sd_tokens = load.error_sd_tokens(situation.now_s)
-    least_room_tokens = LEAST_ROOM_REQUESTS * situation.query.need_tokens
+    load = context.load_table.load(target_id)
+    error_sd_tokens = load.error_sd_tokens(context.now_s)
+    min_headroom_tokens = MIN_HEADROOM_REQUESTS * context.query.need_tokens
     capacity_tokens = load.capacity_tokens or float("inf")
     return levels_for(
         ramp,
-        situation.mean_tokens,
-        situation.load_factor,
+        context.mean_tokens,
+        context.load_factor,
         error_sd_tokens,
-        least_room_tokens,
+        min_headroom_tokens,
         capacity_tokens,
     )
 
 
-def _try(situation: Situation, candidate: _Candidate) -> CandidateNote:
+def _evaluate(context: PlacementContext, candidate: _Candidate) -> CandidateResult:
     """Judge one candidate."""
-    target_id = situation.tier.target_ids[candidate.position]
-    load_tokens = situation.book.estimate_tokens(target_id, situation.now_s)
-    levels = _levels(situation, target_id, candidate.ramp)
+    target_id = context.tier.target_ids[candidate.position]
+    load_tokens = context.load_table.estimate_tokens(target_id, context.now_s)
+    levels = _levels(context, target_id, candidate.ramp)
     share = spill_share(load_tokens, levels)
-    if target_id in situation.query.excluded:
+    if target_id in context.query.excluded:
         outcome = CandidateOutcome.EXCLUDED
-    elif load_tokens >= (situation.book.load(target_id).capacity_tokens or float("inf")):
+    elif load_tokens >= (context.load_table.load(target_id).capacity_tokens or float("inf")):
         outcome = CandidateOutcome.FULL
     elif share >= 1.0:
         outcome = CandidateOutcome.OVER_BOUND
-    elif share > 0.0 and _draw(situation, candidate) < share:
+    elif share > 0.0 and _draw(context, candidate) < share:
         outcome = CandidateOutcome.THINNED
     else:
         outcome = CandidateOutcome.CHOSEN
-    return CandidateNote(target_id, candidate.rank, load_tokens, levels.bound_tokens, outcome)
+    return CandidateResult(target_id, candidate.rank, load_tokens, levels.bound_tokens, outcome)
 
 
-def _draw(situation: Situation, candidate: _Candidate) -> float:
+def _draw(context: PlacementContext, candidate: _Candidate) -> float:
     """Draw the chat's number at a candidate."""
-    return spill_draw(situation.chat_key, situation.tier.seeds[candidate.position])
+    return spill_draw(context.chat_key, context.tier.seeds[candidate.position])
 
 
-def _first_under_bound(notes: list[CandidateNote]) -> CandidateNote | None:
+def _first_under_bound(results: list[CandidateResult]) -> CandidateResult | None:
     """Return the chat's first candidate that could take it, when all were over their levels.
 
     Not the least loaded one: every router would choose the same.
     """
     refused = (CandidateOutcome.EXCLUDED, CandidateOutcome.FULL)
-    for note in notes:
-        if note.outcome not in refused and note.estimated_load_tokens <= note.bound_tokens:
-            return note
+    for result in results:
+        if result.outcome not in refused and result.estimated_load_tokens <= result.bound_tokens:
+            return result
     return None
 
 
-def _remember(situation: Situation, target_id: str, rank: int, last: LastPlace | None) -> None:
+def _record_spill(
+    context: PlacementContext, target_id: str, rank: int, last: LastTarget | None
+) -> None:
     """Note a chat that is served away from home, or that is back from there."""
-    if not situation.is_part and (rank != 0 or last is not None):
-        chat = short_digest(situation.query.chat_digest)
-        situation.memory.note(chat, target_id, situation.now_s)
+    if not context.is_shard and (rank != 0 or last is not None):
+        chat = short_digest(context.query.chat_digest)
+        context.spills.record(chat, target_id, context.now_s)
 
 
 @placement_policy("bounded_rendezvous")
-def bounded_rendezvous(situation: Situation) -> PlacementChoice:
+def bounded_rendezvous(context: PlacementContext) -> PlacementChoice:
     """Place a chat under the load bound, as near to its cache as the bound allows."""
-    chat = short_digest(situation.query.chat_digest)
-    last = None if situation.is_part else situation.memory.last(chat, situation.now_s)
-    chat_scores = scores(situation.chat_key, situation.tier.seeds)
-    notes: list[CandidateNote] = []
-    for candidate in _candidates(situation, chat_scores, last):
-        note = _try(situation, candidate)
-        notes.append(note)
-        if note.outcome is CandidateOutcome.CHOSEN:
-            _remember(situation, note.target_id, note.rank, last)
-            return PlacementChoice(note.target_id, candidate.reason, tuple(notes))
-    fallback = _first_under_bound(notes)
+    chat = short_digest(context.query.chat_digest)
+    last = None if context.is_shard else context.spills.last_target(chat, context.now_s)
+    chat_scores = scores(context.chat_key, context.tier.seeds)
+    results: list[CandidateResult] = []
+    for candidate in _candidates(context, chat_scores, last):
+        result = _evaluate(context, candidate)
+        results.append(result)
+        if result.outcome is CandidateOutcome.CHOSEN:
+            _record_spill(context, result.target_id, result.rank, last)
+            return PlacementChoice(result.target_id, candidate.reason, tuple(results))
+    fallback = _first_under_bound(results)
     if fallback is None:
-        return PlacementChoice(None, PlacementReason.NONE_UNDER_BOUND, tuple(notes))
-    _remember(situation, fallback.target_id, fallback.rank, last)
-    return PlacementChoice(fallback.target_id, PlacementReason.SPILLED, tuple(notes))
+        return PlacementChoice(None, PlacementReason.NONE_UNDER_BOUND, tuple(results))
+    _record_spill(context, fallback.target_id, fallback.rank, last)
+    return PlacementChoice(fallback.target_id, PlacementReason.SPILLED, tuple(results))
--- a/packages/decisions/src/damaskwind/decisions/placement/messages.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/messages.py
@@ -5,13 +5,13 @@
 
 __all__ = [
     "SHORT_DIGEST_HEX",
-    "CandidateNote",
+    "CandidateResult",
     "CandidateOutcome",
     "PlacementChoice",
     "PlacementQuery",
     "PlacementReason",
     "PoolName",
-    "PoolSurvey",
+    "PoolSnapshot",
     "RankedTarget",
     "SpillNote",
     "short_digest",
@@ -83,7 +83,7 @@
     is_new: bool = False
 
 
-class CandidateNote(NamedTuple):
+class CandidateResult(NamedTuple):
     """How one target looked when it was considered."""
 
     target_id: str
@@ -102,7 +102,7 @@
 
     target_id: str | None
     reason: PlacementReason
-    candidates: tuple[CandidateNote, ...]
+    candidates: tuple[CandidateResult, ...]
 
 
 class RankedTarget(NamedTuple):
@@ -112,7 +112,7 @@
     estimated_load_tokens: float
 
 
-class PoolSurvey(NamedTuple):
+class PoolSnapshot(NamedTuple):
     """How the near targets of a pool stood at a placement, asked or not.
 
     `first_in_rank` begins with the chat's home.
--- a/packages/decisions/src/damaskwind/decisions/placement/policies.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/policies.py
@@ -1,6 +1,6 @@
 """The registry of placement policies, and the baselines to measure against.
 
-A policy is a function from a `Situation` to a `PlacementChoice`; decorate it with
+A policy is a function from a `PlacementContext` to a `PlacementChoice`; decorate it with
 `placement_policy` to give it a name that a configuration can use.
 """
 
@@ -8,9 +8,9 @@
 from random import Random
 from typing import NamedTuple
 
-from damaskwind.decisions.load.estimate import LoadBook
+from damaskwind.decisions.load.estimate import LoadTable
 from damaskwind.decisions.placement.messages import (
-    CandidateNote,
+    CandidateResult,
     CandidateOutcome,
     PlacementChoice,
     PlacementQuery,
@@ -18,32 +18,32 @@
 )
 from damaskwind.decisions.placement.pools import Tier
 from damaskwind.decisions.placement.rank import scores
-from damaskwind.decisions.placement.spills import SpillMemory
+from damaskwind.decisions.placement.spills import SpillCache
 
-__all__ = ["PLACEMENT_POLICIES", "Situation", "placement_policy"]
+__all__ = ["PLACEMENT_POLICIES", "PlacementContext", "placement_policy"]
 
 
-class Situation(NamedTuple):
+class PlacementContext(NamedTuple):
     """All that a policy may look at.
 
     `chat_key` is what to hash: the chat's digest, or for one of many parallel
-    requests of one chat the digest and a part number; then `is_part` is set.
+    requests of one chat the digest and a part number; then `is_shard` is set.
     """
 
     query: PlacementQuery
     tier: Tier
     chat_key: bytes
-    is_part: bool
-    book: LoadBook
-    memory: SpillMemory
+    is_shard: bool
+    load_table: LoadTable
+    spills: SpillCache
     mean_tokens: float
     load_factor: float
     random: Random
-    turns: Iterator[int]
+    round_robin_counter: Iterator[int]
     now_s: float
 
 
-Policy = Callable[[Situation], PlacementChoice]
+Policy = Callable[[PlacementContext], PlacementChoice]
 PLACEMENT_POLICIES: dict[str, Policy] = {}
 
 
@@ -57,55 +57,55 @@
     return register
 
 
-def _allowed(situation: Situation) -> list[int]:
+def _allowed(context: PlacementContext) -> list[int]:
     """Return the positions of the targets that the query does not exclude."""
-    excluded = situation.query.excluded
-    return [i for i, name in enumerate(situation.tier.target_ids) if name not in excluded]
+    excluded = context.query.excluded
+    return [i for i, name in enumerate(context.tier.target_ids) if name not in excluded]
 
 
-def _estimate(situation: Situation, position: int) -> float:
+def _estimate(context: PlacementContext, position: int) -> float:
     """Return the estimated load of the target at a position."""
-    target_id = situation.tier.target_ids[position]
-    return situation.book.estimate_tokens(target_id, situation.now_s)
+    target_id = context.tier.target_ids[position]
+    return context.load_table.estimate_tokens(target_id, context.now_s)
 
 
-def _baseline_choice(situation: Situation, position: int) -> PlacementChoice:
+def _baseline_choice(context: PlacementContext, position: int) -> PlacementChoice:
     """Wrap a baseline's pick."""
-    target_id = situation.tier.target_ids[position]
-    load_tokens = _estimate(situation, position)
-    note = CandidateNote(target_id, 0, load_tokens, float("inf"), CandidateOutcome.CHOSEN)
-    return PlacementChoice(target_id, PlacementReason.BASELINE, (note,))
+    target_id = context.tier.target_ids[position]
+    load_tokens = _estimate(context, position)
+    result = CandidateResult(target_id, 0, load_tokens, float("inf"), CandidateOutcome.CHOSEN)
+    return PlacementChoice(target_id, PlacementReason.BASELINE, (result,))
 
 
 @placement_policy("round_robin")
-def round_robin(situation: Situation) -> PlacementChoice:
+def round_robin(context: PlacementContext) -> PlacementChoice:
     """Give each target a request in turn."""
-    allowed = _allowed(situation)
-    return _baseline_choice(situation, allowed[next(situation.turns) % len(allowed)])
+    allowed = _allowed(context)
+    return _baseline_choice(context, allowed[next(context.round_robin_counter) % len(allowed)])
 
 
 @placement_policy("least_loaded")
-def least_loaded(situation: Situation) -> PlacementChoice:
+def least_loaded(context: PlacementContext) -> PlacementChoice:
     """Choose the target with the least estimated load."""
-    allowed = _allowed(situation)
-    return _baseline_choice(situation, min(allowed, key=lambda i: _estimate(situation, i)))
+    allowed = _allowed(context)
+    return _baseline_choice(context, min(allowed, key=lambda i: _estimate(context, i)))
 
 
 @placement_policy("two_choices")
-def two_choices(situation: Situation) -> PlacementChoice:
+def two_choices(context: PlacementContext) -> PlacementChoice:
     """Choose the less loaded of two targets drawn at random.
 
     Mitzenmacher, "The power of two choices in randomized load balancing", IEEE
     Transactions on Parallel and Distributed Systems 12(10), 2001.
     """
-    allowed = _allowed(situation)
-    drawn = situation.random.sample(allowed, min(2, len(allowed)))
-    return _baseline_choice(situation, min(drawn, key=lambda i: _estimate(situation, i)))
+    allowed = _allowed(context)
+    drawn = context.random.sample(allowed, min(2, len(allowed)))
+    return _baseline_choice(context, min(drawn, key=lambda i: _estimate(context, i)))
 
 
 @placement_policy("rendezvous")
-def rendezvous(situation: Situation) -> PlacementChoice:
+def rendezvous(context: PlacementContext) -> PlacementChoice:
     """Choose the chat's first ranked target, whatever its load."""
-    chat_scores = scores(situation.chat_key, situation.tier.seeds)
-    best = max(_allowed(situation), key=chat_scores.__getitem__)
-    return _baseline_choice(situation, best)
+    chat_scores = scores(context.chat_key, context.tier.seeds)
+    best = max(_allowed(context), key=chat_scores.__getitem__)
+    return _baseline_choice(context, best)
--- a/packages/decisions/src/damaskwind/decisions/placement/pools.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/pools.py
@@ -43,7 +43,7 @@
     )
 
 
-def _membership(view: TargetView) -> tuple[object, ...]:
+def _pool_attributes(view: TargetView) -> tuple[object, ...]:
     """Return what decides to which pools a target belongs."""
     return (view.state, view.ejected, view.service, view.failure_domain, view.models)
 
@@ -55,7 +55,7 @@
         self._is_near = is_near
         self._views: dict[str, TargetView] = {}
         self._pools: dict[PoolName, Pool] = {}
-        self._numbers = count()
+        self._tier_numbers = count()
 
     def set_nearness(self, is_near: Callable[[str], bool]) -> None:
         """Change which failure domains are near."""
@@ -66,7 +66,7 @@
         """Add or replace a target; pools are rebuilt only when membership changed."""
         known = self._views.get(view.target_id)
         self._views[view.target_id] = view
-        if known is None or _membership(known) != _membership(view):
+        if known is None or _pool_attributes(known) != _pool_attributes(view):
             self._pools.clear()
 
     def remove(self, target_id: str) -> None:
@@ -102,4 +102,4 @@
         """Make a tier, in a fixed order."""
         target_ids = tuple(sorted(view.target_id for view in views))
         seeds = tuple(target_seed(target_id) for target_id in target_ids)
-        return Tier(next(self._numbers), target_ids, seeds)
+        return Tier(next(self._tier_numbers), target_ids, seeds)
--- a/packages/decisions/src/damaskwind/decisions/placement/tests/test_placer.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/tests/test_placer.py
@@ -122,8 +122,8 @@
         spilled = self.made.place(query("chat"), 1.0)
         self.assertEqual(spilled.reason, PlacementReason.SPILLED)
         self.assertNotEqual(spilled.target_id, self.home)
-        for note in self.made.take_spill_notes(1.1):
-            peer.heard_spill(note, 1.2)
+        for note in self.made.pop_spill_notes(1.1):
+            peer.observe_spill_note(note, 1.2)
         cool = dict.fromkeys(NAMES, 10000.0)
         report(self.made, cool, 2.0)
         report(peer, cool, 2.0)
--- a/packages/router/src/damaskwind/router/explain.py
+++ b/packages/router/src/damaskwind/router/explain.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 from typing import Any, NamedTuple
 
-from damaskwind.decisions.placement.messages import CandidateNote, PlacementChoice, PoolSurvey
+from damaskwind.decisions.placement.messages import CandidateResult, PlacementChoice, PoolSnapshot
 from damaskwind.model.reason import Reason
 from damaskwind.model.verdict import Verdict
 
@@ -31,8 +31,8 @@
     target_id: str | None
     reason: str
     considered: int
-    candidates: tuple[CandidateNote, ...]
-    pool: PoolSurvey
+    candidates: tuple[CandidateResult, ...]
+    pool: PoolSnapshot
 
     def as_table(self) -> dict[str, Any]:
         """Return the placement as a plain table for JSON."""
@@ -64,7 +64,7 @@
         """Return the milliseconds since the request came."""
         return round((now_s - self.started_s) * 1000, 2)
 
-    def chose(self, choice: PlacementChoice, pool: PoolSurvey, now_s: float) -> None:
+    def chose(self, choice: PlacementChoice, pool: PoolSnapshot, now_s: float) -> None:
         """Note a placement."""
         considered = len(choice.candidates)
         kept = choice.candidates[:_MAX_CANDIDATES]
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -313,7 +313,7 @@
             candidates,
             call.key,
             self._failure_domain,
-            policy_for(self.view.routers, self.beliefs.loads.knows_sums(now_s)),
+            policy_for(self.view.routers, self.beliefs.loads.has_sums(now_s)),
             self._random,
         )
         if choice is None:
--- a/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
@@ -45,7 +45,7 @@
     Of one that tells no load nothing is known: a guess from own sends would have
     requests wait, and be turned away, while its places are free.
     """
-    held = candidate.load if candidate.has_told_load else 0.0
+    held = candidate.load if candidate.has_known_load else 0.0
     return TargetPlaces(candidate.target_id, candidate.slots - held)
 
 
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
@@ -50,7 +50,7 @@
         self.start_again(0, BORN_MS + 1)
         self.assertFalse(candidate().is_doubtful)
         self.assertFalse(candidate().is_slow)
-        self.assertFalse(candidate().has_told_load)
+        self.assertFalse(candidate().has_known_load)
         self.assertEqual(beliefs.loads.own("t0"), 0)
         self.assertLess(candidate().age_s, 1.0)
 
--- a/packages/router/src/damaskwind/router/placing.py
+++ b/packages/router/src/damaskwind/router/placing.py
@@ -85,7 +85,7 @@
         choice = placer.place(query, now_s)
         target = self._directory.find(choice.target_id) if choice.target_id else None
         if target is not None or not again:
-            survey = placer.survey(query, _RANKED_SHOWN[work.kind], now_s)
+            survey = placer.pool_snapshot(query, _RANKED_SHOWN[work.kind], now_s)
             work.record.chose(choice, survey, now_s)
         if target is None:
             if not again:
--- a/packages/router/src/damaskwind/router/process.py
+++ b/packages/router/src/damaskwind/router/process.py
@@ -210,7 +210,7 @@
 
     def _publish_spills(self) -> None:
         """Tell the peers of this failure domain where chats went that left home."""
-        notes = self.directory.take_spill_notes()
+        notes = self.directory.pop_spill_notes()
         if notes:
             self.membership.publish_spills(notes)
 
--- a/packages/router/src/damaskwind/router/target_directory.py
+++ b/packages/router/src/damaskwind/router/target_directory.py
@@ -155,8 +155,8 @@
         """Learn where chats were last served away from home."""
         now_s = self._clock.seconds()
         for note in event.notes:
-            self.placers[TargetKind.ENGINE].heard_spill(note, now_s)
+            self.placers[TargetKind.ENGINE].observe_spill_note(note, now_s)
 
-    def take_spill_notes(self) -> tuple[SpillNote, ...]:
+    def pop_spill_notes(self) -> tuple[SpillNote, ...]:
         """Return own notes that the peers have not heard yet."""
-        return self.placers[TargetKind.ENGINE].take_spill_notes(self._clock.seconds())
+        return self.placers[TargetKind.ENGINE].pop_spill_notes(self._clock.seconds())
