--- a/benchmarks/overload/simulation.py
+++ b/benchmarks/overload/simulation.py
@@ -18,7 +18,7 @@
 from damaskwind.decisions.admission.start_window import WindowPolicy
 from damaskwind.decisions.admission.waiting_line import Ticket
 from damaskwind.decisions.load.held_requests import LoadEstimator, TargetLoad
-from damaskwind.decisions.load.held_sums import HeldSums
+from damaskwind.decisions.load.held_sums import HeldAggregator
 from damaskwind.decisions.placement.affinity import (
     AffinityPolicy,
     Candidate,
@@ -106,7 +106,7 @@
         self._routers = [
             _Router(f"r{n}", Random(seed * 100 + n), routers, engines) for n in range(routers)
         ]
-        self._replicas = {f"replica{n}": HeldSums() for n in range(REPLICAS)}
+        self._replicas = {f"replica{n}": HeldAggregator() for n in range(REPLICAS)}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count(1)
         self._calls: dict[int, tuple[_Router, _Call]] = {}
@@ -133,10 +133,10 @@
     def _call(self, router: _Router, replica: str) -> None:
         """A router tells a replica what it holds; the answer comes a second later."""
         sums = self._replicas[replica]
-        sums.tell(router.name, router.loads.tell(replica), self.now_s)
+        sums.report(router.name, router.loads.report_to(replica), self.now_s)
 
         def answer() -> None:
-            router.loads.take_sum(replica, sums.total(self.now_s), self.now_s)
+            router.loads.observe_sum(replica, sums.total(self.now_s), self.now_s)
             self._call(router, replica)
 
         self._at(self.now_s + CALL_S, answer)
@@ -208,7 +208,7 @@
 
     def _places(self, router: _Router) -> list[TargetPlaces]:
         loads = self._loads(router)
-        known = router.loads.known(self._engines, self.now_s)
+        known = router.loads.known_targets(self._engines, self.now_s)
         return [
             TargetPlaces(name, self._figures.slots - loads[name] * (name in known))
             for name, engine in self._engines.items()
@@ -269,7 +269,7 @@
             if call.is_over:
                 continue
             call.is_over = True
-            router.loads.reported(engine.name, word, self.now_s)
+            router.loads.observe_report(engine.name, word, self.now_s)
             router.entry.begun(job.number, self.now_s)
             took_s = self.now_s - call.arrival.at_s
             end = "in time" if took_s <= call.arrival.kind.objective_s else "late"
--- a/packages/control/src/damaskwind/control/fleet/news_board.py
+++ b/packages/control/src/damaskwind/control/fleet/news_board.py
@@ -11,7 +11,7 @@
 from damaskwind.control.fleet.heard_targets import HeardTargets
 from damaskwind.decisions.fatal_requests.suspicion import Suspicion, SuspicionTable
 from damaskwind.decisions.following.reading_places import PassingPlace
-from damaskwind.decisions.load.held_sums import HeldSum, HeldSums
+from damaskwind.decisions.load.held_sums import HeldAggregator, HeldSum
 from damaskwind.decisions.membership.report_places import ReportPlaces
 from damaskwind.decisions.membership.target_record import TargetRecord
 from damaskwind.decisions.membership.target_table import Changes, TargetTable
@@ -82,7 +82,7 @@
         evacuations: Callable[[], Evacuations] = Evacuations,
     ) -> None:
         self.table = TargetTable()
-        self.held = HeldSums()
+        self.held = HeldAggregator()
         self.suspicions = SuspicionTable()
         self.epoch = secrets.token_hex(4)
         self._version = version
@@ -278,7 +278,7 @@
         if request.kind == SubscriberKind.REPLICA:
             self.wake()
         else:
-            self.held.tell(request.node_id, request.held, now_s, request.services)
+            self.held.report(request.node_id, request.held, now_s, request.services)
             self.merge(request.records, request.heard)
             for target_id, age_s, _ in request.heard:
                 self._heard.note_at_router(target_id, now_s - age_s)
--- a/packages/control/src/damaskwind/control/fleet/news_site.py
+++ b/packages/control/src/damaskwind/control/fleet/news_site.py
@@ -115,7 +115,7 @@
         Routers hear of it from the other replicas, and here with the next answer.
         """
         now_s = read_clock()
-        size_bytes = HELD_BYTES * self._board.held.targets
+        size_bytes = HELD_BYTES * self._board.held.target_count
         if not self._held_pace.may_go(size_bytes, now_s):
             self._tallies.count("held_sums", sent="no")
             return None
--- a/packages/decisions/src/damaskwind/decisions/health/circuit.py
+++ b/packages/decisions/src/damaskwind/decisions/health/circuit.py
@@ -22,7 +22,7 @@
     Either `consecutive_failures` in a row, or `failure_share` of the last
     `sample_size` outcomes, make it an outlier. The n-th ejection lasts
     `ejection_base_s` doubled n - 1 times, at most `ejection_limit_s`, stretched
-    by up to `jitter_share`. A target that stayed closed for `forgive_s` starts
+    by up to `jitter_share`. A target that stayed closed for `reset_after_s` starts
     again from the base.
     """
 
@@ -33,7 +33,7 @@
     consecutive_failures: int = 5
     failure_share: float = 0.5
     sample_size: int = 20
-    forgive_s: float = 60.0
+    reset_after_s: float = 60.0
     trial_timeout_s: float = 30.0
 
 
@@ -44,7 +44,7 @@
         self.policy = policy
         self.open_until_s = 0.0
         self._outcomes: deque[bool] = deque(maxlen=policy.sample_size)
-        self._failures_in_row = 0
+        self._consecutive_failures = 0
         self._ejections = 0
         self._closed_since_s = 0.0
         self._trial_until_s = 0.0
@@ -57,7 +57,7 @@
 
     def is_outlier(self) -> bool:
         """Tell whether the recent outcomes justify an ejection."""
-        if self._failures_in_row >= self.policy.consecutive_failures:
+        if self._consecutive_failures >= self.policy.consecutive_failures:
             return True
         failures = self._outcomes.count(False)
         full = len(self._outcomes) == self.policy.sample_size
@@ -66,7 +66,7 @@
     def observe(self, succeeded: bool, now_s: float, random: Random) -> None:
         """Note how a request ended."""
         self._outcomes.append(succeeded)
-        self._failures_in_row = 0 if succeeded else self._failures_in_row + 1
+        self._consecutive_failures = 0 if succeeded else self._consecutive_failures + 1
         self._machine.feed("succeed" if succeeded else "fail", now_s, random)
 
     def eject(self, now_s: float, random: Random) -> None:
@@ -86,13 +86,13 @@
         """Tell whether a half-open circuit may take its one trial now."""
         return self.state == _HALF_OPEN and now_s >= self._trial_until_s
 
-    def take_trial(self, now_s: float) -> None:
+    def start_trial(self, now_s: float) -> None:
         """Hand out the trial; one whose end is never told is given up on in time."""
         self._trial_until_s = now_s + self.policy.trial_timeout_s
 
     def start_ejection(self, now_s: float, random: Random) -> None:
         """Chart action: choose how long the circuit stays open."""
-        if self._ejections and now_s - self._closed_since_s > self.policy.forgive_s:
+        if self._ejections and now_s - self._closed_since_s > self.policy.reset_after_s:
             self._ejections = 0
         length_s = min(
             self.policy.ejection_limit_s, self.policy.ejection_base_s * 2**self._ejections
@@ -108,5 +108,5 @@
     def clear_failures(self, now_s: float, random: Random | None) -> None:
         """Chart action: forget the failures from before the ejection."""
         self._outcomes.clear()
-        self._failures_in_row = 0
+        self._consecutive_failures = 0
         self._closed_since_s = now_s
--- a/packages/decisions/src/damaskwind/decisions/health/ejection.py
+++ b/packages/decisions/src/damaskwind/decisions/health/ejection.py
@@ -49,7 +49,7 @@
         """Return how many targets may be out at once."""
         return int(self.policy.ejection_share * len(self._circuits) + 1e-9)
 
-    def _count_out(self) -> int:
+    def _ejected_count(self) -> int:
         """Count the targets that are not closed."""
         return sum(circuit.state != _CLOSED for circuit in self._circuits.values())
 
@@ -64,7 +64,11 @@
         if circuit is None:
             return
         circuit.observe(succeeded, now_s, random)
-        if circuit.is_outlier() and circuit.state == _CLOSED and self._count_out() < self.limit():
+        if (
+            circuit.is_outlier()
+            and circuit.state == _CLOSED
+            and self._ejected_count() < self.limit()
+        ):
             circuit.eject(now_s, random)
 
     def may_send(self, target_id: str, now_s: float, random: Random) -> bool:
@@ -81,7 +85,7 @@
         """Say that a request is being sent; it uses up a half-open circuit's trial."""
         circuit = self._circuits.get(target_id)
         if circuit is not None and circuit.has_trial(now_s):
-            circuit.take_trial(now_s)
+            circuit.start_trial(now_s)
 
     def ejected(self, now_s: float, random: Random) -> frozenset[str]:
         """Return the targets that may not be sent anything now."""
--- a/packages/decisions/src/damaskwind/decisions/load/bound.py
+++ b/packages/decisions/src/damaskwind/decisions/load/bound.py
@@ -23,12 +23,12 @@
     `centre` is a share of the way from the mean to the bound; `half_width_sds`
     is counted in standard deviations of the estimate's error, so that the share
     that spills is near the chance that the target is really over the centre. It
-    is never less than `least_half_width`, again a share of the way from the mean.
+    is never less than `min_half_width`, again a share of the way from the mean.
     """
 
     centre: float
     half_width_sds: float
-    least_half_width: float
+    min_half_width: float
 
 
 class LoadLevels(NamedTuple):
@@ -44,27 +44,27 @@
     mean_tokens: float,
     load_factor: float,
     error_sd_tokens: float,
-    least_room_tokens: float,
+    min_headroom_tokens: float,
     capacity_tokens: float,
 ) -> LoadLevels:
     """Return the levels of a target.
 
     The older the report, the larger the error and the more gradual the spilling:
     a loop that reacts as sharply to old news as to fresh news swings. The way
-    from the mean to the bound is at least `least_room_tokens`: at a low load a
+    from the mean to the bound is at least `min_headroom_tokens`: at a low load a
     request or two would else count as a hot target.
 
     >>> levels_for(SpillRamp(0.5, 2.0, 0.1), 100.0, 1.5, 10.0, 0.0, 1000.0)
     LoadLevels(start_tokens=105.0, full_tokens=145.0, bound_tokens=150.0)
     """
-    room_tokens = max(mean_tokens * (load_factor - 1.0), least_room_tokens)
-    centre_tokens = mean_tokens + ramp.centre * room_tokens
+    headroom_tokens = max(mean_tokens * (load_factor - 1.0), min_headroom_tokens)
+    centre_tokens = mean_tokens + ramp.centre * headroom_tokens
     half_width_tokens = max(
-        ramp.half_width_sds * error_sd_tokens, ramp.least_half_width * room_tokens
+        ramp.half_width_sds * error_sd_tokens, ramp.min_half_width * headroom_tokens
     )
     start = max(centre_tokens - half_width_tokens, 0.0)
     full = centre_tokens + half_width_tokens
-    bound = mean_tokens + room_tokens
+    bound = mean_tokens + headroom_tokens
     return LoadLevels(
         min(start, capacity_tokens), min(full, capacity_tokens), min(bound, capacity_tokens)
     )
--- a/packages/decisions/src/damaskwind/decisions/load/estimate.py
+++ b/packages/decisions/src/damaskwind/decisions/load/estimate.py
@@ -16,16 +16,16 @@
 
 from damaskwind.model.targets import LoadReport
 
-__all__ = ["LoadTable", "TargetLoad"]
+__all__ = ["LoadModel", "LoadTable"]
 
 DRIFT_WINDOW_S = 30.0
 VARIANCE_WINDOW_S = 20.0
 MAX_EXTRAPOLATION_S = 2.0
 SILENT_AFTER_S = 15.0
-LEARN_STEP_S = 0.7
+MIN_LEARNING_STEP_S = 0.7
 
 
-class TargetLoad:
+class LoadModel:
     """What one router knows of one target's load.
 
     `capacity_tokens` is 0 until the target has reported it.
@@ -38,8 +38,8 @@
         "_learned_s",
         "_measured_s",
         "_own_in_flight",
-        "_own_since",
-        "_own_since_tokens",
+        "_own_since_report",
+        "_own_since_report_tokens",
         "_own_tokens",
         "_report_tokens",
         "_variance_per_s",
@@ -57,15 +57,15 @@
         self._learned_s = 0.0
         self._own_in_flight: dict[str, float] = {}
         self._own_tokens = 0.0
-        self._own_since: deque[tuple[float, float]] = deque()
-        self._own_since_tokens = 0.0
+        self._own_since_report: deque[tuple[float, float]] = deque()
+        self._own_since_report_tokens = 0.0
 
     def observe(self, report: LoadReport, now_s: float) -> None:
         """Take in a report; one measured before the last one is ignored."""
         measured_s = now_s - report.age_s
         if self._measured_s is not None and measured_s <= self._measured_s:
             return
-        placed_tokens = self._forget_own_before(measured_s)
+        placed_tokens = self._drop_covered_placements(measured_s)
         self._learn_from(float(report.load_tokens), measured_s, placed_tokens)
         self._report_tokens = float(report.load_tokens)
         self._measured_s = measured_s
@@ -80,37 +80,37 @@
         """
         self._base_tokens += placed_tokens
         step_s = measured_s - self._base_s if self._measured_s is not None else 0.0
-        if step_s >= LEARN_STEP_S:
-            self._learn(load_tokens - self._base_tokens, step_s)
-        if step_s >= LEARN_STEP_S or self._measured_s is None:
+        if step_s >= MIN_LEARNING_STEP_S:
+            self._update_model(load_tokens - self._base_tokens, step_s)
+        if step_s >= MIN_LEARNING_STEP_S or self._measured_s is None:
             self._base_tokens = load_tokens
             self._base_s = measured_s
 
-    def _learn(self, moved_tokens: float, step_s: float) -> None:
+    def _update_model(self, moved_tokens: float, step_s: float) -> None:
         """Learn the peers' drift and its variance from the step between two reports."""
-        surprise_tokens = moved_tokens - self._drift_tokens_per_s * step_s
+        innovation_tokens = moved_tokens - self._drift_tokens_per_s * step_s
         self._learned_s += step_s
         drift_gain = _gain(step_s, self._learned_s, DRIFT_WINDOW_S)
         variance_gain = _gain(step_s, self._learned_s, VARIANCE_WINDOW_S)
-        self._drift_tokens_per_s += drift_gain * surprise_tokens / step_s
+        self._drift_tokens_per_s += drift_gain * innovation_tokens / step_s
         self._variance_per_s += variance_gain * (
-            surprise_tokens * surprise_tokens / step_s - self._variance_per_s
+            innovation_tokens * innovation_tokens / step_s - self._variance_per_s
         )
 
-    def _forget_own_before(self, measured_s: float) -> float:
+    def _drop_covered_placements(self, measured_s: float) -> float:
         """Drop own placements that a report covers; return their tokens."""
         covered_tokens = 0.0
-        while self._own_since and self._own_since[0][0] <= measured_s:
-            covered_tokens += self._own_since.popleft()[1]
-        self._own_since_tokens = sum(tokens for _, tokens in self._own_since)
+        while self._own_since_report and self._own_since_report[0][0] <= measured_s:
+            covered_tokens += self._own_since_report.popleft()[1]
+        self._own_since_report_tokens = sum(tokens for _, tokens in self._own_since_report)
         return covered_tokens
 
     def started(self, request_id: str, need_tokens: float, now_s: float) -> None:
         """Count work that this router just sent."""
         self._own_in_flight[request_id] = need_tokens
         self._own_tokens += need_tokens
-        self._own_since.append((now_s, need_tokens))
-        self._own_since_tokens += need_tokens
+        self._own_since_report.append((now_s, need_tokens))
+        self._own_since_report_tokens += need_tokens
 
     def finished(self, request_id: str, done: bool, now_s: float) -> None:
         """Take ended work out of what this router has in flight.
@@ -121,8 +121,8 @@
         need_tokens = self._own_in_flight.pop(request_id, 0.0)
         self._own_tokens = self._own_tokens - need_tokens if self._own_in_flight else 0.0
         if not done:
-            self._own_since.append((now_s, -need_tokens))
-            self._own_since_tokens -= need_tokens
+            self._own_since_report.append((now_s, -need_tokens))
+            self._own_since_report_tokens -= need_tokens
 
     def age_s(self, now_s: float) -> float | None:
         """Return how long ago the last report was measured, if there is one."""
@@ -137,7 +137,9 @@
         if self._measured_s is None or now_s - self._measured_s > SILENT_AFTER_S:
             return self._own_tokens * router_count
         ahead_s = min(now_s - self._measured_s, MAX_EXTRAPOLATION_S)
-        estimate = self._report_tokens + self._own_since_tokens + self._drift_tokens_per_s * ahead_s
+        estimate = (
+            self._report_tokens + self._own_since_report_tokens + self._drift_tokens_per_s * ahead_s
+        )
         return estimate if estimate > 0.0 else 0.0
 
     def error_sd_tokens(self, now_s: float) -> float:
@@ -155,23 +157,23 @@
 class LoadTable:
     """The loads of every target that one router knows.
 
-    >>> book = LoadTable()
-    >>> book.observe("a", LoadReport(100, 1000, 1, 0, 0.5), now_s=10.0)
-    >>> book.started("r1", "a", 30.0, now_s=10.1)
-    >>> book.estimate_tokens("a", now_s=10.2)
+    >>> table = LoadTable()
+    >>> table.observe("a", LoadReport(100, 1000, 1, 0, 0.5), now_s=10.0)
+    >>> table.started("r1", "a", 30.0, now_s=10.1)
+    >>> table.estimate_tokens("a", now_s=10.2)
     130.0
     """
 
     def __init__(self) -> None:
-        self._loads: dict[str, TargetLoad] = {}
+        self._loads: dict[str, LoadModel] = {}
         self._target_of_request: dict[str, str] = {}
         self.router_count = 1
 
-    def load(self, target_id: str) -> TargetLoad:
+    def load(self, target_id: str) -> LoadModel:
         """Return a target's record, made on first use."""
         load = self._loads.get(target_id)
         if load is None:
-            load = self._loads[target_id] = TargetLoad()
+            load = self._loads[target_id] = LoadModel()
         return load
 
     def forget(self, target_id: str) -> None:
--- a/packages/decisions/src/damaskwind/decisions/load/held_sums.py
+++ b/packages/decisions/src/damaskwind/decisions/load/held_sums.py
@@ -1,13 +1,13 @@
-"""Sum what all routers hold at each target, from what each of them told last.
+"""Sum what all routers hold at each target, from what each of them reported last.
 
 Routers call every replica about once a second anyway and tell on each call what
 they hold. The sum is some half a second old on the mean, at 8 routers as at 300,
 and each router hears one from every replica in turn; by its own answers alone it
 would hear each of 39 targets once in 21 s among 195 routers.
 
->>> sums = HeldSums()
->>> sums.tell("router-1", (HeldCount(7, 2),), now_s=0.0)
->>> sums.tell("router-2", (HeldCount(7, 1), HeldCount(9, 4)), now_s=0.5)
+>>> sums = HeldAggregator()
+>>> sums.report("router-1", (HeldCount(7, 2),), now_s=0.0)
+>>> sums.report("router-2", (HeldCount(7, 1), HeldCount(9, 4)), now_s=0.5)
 >>> total = sums.total(now_s=1.0)
 >>> total.counts
 (HeldCount(target=7, held=3), HeldCount(target=9, held=4))
@@ -21,11 +21,11 @@
 from damaskwind.decisions.admission.service_pace import ServiceSeen
 from damaskwind.decisions.admission.service_tally import ServiceCount
 
-__all__ = ["HeldCount", "HeldSum", "HeldSums"]
+__all__ = ["HeldAggregator", "HeldCount", "HeldSum"]
 
 # A router calls about once a second; one that is silent for longer has died with its
 # requests, or can't be reached and is counted by a replica that it still reaches.
-TOLD_S = 2.2
+REPORT_TTL_S = 2.2
 
 
 class HeldCount(NamedTuple):
@@ -47,7 +47,7 @@
     services: tuple[ServiceCount, ...] = ()
 
 
-class _Told(NamedTuple):
+class _Report(NamedTuple):
     """What one router told, and when."""
 
     counts: tuple[HeldCount, ...]
@@ -55,64 +55,64 @@
     services: tuple[ServiceCount, ...]
 
 
-class HeldSums:
-    """The sums of one replica. A router's word counts until its next one, or `TOLD_S`."""
+class HeldAggregator:
+    """The sums of one replica. A router's word counts until its next one, or `REPORT_TTL_S`."""
 
     def __init__(self) -> None:
-        self._told: dict[str, _Told] = {}
+        self._reports: dict[str, _Report] = {}
         self._held: Counter[int] = Counter()
-        self._at_sum_s = 0.0
+        self._received_sum_s = 0.0
 
-    def tell(
+    def report(
         self,
         router_id: str,
         counts: tuple[HeldCount, ...],
         now_s: float,
         services: tuple[ServiceCount, ...] = (),
     ) -> None:
-        """Take what a router holds now, in place of what it told before."""
+        """Take what a router holds now, in place of what it reported before."""
         self._drop(router_id)
-        self._told[router_id] = _Told(counts, now_s, services)
-        self._at_sum_s += now_s
+        self._reports[router_id] = _Report(counts, now_s, services)
+        self._received_sum_s += now_s
         for item in counts:
             self._held[item.target] += item.held
 
     @property
-    def targets(self) -> int:
+    def target_count(self) -> int:
         """Return at how many targets anything is held."""
         return len(self._held)
 
     def total(self, now_s: float) -> HeldSum:
-        """Return the sum of what was told lately."""
-        self._forget_silent(now_s)
-        routers = len(self._told)
+        """Return the sum of what was reported recently."""
+        self._drop_silent(now_s)
+        routers = len(self._reports)
         if not routers:
             return HeldSum()
         counts = tuple(HeldCount(target, held) for target, held in self._held.items())
-        age_s = now_s - self._at_sum_s / routers
+        age_s = now_s - self._received_sum_s / routers
         return HeldSum(counts, routers, round(age_s, 2), self._services())
 
     def _services(self) -> tuple[ServiceCount, ...]:
         totals: dict[int, ServiceSeen] = {}
-        for told in self._told.values():
-            for service, seen in told.services:
+        for report in self._reports.values():
+            for service, seen in report.services:
                 totals[service] = totals.get(service, ServiceSeen()).plus(seen)
         return tuple(ServiceCount(service, seen) for service, seen in totals.items())
 
-    def _forget_silent(self, now_s: float) -> None:
-        """Drop routers that have told nothing for long; the one that told first stands first."""
-        while self._told:
-            router_id, told = next(iter(self._told.items()))
-            if now_s - told.at_s <= TOLD_S:
+    def _drop_silent(self, now_s: float) -> None:
+        """Drop routers that reported nothing for long; the one that reported first stands first."""
+        while self._reports:
+            router_id, report = next(iter(self._reports.items()))
+            if now_s - report.at_s <= REPORT_TTL_S:
                 return
             self._drop(router_id)
 
     def _drop(self, router_id: str) -> None:
-        told = self._told.pop(router_id, None)
-        if told is None:
+        report = self._reports.pop(router_id, None)
+        if report is None:
             return
-        self._at_sum_s -= told.at_s
-        for item in told.counts:
+        self._received_sum_s -= report.at_s
+        for item in report.counts:
             self._held[item.target] -= item.held
             if self._held[item.target] <= 0:
                 del self._held[item.target]
--- a/packages/decisions/src/damaskwind/decisions/load/tests/sliver_replay.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/partial_view_replay.py
@@ -14,10 +14,10 @@
 from typing import NamedTuple
 
 from damaskwind.decisions.load.held_requests import LoadEstimator, TargetLoad
-from damaskwind.decisions.load.held_sums import HeldSums
+from damaskwind.decisions.load.held_sums import HeldAggregator
 from damaskwind.decisions.placement.affinity import Candidate, choose_target, policy_for
 
-__all__ = ["Engine", "Fleet", "SliverReplay"]
+__all__ = ["Engine", "Fleet", "PartialViewReplay"]
 
 KEYS = 650
 SECONDS = 16
@@ -45,18 +45,18 @@
 
 
 class Engine:
-    """One engine; `pace` stretches all its answers."""
+    """One engine; `slowdown` stretches all its answers."""
 
-    def __init__(self, name, pace):
+    def __init__(self, name, slowdown):
         self.name = name
-        self.pace = pace
+        self.slowdown = slowdown
         self.held = 0
 
     def slowness(self):
-        return self.pace * max(1.0, 0.5 + self.held / (2 * QUICK_UP_TO))
+        return self.slowdown * max(1.0, 0.5 + self.held / (2 * QUICK_UP_TO))
 
 
-class SliverReplay:
+class PartialViewReplay:
     """One run; afterwards `sent`, `above` and `away` count by second, `errors` lists beliefs."""
 
     def __init__(self, fleet, seed):
@@ -70,12 +70,12 @@
         self.weights = [self.random.uniform(0.2, 2.0) for _ in self.keys]
         self.sent, self.above, self.away = Counter(), Counter(), Counter()
         self.errors, self.ages_s = [], []
-        self.replicas = {f"replica{number}": HeldSums() for number in range(REPLICAS)}
+        self.replicas = {f"replica{number}": HeldAggregator() for number in range(REPLICAS)}
         self._events, self._numbers = [], count()
 
     def _engine(self, number):
-        pace = SLOWNESS if number % 15 == 7 else self.random.uniform(0.8, 1.2)
-        return Engine(f"t{number}", pace)
+        slowdown = SLOWNESS if number % 15 == 7 else self.random.uniform(0.8, 1.2)
+        return Engine(f"t{number}", slowdown)
 
     def play(self):
         """Run to the end; return the replay."""
@@ -122,15 +122,15 @@
         return engine
 
     def call(self, now_s, number, loads, replica):
-        self.replicas[replica].tell(f"router{number}", loads.tell(replica), now_s)
+        self.replicas[replica].report(f"router{number}", loads.report_to(replica), now_s)
         self.after(now_s, CALL_S, self.answer, number, loads, replica)
 
     def answer(self, now_s, number, loads, replica):
-        loads.take_sum(replica, self.replicas[replica].total(now_s), now_s)
+        loads.observe_sum(replica, self.replicas[replica].total(now_s), now_s)
         self.call(now_s, number, loads, replica)
 
     def begin(self, now_s, loads, engine):
-        loads.reported(engine.name, TargetLoad(engine.held, 0, SLOTS), now_s)
+        loads.observe_report(engine.name, TargetLoad(engine.held, 0, SLOTS), now_s)
 
     def end(self, now_s, loads, engine):
         loads.ended(engine.name)
--- a/packages/decisions/src/damaskwind/decisions/load/tests/release_replay.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/release_replay.py
@@ -3,24 +3,24 @@
 A newcomer holds nothing, is the first rank of its share of the keys as soon as a
 router hears of it, and is slow while its caches are cold. One second later an old
 engine says that it leaves; it gets nothing new and ends what it holds. Routers
-hear of both at times of their own, as news reach them.
+learn of both at times of their own, as news reach them.
 """
 
-from damaskwind.decisions.load.tests.sliver_replay import Engine, SliverReplay
+from damaskwind.decisions.load.tests.partial_view_replay import Engine, PartialViewReplay
 from damaskwind.decisions.placement.affinity import Candidate, choose_target, policy_for
 
 __all__ = ["ReleaseReplay"]
 
 FIRST_S = 2.0
 PAUSE_S = 2.5
-OLD_LEAVES_AFTER_S = 1.0
-NEWS_S = 1.0
+LEAVE_DELAY_S = 1.0
+MAX_UPDATE_DELAY_S = 1.0
 COLD_S = 3.0
-COLD_PACE = 2.5
+COLD_SLOWDOWN = 2.5
 SLOTS = 128
 
 
-class ReleaseReplay(SliverReplay):
+class ReleaseReplay(PartialViewReplay):
     """One run; `is_summed` switches the sums of the replicas off for comparison.
 
     `joined_sent` and `joined_above` count sends to engines younger than five seconds.
@@ -41,44 +41,55 @@
 
     def replace(self, now_s, number):
         name = f"n{number}"
-        self.engines[name] = Engine(name, COLD_PACE)
+        self.engines[name] = Engine(name, COLD_SLOWDOWN)
         self.joined_s[name] = now_s
-        self.after(now_s, COLD_S, self.warm, name)
-        self.after(now_s, OLD_LEAVES_AFTER_S, self.leave, f"t{number}")
+        self.after(now_s, COLD_S, self.warm_up, name)
+        self.after(now_s, LEAVE_DELAY_S, self.leave, f"t{number}")
         self.after(now_s, PAUSE_S, self.replace, number + 1)
         for known in self.known:
-            self.after(now_s, self.random.random() * NEWS_S, self.hear, known, name)
+            self.after(now_s, self.random.random() * MAX_UPDATE_DELAY_S, self.learn_of, known, name)
 
-    def hear(self, now_s, known, name):
+    def learn_of(self, now_s, known, name):
         known.add(name)
 
-    def warm(self, now_s, name):
-        self.engines[name].pace = 1.0
+    def warm_up(self, now_s, name):
+        self.engines[name].slowdown = 1.0
 
     def leave(self, now_s, name):
         self.left.add(name)
         for loads, known in zip(self.routers, self.known, strict=True):
-            self.after(now_s, self.random.random() * NEWS_S, self.drop, loads, known, name)
-
-    def drop(self, now_s, loads, known, name):
+            self.after(
+                now_s,
+                self.random.random() * MAX_UPDATE_DELAY_S,
+                self.forget_engine,
+                loads,
+                known,
+                name,
+            )
+
+    def forget_engine(self, now_s, loads, known, name):
         known.discard(name)
         loads.forget(name)
 
     def place(self, loads, key, now_s):
-        """Choose among the engines that this router knows, and note how that was."""
+        """Choose among the engines that this router knows, and record how that was."""
         names = sorted(self.known[self._index[id(loads)]])
         loads_by_name = loads.estimates(names, len(self.routers), now_s)
         candidates = [Candidate(name, "d", loads_by_name[name], SLOTS, False) for name in names]
         policy = policy_for(len(self.routers), loads.has_sums(now_s))
         choice = choose_target(candidates, key, "d", policy, self.random)
         engine = self.engines[choice.candidate.target_id]
-        self.note(engine, choice.rank, now_s)
+        self.record_send(engine, choice.rank, now_s)
         self.errors.append(choice.candidate.load - engine.held)
         return engine
 
-    def note(self, engine, rank, now_s):
+    def record_send(self, engine, rank, now_s):
         """Count a send; engines that have left and hold nothing are out of the mean."""
-        held = [one.held for one in self.engines.values() if one.held or one.name not in self.left]
+        held = [
+            other.held
+            for other in self.engines.values()
+            if other.held or other.name not in self.left
+        ]
         is_above = engine.held > 2 * sum(held) / len(held) + 3
         second = int(now_s)
         self.sent[second] += 1
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_estimate.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_estimate.py
@@ -17,52 +17,52 @@
     """A report, own work since it was measured, and drift."""
 
     def setUp(self) -> None:
-        self.book = LoadTable()
+        self.table = LoadTable()
 
     def test_own_work_after_the_measurement_is_added_once(self) -> None:
-        self.book.started("before", "a", 50.0, 1.0)
-        self.book.started("after", "a", 70.0, 2.5)
-        self.book.observe("a", _report(500, age_s=1.0), 3.0)
-        self.assertEqual(self.book.estimate_tokens("a", 3.0), 570.0)
-        self.book.observe("a", _report(560, age_s=0.0), 3.2)
-        self.assertLess(abs(self.book.estimate_tokens("a", 3.2) - 560.0), 1.0)
+        self.table.started("before", "a", 50.0, 1.0)
+        self.table.started("after", "a", 70.0, 2.5)
+        self.table.observe("a", _report(500, age_s=1.0), 3.0)
+        self.assertEqual(self.table.estimate_tokens("a", 3.0), 570.0)
+        self.table.observe("a", _report(560, age_s=0.0), 3.2)
+        self.assertLess(abs(self.table.estimate_tokens("a", 3.2) - 560.0), 1.0)
 
     def test_an_older_report_is_ignored(self) -> None:
-        self.book.observe("a", _report(500), 3.0)
-        self.book.observe("a", _report(9000, age_s=2.0), 4.0)
-        self.assertEqual(self.book.estimate_tokens("a", 4.0), 500.0)
+        self.table.observe("a", _report(500), 3.0)
+        self.table.observe("a", _report(9000, age_s=2.0), 4.0)
+        self.assertEqual(self.table.estimate_tokens("a", 4.0), 500.0)
 
     def test_work_that_was_not_done_is_taken_out(self) -> None:
-        self.book.observe("a", _report(500), 1.0)
-        self.book.started("r", "a", 70.0, 1.1)
-        self.book.finished("r", False, 1.2)
-        self.assertEqual(self.book.estimate_tokens("a", 1.2), 500.0)
+        self.table.observe("a", _report(500), 1.0)
+        self.table.started("r", "a", 70.0, 1.1)
+        self.table.finished("r", False, 1.2)
+        self.assertEqual(self.table.estimate_tokens("a", 1.2), 500.0)
 
     def test_a_silent_target_carries_own_work_for_each_router(self) -> None:
-        self.book.router_count = 8
-        self.book.started("r", "a", 70.0, 1.0)
-        self.assertEqual(self.book.estimate_tokens("a", 1.0), 560.0)
-        self.book.finished("r", True, 2.0)
-        self.assertEqual(self.book.estimate_tokens("a", 2.0), 0.0)
+        self.table.router_count = 8
+        self.table.started("r", "a", 70.0, 1.0)
+        self.assertEqual(self.table.estimate_tokens("a", 1.0), 560.0)
+        self.table.finished("r", True, 2.0)
+        self.assertEqual(self.table.estimate_tokens("a", 2.0), 0.0)
 
     def test_a_forgotten_target_starts_anew(self) -> None:
-        self.book.started("r", "a", 70.0, 1.0)
-        self.book.forget("a")
-        self.book.finished("r", True, 2.0)
-        self.assertEqual(self.book.estimate_tokens("a", 2.0), 0.0)
+        self.table.started("r", "a", 70.0, 1.0)
+        self.table.forget("a")
+        self.table.finished("r", True, 2.0)
+        self.assertEqual(self.table.estimate_tokens("a", 2.0), 0.0)
 
     def test_steady_peers_are_extrapolated(self) -> None:
         for step in range(40):
-            self.book.observe("a", _report(1000 + 100 * step), float(step))
-        self.assertLess(abs(self.book.estimate_tokens("a", 40.0) - 5000), 10)
+            self.table.observe("a", _report(1000 + 100 * step), float(step))
+        self.assertLess(abs(self.table.estimate_tokens("a", 40.0) - 5000), 10)
 
     def test_own_work_is_not_taken_for_drift(self) -> None:
         load_tokens = 1000.0
         for step in range(40):
-            self.book.started(str(step), "a", 100.0, step + 0.5)
+            self.table.started(str(step), "a", 100.0, step + 0.5)
             load_tokens += 100.0
-            self.book.observe("a", _report(load_tokens), step + 1.0)
-        self.assertLess(abs(self.book.estimate_tokens("a", 42.0) - load_tokens), 1.0)
+            self.table.observe("a", _report(load_tokens), step + 1.0)
+        self.assertLess(abs(self.table.estimate_tokens("a", 42.0) - load_tokens), 1.0)
 
 
 class ErrorTest(TestCase):
@@ -70,13 +70,13 @@
 
     def _errors(self, lag_s: float) -> tuple[float, float]:
         """Return the measured and the stated sd of the error at an age."""
-        random, book, load_tokens, errors = Random(7), LoadTable(), 100_000.0, []
+        random, table, load_tokens, errors = Random(7), LoadTable(), 100_000.0, []
         stated = 0.0
         for step in range(4000):
             if step > 500:
-                errors.append(book.estimate_tokens("a", step + lag_s) - load_tokens)
-                stated += book.load("a").error_sd_tokens(step + lag_s) / 3499
-            book.observe("a", _report(load_tokens, age_s=lag_s), step + lag_s)
+                errors.append(table.estimate_tokens("a", step + lag_s) - load_tokens)
+                stated += table.load("a").error_sd_tokens(step + lag_s) / 3499
+            table.observe("a", _report(load_tokens, age_s=lag_s), step + lag_s)
             load_tokens += random.gauss(0.0, 300.0)
         return pstdev(errors), stated
 
@@ -85,8 +85,8 @@
         self.assertLess(abs(stated / measured - 1.0), 0.2)
 
     def test_it_grows_with_the_square_root_of_age(self) -> None:
-        book = LoadTable()
+        table = LoadTable()
         for step, load_tokens in enumerate((1000, 1500, 900, 1600, 1000)):
-            book.observe("a", _report(load_tokens), float(step))
-        ratio = book.load("a").error_sd_tokens(8.0) / book.load("a").error_sd_tokens(5.0)
+            table.observe("a", _report(load_tokens), float(step))
+        ratio = table.load("a").error_sd_tokens(8.0) / table.load("a").error_sd_tokens(5.0)
         self.assertAlmostEqual(ratio, sqrt(4.0))
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_held_requests.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_held_requests.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from damaskwind.decisions.load.held_requests import (
-    SUM_GOOD_S,
+    SUM_TTL_S,
     LoadEstimator,
     LoadSource,
     TargetLoad,
@@ -52,7 +52,7 @@
             self.away += choice.rank > 0
             self.above += held[name] > 2 * sum(held.values()) / len(TARGETS) + 3
         loads.sent(name)
-        loads.reported(name, TargetLoad(held[name] + 1, 0, 128), now_s)
+        loads.observe_report(name, TargetLoad(held[name] + 1, 0, 128), now_s)
         self.ends[name].append((now_s + LASTS_S, loads))
 
     def end_those_due(self, now_s):
@@ -75,60 +75,60 @@
     def setUp(self):
         self.loads = LoadEstimator()
 
-    def hear(self, replica="replica", now_s=1.0, routers=8, age_s=0.5, **held):
+    def receive_sum(self, replica="replica", now_s=1.0, routers=8, age_s=0.5, **held):
         counts = tuple(HeldCount(target_digest(name), count) for name, count in held.items())
-        self.loads.take_sum(replica, HeldSum(counts, routers, age_s), now_s)
+        self.loads.observe_sum(replica, HeldSum(counts, routers, age_s), now_s)
 
     def estimate(self, now_s, target="a"):
         return self.loads.estimates(["a", "b"], 8, now_s)[target]
 
     def test_own_requests_are_counted_as_they_are_now(self):
         self.loads.sent("a")
-        self.loads.tell("replica")
+        self.loads.report_to("replica")
         self.loads.sent("a")
-        self.hear(a=7)
+        self.receive_sum(a=7)
         self.assertEqual(self.estimate(1.0), 8)
         self.loads.ended("a")
         self.loads.ended("a")
         self.assertEqual(self.estimate(1.1), 6)
 
     def test_younger_of_word_and_sum_counts(self):
-        self.loads.reported("a", TargetLoad(20, 0, 64), 0.4)
-        self.hear(now_s=1.0, age_s=0.5, a=7, b=2)
+        self.loads.observe_report("a", TargetLoad(20, 0, 64), 0.4)
+        self.receive_sum(now_s=1.0, age_s=0.5, a=7, b=2)
         self.assertEqual(self.estimate(1.0), 7)
-        self.loads.reported("a", TargetLoad(9, 1, 64), 1.1)
+        self.loads.observe_report("a", TargetLoad(9, 1, 64), 1.1)
         self.assertEqual(self.estimate(1.2), 10)
-        self.assertEqual(self.loads.basis("a", 1.2), (LoadSource.WORD, 0.1))
+        self.assertEqual(self.loads.basis("a", 1.2), (LoadSource.REPORT, 0.1))
         self.assertEqual(self.loads.basis("b", 1.2), (LoadSource.SUM, 0.7))
         # No router holds anything there, or its pool is not told.
         self.assertEqual(self.loads.basis("c", 1.2), (LoadSource.SUM, 0.7))
-        self.assertEqual(self.loads.basis("c", 1.2, is_shared=False), (LoadSource.GUESS, None))
+        self.assertEqual(self.loads.basis("c", 1.2, is_shared=False), (LoadSource.ESTIMATE, None))
 
     def test_replica_that_hears_few_routers_is_passed_over(self):
-        self.hear("old", now_s=1.0, routers=65, a=20)
-        self.hear("restarted", now_s=1.2, routers=4, a=1)
+        self.receive_sum("old", now_s=1.0, routers=65, a=20)
+        self.receive_sum("restarted", now_s=1.2, routers=4, a=1)
         self.assertEqual(self.estimate(1.2), 20)
 
     def test_cut_off_domain_goes_by_its_own_sum(self):
-        self.hear("beyond", now_s=1.0, routers=65, a=20)
-        self.hear("near", now_s=4.0, routers=22, a=5)
+        self.receive_sum("beyond", now_s=1.0, routers=65, a=20)
+        self.receive_sum("near", now_s=4.0, routers=22, a=5)
         self.assertEqual(self.estimate(4.0), 5)
 
     def test_old_sum_gives_way_to_words(self):
-        self.loads.reported("a", TargetLoad(20, 0, 64), 0.0)
-        self.hear(now_s=1.0, a=3)
+        self.loads.observe_report("a", TargetLoad(20, 0, 64), 0.0)
+        self.receive_sum(now_s=1.0, a=3)
         self.assertEqual(self.estimate(1.0), 3)
-        self.assertEqual(self.estimate(0.6 + SUM_GOOD_S), 20)
+        self.assertEqual(self.estimate(0.6 + SUM_TTL_S), 20)
 
     def test_nothing_is_believed_of_a_former_life(self):
-        self.hear(a=30, b=2)
+        self.receive_sum(a=30, b=2)
         self.loads.forget("a")
         self.assertEqual(self.estimate(1.0), 0)
 
     def test_plain_requests_are_not_told(self):
         self.loads.sent("a", is_shared=False)
-        self.assertEqual(self.loads.tell("replica"), ())
-        self.assertEqual(self.loads.own("a"), 1)
+        self.assertEqual(self.loads.report_to("replica"), ())
+        self.assertEqual(self.loads.own_in_flight("a"), 1)
 
 
 class ManyRoutersTest(unittest.TestCase):
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_held_sums.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_held_sums.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from damaskwind.decisions.load.held_sums import TOLD_S, HeldCount, HeldSum, HeldSums
+from damaskwind.decisions.load.held_sums import REPORT_TTL_S, HeldAggregator, HeldCount, HeldSum
 
 COUNTS = st.dictionaries(st.integers(0, 5), st.integers(1, 9)).map(
     lambda held: tuple(HeldCount(*item) for item in held.items())
@@ -14,26 +14,26 @@
 
 class HeldSumsTest(unittest.TestCase):
     def test_no_router_has_told_anything(self):
-        self.assertEqual(HeldSums().total(5.0), HeldSum((), 0, 0.0))
+        self.assertEqual(HeldAggregator().total(5.0), HeldSum((), 0, 0.0))
 
     def test_later_word_replaces_the_earlier_one(self):
-        sums = HeldSums()
-        sums.tell("r", (HeldCount(1, 5), HeldCount(2, 1)), 0.0)
-        sums.tell("r", (HeldCount(1, 2),), 1.0)
+        sums = HeldAggregator()
+        sums.report("r", (HeldCount(1, 5), HeldCount(2, 1)), 0.0)
+        sums.report("r", (HeldCount(1, 2),), 1.0)
         self.assertEqual(sums.total(1.0), HeldSum((HeldCount(1, 2),), 1, 0.0))
 
     def test_silent_router_counts_no_longer(self):
-        sums = HeldSums()
-        sums.tell("dead", (HeldCount(1, 5),), 0.0)
-        sums.tell("alive", (HeldCount(1, 2),), TOLD_S)
-        self.assertEqual(sums.total(TOLD_S).routers, 2)
-        self.assertEqual(sums.total(TOLD_S + 0.1).counts, (HeldCount(1, 2),))
+        sums = HeldAggregator()
+        sums.report("dead", (HeldCount(1, 5),), 0.0)
+        sums.report("alive", (HeldCount(1, 2),), REPORT_TTL_S)
+        self.assertEqual(sums.total(REPORT_TTL_S).routers, 2)
+        self.assertEqual(sums.total(REPORT_TTL_S + 0.1).counts, (HeldCount(1, 2),))
 
     @given(st.lists(st.tuples(st.sampled_from("abc"), COUNTS), max_size=20))
     def test_sum_is_that_of_the_last_words(self, words):
-        sums, last = HeldSums(), {}
+        sums, last = HeldAggregator(), {}
         for number, (router, counts) in enumerate(words):
-            sums.tell(router, counts, number * 0.01)
+            sums.report(router, counts, number * 0.01)
             last[router] = dict(counts)
         total = sums.total(len(words) * 0.01)
         self.assertEqual(total.routers, len(last))
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_load_in_a_release.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_load_in_a_release.py
@@ -11,8 +11,8 @@
 
 import unittest
 
+from damaskwind.decisions.load.tests.partial_view_replay import Fleet
 from damaskwind.decisions.load.tests.release_replay import ReleaseReplay
-from damaskwind.decisions.load.tests.sliver_replay import Fleet
 
 SHARE_ALLOWED = 0.03
 
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_load_of_many_routers.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_load_of_many_routers.py
@@ -16,7 +16,7 @@
 
 import unittest
 
-from damaskwind.decisions.load.tests.sliver_replay import Fleet, SliverReplay
+from damaskwind.decisions.load.tests.partial_view_replay import Fleet, PartialViewReplay
 
 SHARE_ALLOWED = 0.03
 # What is left of the error when the load is some hundred ms old: arrivals and ends since,
@@ -27,7 +27,7 @@
 class ManyRoutersTest(unittest.TestCase):
     def check(self, fleet):
         for seed in (1, 2, 3):
-            replay = SliverReplay(fleet, seed).play()
+            replay = PartialViewReplay(fleet, seed).play()
             self.assertLess(replay.worst_share_above(), SHARE_ALLOWED / 3, (fleet, seed))
             self.assertLess(replay.error_sd(), ERROR_ALLOWED, (fleet, seed))
             self.assertLess(replay.share_away(), 0.09, (fleet, seed))
@@ -40,7 +40,7 @@
 
     def test_65_routers_at_a_light_load(self):
         for seed in (1, 2, 3):
-            replay = SliverReplay(Fleet(65, 30, 60.0), seed).play()
+            replay = PartialViewReplay(Fleet(65, 30, 60.0), seed).play()
             self.assertLess(replay.worst_share_above(), SHARE_ALLOWED / 6, seed)
             self.assertLess(replay.share_away(), 0.09, seed)
 
--- a/packages/decisions/src/damaskwind/decisions/placement/bounded.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/bounded.py
@@ -20,8 +20,8 @@
     spill_share,
 )
 from damaskwind.decisions.placement.messages import (
-    CandidateResult,
     CandidateOutcome,
+    CandidateResult,
     PlacementChoice,
     PlacementReason,
     short_digest,
--- a/packages/decisions/src/damaskwind/decisions/placement/policies.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/policies.py
@@ -10,8 +10,8 @@
 
 from damaskwind.decisions.load.estimate import LoadTable
 from damaskwind.decisions.placement.messages import (
-    CandidateResult,
     CandidateOutcome,
+    CandidateResult,
     PlacementChoice,
     PlacementQuery,
     PlacementReason,
--- a/packages/router/src/damaskwind/router/forwarding/attempt.py
+++ b/packages/router/src/damaskwind/router/forwarding/attempt.py
@@ -301,7 +301,7 @@
         headers = head.headers
         load = parse_target_load(header(headers, self._names.target_load))
         if load is not None:
-            self._loads.reported(target.target_id, load, read_clock())
+            self._loads.observe_report(target.target_id, load, read_clock())
         said = read_said(
             head.status,
             header(headers, b"retry-after"),
--- a/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
@@ -13,7 +13,7 @@
 from damaskwind.decisions.admission.pool_admission import TargetPlaces
 from damaskwind.decisions.health.circuit import HealthPolicy
 from damaskwind.decisions.health.ejection import PoolHealth
-from damaskwind.decisions.health.pace import PoolPace
+from damaskwind.decisions.health.slow_targets import SlowTargetDetector
 from damaskwind.decisions.load.held_requests import LoadEstimator
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
@@ -86,18 +86,18 @@
         self._heartbeat_s = heartbeat_s
         self._random = random
         self._health: dict[str, PoolHealth] = {}
-        self._paces: dict[str, PoolPace] = {}
+        self._paces: dict[str, SlowTargetDetector] = {}
         self._avoided_until_s: dict[str, float] = {}
         self._displaced_s: dict[str, float] = {}
         view.on_gone.append(self.forget)
         view.on_held.append(self._take_held)
-        view.count_held = self.loads.tell
+        view.count_held = self.loads.report_to
         view.on_restarted.append(self.begin_life)
         self.cold = ColdTargets(view, random)
 
     def _take_held(self, host: str, held: HeldSum) -> None:
         """Take what a replica says that all routers hold."""
-        self.loads.take_sum(host, held, read_clock())
+        self.loads.observe_sum(host, held, read_clock())
 
     def begin_life(self, record: TargetRecord) -> None:
         """Believe nothing that was learned of a target before it started again.
@@ -218,7 +218,7 @@
         }
         ids = [record.target_id for record in records]
         loads = self.loads.estimates(ids, self.view.routers, now_s)
-        known = self.loads.known(ids, now_s)
+        known = self.loads.known_targets(ids, now_s)
         return [
             self._candidate(
                 record,
@@ -289,9 +289,9 @@
         health.set_targets(ids, now_s)
         return health
 
-    def _pool_pace(self, service: str) -> PoolPace:
+    def _pool_pace(self, service: str) -> SlowTargetDetector:
         """Return the pace of a service's targets."""
         pace = self._paces.get(service)
         if pace is None:
-            pace = self._paces[service] = PoolPace()
+            pace = self._paces[service] = SlowTargetDetector()
         return pace
