--- a/benchmarks/rest_at_size.py
+++ b/benchmarks/rest_at_size.py
@@ -17,8 +17,8 @@
 
 from damaskwind.decisions.placement.affinity import Candidate, choose_target, policy_for
 from damaskwind.decisions.retries.shared_budget import BudgetTerms, SharedRetryBudget
-from damaskwind.decisions.target_words.said import Said
-from damaskwind.decisions.target_words.words import TargetWords, Wish
+from damaskwind.decisions.target_signals.answer_signals import AnswerSignals
+from damaskwind.decisions.target_signals.signal_table import SignalTable, TargetSignal
 
 __all__ = ["WAYS", "RestFigures", "RestLoad", "play"]
 
@@ -62,7 +62,7 @@
     def __init__(self, way: str, load: RestLoad, seed: int) -> None:
         self.way, self.load, self.random = way, load, Random(seed)
         self.names = [f"t{number:03d}" for number in range(load.targets)]
-        self.words = [TargetWords() for _ in range(load.routers)]
+        self.words = [SignalTable() for _ in range(load.routers)]
         self.busy_until_s: dict[tuple[int, str], float] = {}
         self.held: Counter[str] = Counter()
         self.arrived: dict[tuple[int, str], list[float]] = defaultdict(list)
@@ -102,7 +102,7 @@
         while self.told and self.told[0][0] <= now_s:
             at_s, _, name, until_s = heappop(self.told)
             for words in self.words:
-                words.hear(name, Said(max(until_s - at_s, 0.0)), at_s)
+                words.observe(name, AnswerSignals(max(until_s - at_s, 0.0)), at_s)
 
     def _candidates(self, router: int, tried: set[str], now_s: float) -> list[Candidate]:
         words, has_words = self.words[router], self.way != "forgotten"
@@ -113,7 +113,9 @@
                 self.held[name],
                 SLOTS,
                 self.busy_until_s.get((router, name), 0.0) > now_s,
-                takes_work=(takes_work := not has_words or words.wish(name, now_s) is Wish.NOTHING),
+                takes_work=(
+                    takes_work := not has_words or words.signal(name, now_s) is TargetSignal.NOTHING
+                ),
                 is_held_back=not takes_work,
             )
             for name in self.names
@@ -158,7 +160,7 @@
         self.asked[router, name].append(_Asked(now_s, until_s))
         self.busy_until_s[router, name] = now_s + BUSY_S
         if self.way != "forgotten":
-            self.words[router].hear(name, Said(self.load.rest_s), now_s)
+            self.words[router].observe(name, AnswerSignals(self.load.rest_s), now_s)
         if self.way == "shared":
             told_s = now_s + SHARED_AFTER_S
             heappush(self.told, (told_s, next(self._numbers), name, until_s))
--- a/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
+++ b/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
@@ -43,7 +43,7 @@
                 "targets_ended": item.ends,
                 "age_s": item.age_s,
             }
-            for item in table.told(table.digests(), now_s)
+            for item in table.entries(table.digests(), now_s)
         ]
         return {"requests": [row for row in rows if row["standing"] is not Standing.CLEAR]}
 
--- a/packages/control/src/damaskwind/control/fleet/news_board.py
+++ b/packages/control/src/damaskwind/control/fleet/news_board.py
@@ -141,7 +141,7 @@
 
     def lift(self, digest: bytes) -> bool:
         """Clear a request; tell whether it was under suspicion."""
-        was_suspected = self.suspicions.note_survived(digest, read_clock())
+        was_suspected = self.suspicions.record_completion(digest, read_clock())
         if was_suspected:
             self._note_suspicions()
         return was_suspected
--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -30,7 +30,7 @@
 from damaskwind.control.state.published_configuration import PublishedConfiguration
 from damaskwind.control.storage.files import FileSystem
 from damaskwind.decisions.admission.service_tally import ServiceCount
-from damaskwind.decisions.fatal_requests.suspicion import MOST_REQUESTS, Standing
+from damaskwind.decisions.fatal_requests.suspicion import MAX_REQUESTS, Standing
 from damaskwind.decisions.following.reading_places import ReadingPlaces
 from damaskwind.decisions.load.held_sums import HeldCount
 from damaskwind.decisions.membership.target_record import TargetRecord
@@ -230,7 +230,7 @@
     def _state(self) -> KeptState:
         """Return what is to be kept."""
         records = self.board.table.changed_since(0).records
-        suspicions, _ = self.board.suspicions.changed_since(0, MOST_REQUESTS, read_clock())
+        suspicions, _ = self.board.suspicions.changed_since(0, MAX_REQUESTS, read_clock())
         return KeptState(self._version(), self._packed(), records, suspicions, self._evacuations())
 
     def _version(self) -> int:
--- a/packages/decisions/src/damaskwind/decisions/cold_targets/tests/test_fleet_rate.py
+++ b/packages/decisions/src/damaskwind/decisions/cold_targets/tests/test_fleet_rate.py
@@ -8,10 +8,10 @@
 import unittest
 from random import Random
 
-from damaskwind.decisions.cold_targets.cold_spells import ColdSpells, ColdTerms
+from damaskwind.decisions.cold_targets.cold_periods import ColdPeriods, ColdStartLimits
 
-TERMS = ColdTerms(start_s=3.0, per_s=14.0)
-MOST_IN_A_SECOND = int(TERMS.per_s * 1.5 + 5)
+LIMITS = ColdStartLimits(start_s=3.0, per_s=14.0)
+MOST_IN_A_SECOND = int(LIMITS.per_s * 1.5 + 5)
 ROUTERS = (1, 2, 4, 8, 20, 57, 65, 195, 300)
 TICK_S = 0.05
 # News of a target reach routers within so long.
@@ -31,20 +31,20 @@
 class Fleet:
     """Routers that know of cold targets, each by its own news."""
 
-    def __init__(self, routers, targets, random, cold_s=TERMS.start_s):
-        self.routers = [ColdSpells(random) for _ in range(routers)]
+    def __init__(self, routers, targets, random, cold_s=LIMITS.start_s):
+        self.routers = [ColdPeriods(random) for _ in range(routers)]
         self.targets = [str(number) for number in range(targets)]
         self.random = random
-        for spells in self.routers:
+        for periods in self.routers:
             told_s = random.uniform(0.0, TOLD_WITHIN_S)
             for target in self.targets:
-                spells.begin(target, told_s, cold_s)
+                periods.mark_cold(target, told_s, cold_s)
 
-    def may_send(self, spells, target, now_s):
-        return spells.warmth(target, TERMS, len(self.routers), now_s).may_send
+    def may_send(self, periods, target, now_s):
+        return periods.cold_state(target, LIMITS, len(self.routers), now_s).may_send
 
-    def send(self, spells, target):
-        spells.sent(target, TERMS, len(self.routers))
+    def send(self, periods, target):
+        periods.sent(target, LIMITS, len(self.routers))
 
 
 class FleetRateTest(unittest.TestCase):
@@ -54,9 +54,9 @@
         sent = []
         for tick in range(int(cold_s / TICK_S)):
             now_s = TOLD_WITHIN_S + tick * TICK_S
-            for spells in fleet.routers:
-                if fleet.may_send(spells, "0", now_s):
-                    fleet.send(spells, "0")
+            for periods in fleet.routers:
+                if fleet.may_send(periods, "0", now_s):
+                    fleet.send(periods, "0")
                     sent.append(now_s)
         return [at_s for at_s in sent if at_s < cold_s]
 
@@ -71,7 +71,7 @@
             sent = self.sent_to_a_hot_one(routers, 1, 60.0)
             with self.subTest(routers=routers):
                 self.assertLessEqual(most_in_a_second(sent), MOST_IN_A_SECOND)
-                self.assertGreater(len(sent) / 60.0, 0.6 * TERMS.per_s)
+                self.assertGreater(len(sent) / 60.0, 0.6 * LIMITS.per_s)
 
     def test_burst_after_a_calm_spell_finds_nothing_saved_up(self):
         for routers in ROUTERS:
@@ -79,9 +79,9 @@
             sent = []
             for tick in range(40):
                 now_s = 10.0 + tick * TICK_S
-                for spells in fleet.routers:
-                    if fleet.may_send(spells, "0", now_s):
-                        fleet.send(spells, "0")
+                for periods in fleet.routers:
+                    if fleet.may_send(periods, "0", now_s):
+                        fleet.send(periods, "0")
                         sent.append(now_s)
             with self.subTest(routers=routers):
                 self.assertLessEqual(most_in_a_second(sent), MOST_IN_A_SECOND)
@@ -96,12 +96,12 @@
             for tick in range(54):
                 now_s = TOLD_WITHIN_S + tick * TICK_S
                 for _ in range(int(7 * routers * TICK_S)):
-                    spells = random.choice(fleet.routers)
+                    periods = random.choice(fleet.routers)
                     asked += 1
-                    found = [one for one in fleet.targets if fleet.may_send(spells, one, now_s)]
+                    found = [one for one in fleet.targets if fleet.may_send(periods, one, now_s)]
                     if found:
                         target = random.choice(found)
-                        fleet.send(spells, target)
+                        fleet.send(periods, target)
                         at[target].append(now_s)
                         served += 1
             with self.subTest(routers=routers, served=served / asked):
--- a/packages/decisions/src/damaskwind/decisions/routing/table.py
+++ b/packages/decisions/src/damaskwind/decisions/routing/table.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from damaskwind.decisions.cold_targets.cold_spells import ColdTerms
+from damaskwind.decisions.cold_targets.cold_periods import ColdStartLimits
 from damaskwind.model.traffic_configuration import (
     KeyedAccount,
     TrafficConfiguration,
@@ -51,14 +51,14 @@
         self._accounts = {
             key: account for account in configuration.accounts for key in account.keys
         }
-        self._cold_terms = {
-            item.name: ColdTerms(item.cold_start_s, item.cold_per_s)
+        self._cold_start_limits = {
+            item.name: ColdStartLimits(item.cold_start_s, item.cold_per_s)
             for item in configuration.services
         }
 
-    def cold_terms(self, service: str) -> ColdTerms:
+    def cold_start_limits(self, service: str) -> ColdStartLimits:
         """Return what cold targets of a service bear."""
-        return self._cold_terms.get(service, ColdTerms())
+        return self._cold_start_limits.get(service, ColdStartLimits())
 
     @property
     def version(self) -> int:
--- a/packages/router/src/damaskwind/router/forwarding/attempt.py
+++ b/packages/router/src/damaskwind/router/forwarding/attempt.py
@@ -10,7 +10,11 @@
 from damaskwind.decisions.load.held_requests import parse_target_load
 from damaskwind.decisions.membership.target_record import TargetRecord
 from damaskwind.decisions.placement.affinity import Choice
-from damaskwind.decisions.target_words.said import SAID_NOTHING, Said, read_said
+from damaskwind.decisions.target_signals.answer_signals import (
+    NO_SIGNALS,
+    AnswerSignals,
+    parse_signals,
+)
 from damaskwind.model.header_names import HeaderNames
 from damaskwind.model.targets import Address
 from damaskwind.model.traffic_configuration import RouteKind
@@ -291,18 +295,18 @@
                 if last_woken_s() < begun_s:
                     raise
 
-    def _take_word(self, head: AnswerHead, target: TargetRecord) -> Said:
+    def _take_word(self, head: AnswerHead, target: TargetRecord) -> AnswerSignals:
         """Take a target's word on its load and its wishes; return these.
 
         Who answers in another's place speaks for itself.
         """
         if head.status == MISDIRECTED:
-            return SAID_NOTHING
+            return NO_SIGNALS
         headers = head.headers
         load = parse_target_load(header(headers, self._names.target_load))
         if load is not None:
             self._loads.observe_report(target.target_id, load, read_clock())
-        said = read_said(
+        said = parse_signals(
             head.status,
             header(headers, b"retry-after"),
             header(headers, self._names.leaving),
--- a/packages/router/src/damaskwind/router/forwarding/call.py
+++ b/packages/router/src/damaskwind/router/forwarding/call.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from damaskwind.decisions.placement.affinity import affinity_key
-from damaskwind.decisions.routing.homes import allowed_regions
+from damaskwind.decisions.routing.regions import allowed_regions
 from damaskwind.model.header_names import HeaderNames
 from damaskwind.model.targets import Address
 from damaskwind.model.traffic_configuration import KeyedAccount, TrafficRoute
--- a/packages/router/src/damaskwind/router/forwarding/cold_targets.py
+++ b/packages/router/src/damaskwind/router/forwarding/cold_targets.py
@@ -4,7 +4,7 @@
 
 from loguru import logger
 
-from damaskwind.decisions.cold_targets.cold_spells import WARM, ColdSpells, Warmth
+from damaskwind.decisions.cold_targets.cold_periods import WARM, ColdPeriods, ColdState
 from damaskwind.decisions.membership.target_record import TargetRecord
 from damaskwind.router.forwarding.fleet_view import FleetView
 from damaskwind.runtime.clock import read_clock
@@ -17,20 +17,20 @@
 
     def __init__(self, view: FleetView, random: Random) -> None:
         self._view = view
-        self._spells = ColdSpells(random)
+        self._spells = ColdPeriods(random)
         view.on_cold.append(self._note_cold)
         view.on_taken_back.append(self._take_back)
 
-    def warmth(self, record: TargetRecord, now_s: float) -> Warmth:
+    def warmth(self, record: TargetRecord, now_s: float) -> ColdState:
         """Return whether a target is cold, and whether it may be sent a request now.
 
         While it is not sure how many routers there are, a cold target is sent none.
         """
-        if not self._spells.knows(record.target_id):
+        if not self._spells.is_tracked(record.target_id):
             return WARM
-        terms = self._view.cold_terms(record.service)
+        terms = self._view.cold_start_limits(record.service)
         routers = self._view.most_routers.value(now_s)
-        warmth = self._spells.warmth(record.target_id, terms, routers or 1, now_s)
+        warmth = self._spells.cold_state(record.target_id, terms, routers or 1, now_s)
         if warmth.is_cold and routers is None:
             return warmth._replace(may_send=False)
         return warmth
@@ -38,7 +38,7 @@
     def note_sent(self, record: TargetRecord, now_s: float) -> None:
         """Note that a request is being sent to a target."""
         routers = self._view.most_routers.value(now_s) or 1
-        self._spells.sent(record.target_id, self._view.cold_terms(record.service), routers)
+        self._spells.sent(record.target_id, self._view.cold_start_limits(record.service), routers)
 
     def forget(self, target_id: str) -> None:
         """Drop a target that is gone."""
@@ -50,7 +50,7 @@
 
     def _note_cold(self, record: TargetRecord) -> None:
         """Take a target's own word."""
-        self._spells.begin(record.target_id, read_clock(), record.cold_s)
+        self._spells.mark_cold(record.target_id, read_clock(), record.cold_s)
         logger.info("target cold", target=record.target_id, cold_s=round(record.cold_s, 2))
 
     def _take_back(self, failure_domains: frozenset[str]) -> None:
@@ -60,6 +60,6 @@
         """
         now_s = read_clock()
         for record in self._view.targets.serving():
-            cold_s = self._view.cold_terms(record.service).start_s
+            cold_s = self._view.cold_start_limits(record.service).start_s
             if record.failure_domain in failure_domains and cold_s:
-                self._spells.begin(record.target_id, now_s, cold_s)
+                self._spells.mark_cold(record.target_id, now_s, cold_s)
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -14,8 +14,8 @@
 from loguru import logger
 
 from damaskwind.decisions.admission.service_tally import ServiceCount
-from damaskwind.decisions.cold_targets.cold_spells import ColdTerms
-from damaskwind.decisions.cold_targets.router_count import MostRouters
+from damaskwind.decisions.cold_targets.cold_periods import ColdStartLimits
+from damaskwind.decisions.cold_targets.router_count import MaxRouterCount
 from damaskwind.decisions.following.document_sources import DocumentSources
 from damaskwind.decisions.following.reading_places import PassingPlace
 from damaskwind.decisions.limits.slices import rendezvous_order
@@ -91,7 +91,7 @@
         self.on_gone: list[Callable[[str], None]] = []
         self.on_cold: list[Callable[[TargetRecord], None]] = []
         self.on_taken_back: list[Callable[[frozenset[str]], None]] = []
-        self.most_routers = MostRouters()
+        self.most_routers = MaxRouterCount()
         self.on_restarted: list[Callable[[TargetRecord], None]] = []
         self.on_configuration: list[Callable[[TrafficConfiguration], None]] = []
         self.on_held: list[Callable[[str, HeldSum], None]] = []
@@ -284,7 +284,7 @@
         self.suspicions.take_news(host, news)
         self._router_counts[host] = news.routers
         self.routers = max(1, *self._router_counts.values())
-        self.most_routers.note(self.routers, now_s)
+        self.most_routers.observe(self.routers, now_s)
         if news.held is not None:
             for callback in self.on_held:
                 callback(host, news.held)
@@ -350,9 +350,9 @@
         for callback in self.on_cold:
             callback(record)
 
-    def cold_terms(self, service: str) -> ColdTerms:
+    def cold_start_limits(self, service: str) -> ColdStartLimits:
         """Return what cold targets of a service bear."""
-        return self.table.cold_terms(service) if self.table else ColdTerms()
+        return self.table.cold_start_limits(service) if self.table else ColdStartLimits()
 
     def _note_gone(self, target_id: str) -> None:
         for callback in self.on_gone:
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -11,7 +11,7 @@
 from damaskwind.decisions.membership.target_record import TargetRecord
 from damaskwind.decisions.placement.affinity import choose_target, policy_for
 from damaskwind.decisions.retries.shared_budget import BudgetTerms, SharedRetryBudget
-from damaskwind.decisions.routing.homes import is_allowed
+from damaskwind.decisions.routing.regions import is_allowed
 from damaskwind.decisions.routing.table import RoutingReason, choose_service
 from damaskwind.model.header_names import HeaderNames
 from damaskwind.router.forwarding.attempt import AttemptEnd, AttemptOutcome, AttemptSender, Placed
@@ -104,7 +104,7 @@
             return
         delivery = Delivery(exchange, call.route.is_resumable)
         if self.view.suspicions.standing(call.digest) is Standing.FATAL:
-            ends = self.view.suspicions.table.known(call.digest).ends
+            ends = self.view.suspicions.table.level(call.digest).ends
             self.answers.refuse_fatal(exchange, call, delivery, ends)
             return
         try:
@@ -201,7 +201,7 @@
         if call.look is not None:
             # The look goes on for others when this caller leaves.
             await asyncio.shield(call.look)
-        return self.view.suspicions.table.may_repeat(call.digest)
+        return self.view.suspicions.table.may_retry(call.digest)
 
     async def _send(
         self,
@@ -224,7 +224,7 @@
         may_move = call.route.may_repeat and call.sends < call.route.max_attempts
         # Until the outcome is known, the request may be running.
         before, call.may_have_run = call.may_have_run, True
-        call.look, known = None, self.view.suspicions.table.known(call.digest)
+        call.look, known = None, self.view.suspicions.table.level(call.digest)
         call.is_suspected = known.ends > 0
         outcome = AttemptOutcome(AttemptEnd.BROKEN, "given up")
         try:
--- a/packages/router/src/damaskwind/router/forwarding/process.py
+++ b/packages/router/src/damaskwind/router/forwarding/process.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from damaskwind.decisions.fatal_requests.suspicion import Standing
-from damaskwind.decisions.target_words.words import Wish
+from damaskwind.decisions.target_signals.signal_table import TargetSignal
 from damaskwind.model.header_names import HeaderNames
 from damaskwind.model.traffic_configuration import TrafficConfiguration
 from damaskwind.router.forwarding.connections import TargetConnections
@@ -104,12 +104,16 @@
         show("requests_suspected", "in hand where targets ended", self._suspected)
         show("requests_held_fatal", "sent no more, as targets end", self._held_fatal)
         show("targets_cold", "that bear few requests", self.forwarder.beliefs.cold.count)
-        show("targets_resting", "that asked for no requests", partial(self._wishing, Wish.REST))
-        show("targets_said_leaving", "in an answer", partial(self._wishing, Wish.LEAVE))
+        show(
+            "targets_resting",
+            "that asked for no requests",
+            partial(self._wishing, TargetSignal.REST),
+        )
+        show("targets_said_leaving", "in an answer", partial(self._wishing, TargetSignal.LEAVE))
         show("failure_domains_evacuated", "emptied by operators", self._evacuated)
         show("ready", "1 while callers should come", lambda: float(self.is_ready))
 
-    def _wishing(self, wish: Wish) -> float:
+    def _wishing(self, wish: TargetSignal) -> float:
         return self.forwarder.beliefs.words.count(wish, read_clock())
 
     def _evacuated(self) -> float:
--- a/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
@@ -10,8 +10,8 @@
 
 from loguru import logger
 
-from damaskwind.decisions.fatal_requests.good_ends import GoodEnds
-from damaskwind.decisions.fatal_requests.suspicion import Known, Standing, SuspicionTable
+from damaskwind.decisions.fatal_requests.completions import RecentCompletions
+from damaskwind.decisions.fatal_requests.suspicion import Standing, SuspicionLevel, SuspicionTable
 from damaskwind.model.targets import Address
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.http1.client import (
@@ -38,7 +38,7 @@
 
     def __init__(self, news_port: int, spread: float = 0.0) -> None:
         self.table = SuspicionTable(spread)
-        self._good_ends = GoodEnds()
+        self._good_ends = RecentCompletions()
         self._news_port = news_port
         self._forgot_s = 0.0
         self._epochs: dict[str, str] = {}
@@ -60,15 +60,15 @@
         """Return what may be done with a request now."""
         return self.table.standing(digest, read_clock())
 
-    def note_end(self, sends: Iterable[tuple[bytes, Known]]) -> None:
+    def note_end(self, sends: Iterable[tuple[bytes, SuspicionLevel]]) -> None:
         """Take that a target ended under these requests, sent with this known of them."""
         now_s = read_clock()
         self._tell_all([digest for digest, known in sends if self._note_end(digest, known, now_s)])
 
-    def _note_end(self, digest: bytes, known: Known, now_s: float) -> bool:
+    def _note_end(self, digest: bytes, known: SuspicionLevel, now_s: float) -> bool:
         if self._good_ends.has(digest, now_s):
             return False
-        is_news = self.table.note_end(digest, known, now_s)
+        is_news = self.table.record_target_end(digest, known, now_s)
         if is_news:
             self._log_fatal(digest, "here")
         return is_news
@@ -76,12 +76,12 @@
     def note_survived(self, digest: bytes) -> None:
         """Take that a target has run a request to its end."""
         now_s = read_clock()
-        self._good_ends.note(digest, now_s)
+        self._good_ends.record(digest, now_s)
         self._clear(digest, now_s)
 
     def _clear(self, digest: bytes, now_s: float) -> None:
         """Clear a request that is under suspicion, here and elsewhere."""
-        if self.table.note_survived(digest, now_s):
+        if self.table.record_completion(digest, now_s):
             logger.info("request cleared", digest=digest.hex())
             self._tell_all([digest])
 
@@ -108,7 +108,7 @@
     def _log_fatal(self, digest: bytes, told_by: str) -> None:
         """Write a line for a request that is sent no more from now on."""
         if self.standing(digest) is Standing.FATAL:
-            ends = self.table.known(digest).ends
+            ends = self.table.level(digest).ends
             logger.warning("request held fatal", digest=digest.hex(), ends=ends, told_by=told_by)
 
     def _tell_all(self, digests: list[bytes]) -> None:
@@ -136,7 +136,7 @@
                 return
 
     async def _call(self, host: str, digests: list[bytes]) -> None:
-        items = self.table.told(digests, read_clock())
+        items = self.table.entries(digests, read_clock())
         connection = await connect(Address(host, self._news_port), CONNECT_S)
         request = Request(b"POST", SUSPICIONS_PATH, [(b"host", b"control")], encode(items))
         try:
--- a/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
@@ -18,8 +18,8 @@
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.decisions.placement.affinity import Candidate
-from damaskwind.decisions.target_words.said import Said
-from damaskwind.decisions.target_words.words import TargetWords, Wish
+from damaskwind.decisions.target_signals.answer_signals import AnswerSignals
+from damaskwind.decisions.target_signals.signal_table import SignalTable, TargetSignal
 from damaskwind.router.forwarding.cold_targets import ColdTargets
 from damaskwind.router.forwarding.connections import TargetConnections
 from damaskwind.router.forwarding.fleet_view import FleetView
@@ -82,7 +82,7 @@
         self.connections = connections
         self.loads = LoadEstimator()
         self.activity = TargetActivity()
-        self.words = TargetWords()
+        self.words = SignalTable()
         self._heartbeat_s = heartbeat_s
         self._random = random
         self._health: dict[str, PoolHealth] = {}
@@ -131,10 +131,10 @@
         """Note that an answer began after this part of its objective."""
         self._pool_pace(service).observe(target_id, part, now_s)
 
-    def note_said(self, target: TargetRecord, said: Said) -> None:
+    def note_said(self, target: TargetRecord, said: AnswerSignals) -> None:
         """Take what a target asks for in an answer."""
-        new = self.words.hear(_life(target), said, read_clock())
-        if new is not Wish.NOTHING:
+        new = self.words.observe(_life(target), said, read_clock())
+        if new is not TargetSignal.NOTHING:
             logger.info(
                 "target asks",
                 target=target.target_id,
@@ -160,11 +160,11 @@
 
     def takes_work(self, record: TargetRecord, now_s: float) -> bool:
         """Tell whether a target may be sent to, by operators' orders and its own words."""
-        return self._wish(record, now_s) is Wish.NOTHING and self.view.takes_work(record)
+        return self._wish(record, now_s) is TargetSignal.NOTHING and self.view.takes_work(record)
 
-    def _wish(self, record: TargetRecord, now_s: float) -> Wish:
+    def _wish(self, record: TargetRecord, now_s: float) -> TargetSignal:
         """Return what a target wants now by its own words; mostly there are none."""
-        return self.words.wish(_life(record), now_s) if self.words else Wish.NOTHING
+        return self.words.signal(_life(record), now_s) if self.words else TargetSignal.NOTHING
 
     def still_takes_work(self, placed: TargetRecord) -> bool:
         """Tell whether a target takes work that took some when a request was placed there."""
@@ -178,7 +178,7 @@
 
     def is_said_leaving(self, target: TargetRecord) -> bool:
         """Tell whether a target said in an answer that it leaves."""
-        return self.words.wish(_life(target), read_clock()) is Wish.LEAVE
+        return self.words.signal(_life(target), read_clock()) is TargetSignal.LEAVE
 
     def rest_left_s(self, records: Collection[TargetRecord], now_s: float) -> float | None:
         """Return the seconds until one of these targets has rested, if all that serve rest."""
@@ -253,8 +253,10 @@
         )
         warmth = self.cold.warmth(record, now_s)
         wish = self._wish(record, now_s)
-        takes_work = wish is Wish.NOTHING and self.view.takes_work(record) and warmth.may_send
-        is_leaving = wish is Wish.LEAVE or record.phase is not TargetPhase.SERVING
+        takes_work = (
+            wish is TargetSignal.NOTHING and self.view.takes_work(record) and warmth.may_send
+        )
+        is_leaving = wish is TargetSignal.LEAVE or record.phase is not TargetPhase.SERVING
         return Candidate(
             target_id,
             record.failure_domain,
--- a/packages/router/src/damaskwind/router/forwarding/target_losses.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_losses.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from damaskwind.decisions.fatal_requests.suspicion import Known
+from damaskwind.decisions.fatal_requests.suspicion import SuspicionLevel
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.router.forwarding.target_beliefs import TargetBeliefs
 
@@ -24,7 +24,7 @@
     """A send that broke: the request, what was known of it when it was sent, its id for the log."""
 
     digest: bytes
-    known: Known
+    known: SuspicionLevel
     request_id: bytes
 
 
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_target_words.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_target_words.py
@@ -4,7 +4,7 @@
 
 from damaskwind.decisions.load.held_requests import LoadSource
 from damaskwind.decisions.membership.target_record import TargetPhase
-from damaskwind.decisions.target_words.said import Said
+from damaskwind.decisions.target_signals.answer_signals import AnswerSignals
 from damaskwind.model.evacuations import Evacuations
 from damaskwind.router.forwarding.target_losses import BrokenSend
 from damaskwind.router.forwarding.tests.bench import ForwarderTestCase, route
@@ -26,7 +26,7 @@
 
     def rest(self, *indexes, rest_s=3.0):
         for index in indexes:
-            self.note(index, Said(rest_s))
+            self.note(index, AnswerSignals(rest_s))
 
     def return_s(self, answer):
         self.assertEqual(answer.status, 503)
@@ -174,7 +174,7 @@
     @asyncio_test
     async def test_a_word_outlives_a_target_that_is_forgotten_and_heard_again(self):
         record = self.view.targets.record_of("t0")
-        self.note(0, Said(is_leaving=True))
+        self.note(0, AnswerSignals(is_leaving=True))
         self.forwarder.beliefs.forget("t0")
         for number in range(4):
             await self.call(request_id=b"s%d" % number)
@@ -188,7 +188,7 @@
     async def test_a_target_that_said_it_leaves_and_ends_is_not_held_against_requests(self):
         target = self.view.targets.record_of("t0")
         self.assertIs(target.phase, TargetPhase.SERVING)
-        self.note(0, Said(is_leaving=True))
+        self.note(0, AnswerSignals(is_leaving=True))
         await self.targets[0].stop()
         broken = []
         self.forwarder.losses.on_ended.append(lambda *ended: broken.append(ended))
--- a/packages/router/src/damaskwind/router/target_client.py
+++ b/packages/router/src/damaskwind/router/target_client.py
@@ -17,7 +17,7 @@
 from twisted.web.iweb import IAgentEndpointFactory, IBodyProducer, IResponse
 from zope.interface import implementer
 
-from damaskwind.decisions.target_words.said import SAID_NOTHING, Said
+from damaskwind.decisions.target_signals.answer_signals import NO_SIGNALS, AnswerSignals
 from damaskwind.model.exception import DamaskwindError
 from damaskwind.model.reason import Reason
 from damaskwind.model.targets import Address
@@ -47,7 +47,7 @@
         suspect: bool = True,
         retry_after_s: float | None = None,
         final: bool = False,
-        said: Said = SAID_NOTHING,
+        said: AnswerSignals = NO_SIGNALS,
     ) -> None:
         super().__init__(detail)
         self.verdict = verdict
--- a/packages/router/src/damaskwind/router/target_wishes.py
+++ b/packages/router/src/damaskwind/router/target_wishes.py
@@ -6,8 +6,8 @@
 from loguru import logger
 from twisted.web.iweb import IResponse
 
-from damaskwind.decisions.target_words.said import Said, read_said
-from damaskwind.decisions.target_words.words import TargetWords, Wish
+from damaskwind.decisions.target_signals.answer_signals import AnswerSignals, parse_signals
+from damaskwind.decisions.target_signals.signal_table import SignalTable, TargetSignal
 from damaskwind.model.targets import TargetView
 
 __all__ = ["TargetWishes", "said_in"]
@@ -31,9 +31,9 @@
     return response.headers.getRawHeaders(name, [None])[0]
 
 
-def said_in(response: IResponse) -> Said:
+def said_in(response: IResponse) -> AnswerSignals:
     """Return what the head of an answer asks for."""
-    return read_said(
+    return parse_signals(
         response.code,
         _first(response, b"retry-after"),
         _first(response, _LEAVING),
@@ -47,12 +47,12 @@
     def __init__(self, find: Callable[[str], TargetView | None], clock: Any) -> None:
         self._find = find
         self._clock = clock
-        self._words = TargetWords()
+        self._words = SignalTable()
 
-    def hear(self, view: TargetView, said: Said) -> None:
+    def hear(self, view: TargetView, said: AnswerSignals) -> None:
         """Take what a target said in an answer."""
-        new = self._words.hear(_life(view), said, self._clock.seconds())
-        if new is not Wish.NOTHING:
+        new = self._words.observe(_life(view), said, self._clock.seconds())
+        if new is not TargetSignal.NOTHING:
             logger.info(
                 "target asks",
                 target=view.target_id,
@@ -62,13 +62,13 @@
                 incarnation=view.incarnation,
             )
 
-    def of(self, view: TargetView) -> Wish:
+    def of(self, view: TargetView) -> TargetSignal:
         """Return what a target wants now."""
-        return self._words.wish(_life(view), self._clock.seconds())
+        return self._words.signal(_life(view), self._clock.seconds())
 
     def barred(self) -> frozenset[str]:
         """Return the live targets that want no new requests now."""
-        lives = self._words.wishing(self._clock.seconds()) if self._words else ()
+        lives = self._words.active(self._clock.seconds()) if self._words else ()
         return frozenset(life.target_id for life in lives if self._is_live(life))
 
     def rest_left_s(self, views: Iterable[TargetView]) -> float | None:
--- a/packages/router/src/damaskwind/router/tests/request_histories.py
+++ b/packages/router/src/damaskwind/router/tests/request_histories.py
@@ -25,7 +25,7 @@
 from damaskwind.decisions.membership.messages import GoneReason
 from damaskwind.decisions.membership.outputs import TargetChanged, TargetGone
 from damaskwind.decisions.placement.messages import PlacementQuery, PoolName
-from damaskwind.decisions.target_words.said import SAID_NOTHING, Said
+from damaskwind.decisions.target_signals.answer_signals import NO_SIGNALS, AnswerSignals
 from damaskwind.model.configuration import (
     ClientAccount,
     Configuration,
@@ -70,7 +70,7 @@
 
     runs: bool
     told: Verdict | None
-    said: Said = SAID_NOTHING
+    said: AnswerSignals = NO_SIGNALS
 
 
 # An attempt that answers is told nothing yet: its answer may still be cut.
@@ -80,9 +80,9 @@
     "lost before it came": Fate(False, Verdict.MAY_HAVE_RUN),
     "reset after it ran": Fate(True, Verdict.MAY_HAVE_RUN),
     "answers": Fate(True, None),
-    "asks for rest": Fate(False, Verdict.NOT_RUN, Said(rest_s=1.0)),
-    "fails and asks for rest": Fate(True, Verdict.MAY_HAVE_RUN, Said(rest_s=0.3)),
-    "answers and leaves": Fate(True, None, Said(is_leaving=True)),
+    "asks for rest": Fate(False, Verdict.NOT_RUN, AnswerSignals(rest_s=1.0)),
+    "fails and asks for rest": Fate(True, Verdict.MAY_HAVE_RUN, AnswerSignals(rest_s=0.3)),
+    "answers and leaves": Fate(True, None, AnswerSignals(is_leaving=True)),
 }
 LEAVING = Headers({b"x-leaving": [b"1"]})
 
--- a/packages/router/src/damaskwind/router/tests/test_target_wishes.py
+++ b/packages/router/src/damaskwind/router/tests/test_target_wishes.py
@@ -6,7 +6,7 @@
 import treq
 from twisted.trial.unittest import TestCase
 
-from damaskwind.decisions.target_words.said import Said
+from damaskwind.decisions.target_signals.answer_signals import AnswerSignals
 from damaskwind.router.tests.bench import ACCOUNT_KEY, OPERATOR_KEY, TestBench
 from damaskwind.runtime.bridge import asyncio_test, to_future
 
@@ -136,7 +136,7 @@
         await bench.until(lambda: len(bench.router.room))
         placing._full = full
         view = bench.router.directory.find("engine-1")
-        bench.router.wishes.hear(view, Said(REST_S))
+        bench.router.wishes.hear(view, AnswerSignals(REST_S))
         begun_s = bench.router.directory._clock.seconds()
         response = await waiting
         self.assertEqual(response.code, 503)
