--- a/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
@@ -32,7 +32,7 @@
     async def test_nothing_of_the_former_life_is_believed(self):
         beliefs, now_s = self.forwarder.beliefs, read_clock()
         record = self.view.targets.record_of("t0")
-        beliefs.loads.reported("t0", TargetLoad(8, 4, 8), now_s)
+        beliefs.loads.observe_report("t0", TargetLoad(8, 4, 8), now_s)
         beliefs.loads.sent("t0")
         beliefs.note_ended(record, SendEnded(False, was_refused=True), now_s)
         for _ in range(20):
@@ -51,7 +51,7 @@
         self.assertFalse(candidate().is_doubtful)
         self.assertFalse(candidate().is_slow)
         self.assertFalse(candidate().has_known_load)
-        self.assertEqual(beliefs.loads.own("t0"), 0)
+        self.assertEqual(beliefs.loads.own_in_flight("t0"), 0)
         self.assertLess(candidate().age_s, 1.0)
 
     @asyncio_test
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_target_words.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_target_words.py
@@ -169,7 +169,7 @@
         await self.call()
         loads = self.forwarder.beliefs.loads
         sources = {loads.basis(f"t{n}", read_clock(), False).source for n in (0, 1)}
-        self.assertEqual(sources, {LoadSource.GUESS})
+        self.assertEqual(sources, {LoadSource.ESTIMATE})
 
     @asyncio_test
     async def test_a_word_outlives_a_target_that_is_forgotten_and_heard_again(self):
