--- a/packages/decisions/src/damaskwind/decisions/cold_targets/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/cold_targets/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the rate that cold targets bear, all routers together."""
+"""Limit the request rate that all routers together send to cold targets."""
--- a/packages/decisions/src/damaskwind/decisions/cold_targets/cold_periods.py
+++ b/packages/decisions/src/damaskwind/decisions/cold_targets/cold_periods.py
@@ -1,4 +1,4 @@
-"""Know which targets are cold, and when one of them may be sent a request from here."""
+"""Track which targets are cold, and when this router may send a request to one of them."""
 
 from random import Random
 from typing import NamedTuple
@@ -9,10 +9,10 @@
 
 
 class ColdStartLimits(NamedTuple):
-    """What cold targets of a service bear, stated by the operator.
+    """The limits for cold targets of a service, as configured by the operator.
 
-    A target is cold for `start_s` after its start and bears `per_s` requests a second from all
-    routers together; 0 where nothing is stated, and nothing is bounded then.
+    A target is cold for `start_s` after its start and can handle `per_s` requests per second from
+    all routers together. Both are 0 if not configured; then the rate is not limited.
     """
 
     start_s: float = 0.0
@@ -26,8 +26,8 @@
     may_send: bool
 
 
-# Multiples of it, less their whole part, lie evenly between 0 and 1: where all targets are cold,
-# a router's times at them follow one another.
+# Fractional parts of its multiples are evenly spread over [0, 1): if all targets are cold, a
+# router's send slots for them are spread over time.
 GOLDEN_RATIO_STEP = 0.618034
 WARM = ColdState(False, True)
 
@@ -38,9 +38,10 @@
 
 
 class ColdPeriods:
-    """The cold targets that one router is_tracked of.
+    """The cold targets that one router knows.
 
-    Its times at each of them are at random among the routers', but spread evenly over the targets.
+    The router's send slots are at a random phase relative to other routers, but spread evenly over
+    the targets.
 
     >>> periods = ColdPeriods(Random(1))
     >>> periods.mark_cold("t", now_s=0.0, cold_s=3.0)
@@ -58,7 +59,7 @@
         self._periods: dict[str, _ColdPeriod] = {}
 
     def mark_cold(self, target_id: str, now_s: float, cold_s: float) -> None:
-        """Note that a target stays cold for `cold_s` from now on, or longer than was known."""
+        """Record that a target is cold for `cold_s` from now; an earlier end is extended."""
         until_s = now_s + cold_s
         known = self._periods.get(target_id)
         if known is None or known.until_s <= now_s:
@@ -68,7 +69,7 @@
             self._periods[target_id] = known._replace(until_s=until_s)
 
     def is_tracked(self, target_id: str) -> bool:
-        """Tell whether a target is, or was a moment ago, cold."""
+        """Return whether a target is cold or was cold recently."""
         return target_id in self._periods
 
     def cold_state(
@@ -84,13 +85,13 @@
         return ColdState(True, period.slots.is_open(now_s, routers, limits.per_s))
 
     def sent(self, target_id: str, limits: ColdStartLimits, routers: int) -> None:
-        """Note that a request is being sent to a target."""
+        """Record that a request is being sent to a target."""
         period = self._periods.get(target_id)
         if period is not None and limits.per_s:
             period.slots.sent(routers, limits.per_s)
 
     def forget(self, target_id: str) -> None:
-        """Drop a target that is gone."""
+        """Remove a target that is gone."""
         self._periods.pop(target_id, None)
 
     def count(self, now_s: float) -> int:
--- a/packages/decisions/src/damaskwind/decisions/cold_targets/router_count.py
+++ b/packages/decisions/src/damaskwind/decisions/cold_targets/router_count.py
@@ -1,18 +1,18 @@
-"""Reckon with as many routers as may be there, where counting too few breaks a rate."""
+"""Track the highest recent router count, for rates that too low a count would exceed."""
 
 from collections import deque
 
 __all__ = ["COUNT_WINDOW_S", "MaxRouterCount"]
 
-# A replica that has started again counts routers as they ask, some seconds long; one behind a
-# cut counts few for as long as that lasts.
+# A restarted replica counts routers only as they call, which takes some seconds; a partitioned one
+# counts few for as long as the partition lasts.
 COUNT_WINDOW_S = 30.0
-# After its own start a router hears of few for so long, when all replicas start with it.
+# After its own start a router receives too low counts for this long if all replicas start with it.
 WARM_UP_S = 2.0
 
 
 class MaxRouterCount:
-    """The maximum routers that were told lately; none before enough may have been counted.
+    """The maximum of the recent router counts; `None` before the counts are reliable.
 
     >>> maximum = MaxRouterCount()
     >>> maximum.observe(3, 0.0); maximum.value(1.0) is None
@@ -26,7 +26,7 @@
         self._counts: deque[tuple[float, int]] = deque()
 
     def observe(self, routers: int, now_s: float) -> None:
-        """Take a count."""
+        """Record a count received from a replica."""
         if self._first_s is None:
             self._first_s = now_s
         while self._counts and self._counts[-1][1] <= routers:
@@ -34,7 +34,7 @@
         self._counts.append((now_s, routers))
 
     def value(self, now_s: float) -> int | None:
-        """Return the maximum routers of the last time, or `None` while that is not sure."""
+        """Return the maximum count of the window, or `None` during the warm-up."""
         if self._first_s is None or now_s - self._first_s < WARM_UP_S:
             return None
         while len(self._counts) > 1 and self._counts[0][0] < now_s - COUNT_WINDOW_S:
--- a/packages/decisions/src/damaskwind/decisions/cold_targets/tests/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/cold_targets/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of following."""
+"""Tests of cold targets."""
--- a/packages/decisions/src/damaskwind/decisions/fatal_requests/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/fatal_requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which targets end: how they are known again, and who may not be sent; pure."""
+"""Detection of requests that crash targets, and whether a request may be sent; without I/O."""
--- a/packages/decisions/src/damaskwind/decisions/fatal_requests/identity.py
+++ b/packages/decisions/src/damaskwind/decisions/fatal_requests/identity.py
@@ -1,4 +1,4 @@
-"""Know a request again that comes under a new id."""
+"""Identify requests that are sent again with a new id."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -12,12 +12,12 @@
 def identify_request(
     method: bytes, host: bytes, target: bytes, caller: bytes, body: bytes
 ) -> bytes:
-    """Return a digest of what stays the same when a request comes again.
+    """Return a digest of what stays the same when a request is sent again.
 
     `target` is the path with its query, `caller` the client account's name, or the
-    key where there is no account. Ids, deadlines and where a stream goes on are left out:
-    they are new with each attempt. Each part goes in with its length, so that no
-    caller can write a request that looks like another's.
+    key if there is no account. Ids, deadlines and resume positions of streams are left
+    out, since they change with each attempt. Each part is hashed with its length, so that
+    no caller can construct a request with the digest of another caller's.
 
     >>> again = identify_request(b"POST", b"h", b"/a", b"account", b"{}")
     >>> again == identify_request(b"POST", b"h", b"/a", b"account", b"{}")
@@ -32,7 +32,7 @@
 
 
 def _with_lengths(parts: Iterable[bytes]) -> Iterable[bytes]:
-    """Yield each part after its length."""
+    """Yield each part preceded by its length."""
     for part in parts:
         yield len(part).to_bytes(_LENGTH_BYTES, "big")
         yield part
--- a/packages/decisions/src/damaskwind/decisions/fatal_requests/suspicion.py
+++ b/packages/decisions/src/damaskwind/decisions/fatal_requests/suspicion.py
@@ -1,15 +1,15 @@
-"""Tell a request that ends its targets from those that were merely in hand there.
-
-With each target that ends, all that it had in hand falls under suspicion. Who is
-sent again and ends well is cleared; who was sent **knowing** of an end, and has the next
-target end under it too, is a step further. Only such steps count, so that any number of
-targets that end together take a request one step, and a request that is asked
-for all the time is cleared between two of them. After `FATAL_ENDS` steps the request is held
-fatal and sent no more for a while. The field's names are a query of death or a poison message.
-
-All that is known of a request is two numbers, and of two beliefs the higher one counts:
-how often it was cleared, then how many targets ended since. Tables of routers and replicas
-are merged in any order, as often as they meet ("Conflict-free Replicated Data
+"""Distinguish a request that crashes its targets from requests merely in flight there.
+
+When a target ends, every request that it had in flight becomes suspected. A request that is
+sent again and completes is cleared. A request that was sent when a target's end under it
+was already known, and whose next target ends too, goes up one level. Only such ends count, so
+that any number of targets that end together raise a request by one level, and a request that is
+made all the time is cleared between two ends. At level `FATAL_ENDS` the request is fatal and
+not sent for some time. Such a request is known as a query of death or a poison message.
+
+The state of a request is two numbers: how often it was cleared, then how many targets ended
+since. Of two states the higher one wins, compared in that order, so that the tables of routers
+and replicas can be merged in any order and any number of times ("Conflict-free Replicated Data
 Types", Shapiro, Preguiça, Baquero and Zawirski, SSS 2011).
 
 >>> table = SuspicionTable()
@@ -25,19 +25,19 @@
 
 __all__ = ["Standing", "Suspicion", "SuspicionLevel", "SuspicionTable", "fatal_duration_s"]
 
-# So many targets may end under a request before it is sent no more.
+# How many targets may end under a request before it is no longer sent.
 FATAL_ENDS = 3
-# A suspicion without a further end is forgotten after this.
+# A suspicion expires this long after the last end.
 SUSPICION_TTL_S = 600.0
-# So long is a request held fatal at first, and twice as long after each trial that ended a
-# target: whoever is held wrongly is cleared by the first trial.
+# How long a request is fatal at first; doubled after each trial that ended a target. A request
+# that is not the cause is cleared by its first trial.
 FATAL_BASE_S = 60.0
-# At 150 bytes each in a router's memory; a lost target adds as many as it had in hand.
+# At 150 bytes each in a router's memory. A lost target adds as many as it had in flight.
 MAX_REQUESTS = 4096
 
 
 class Standing(StrEnum):
-    """What may be done with a request."""
+    """How a request may be handled."""
 
     CLEAR = "clear"
     SUSPECTED = "suspected"
@@ -45,14 +45,14 @@
 
 
 class SuspicionLevel(NamedTuple):
-    """How often a request was cleared, and how many targets ended under it since."""
+    """How often a request was cleared, and how many targets have ended under it since then."""
 
     cleared: int = 0
     ends: int = 0
 
 
 class Suspicion(NamedTuple):
-    """What is told of a request; its last change is `age_s` ago."""
+    """The state of one request as exchanged between processes; it last changed `age_s` ago."""
 
     digest: bytes
     cleared: int
@@ -67,7 +67,7 @@
 
 
 def fatal_duration_s(ends: int) -> float:
-    """Return how long a request is held fatal after so many targets ended under it.
+    """Return how long a request is fatal after this number of targets ended under it.
 
     >>> fatal_duration_s(3), fatal_duration_s(5)
     (60.0, 240.0)
@@ -76,28 +76,28 @@
 
 
 class SuspicionTable:
-    """The requests under suspicion, as one process knows them. Times are monotonic.
+    """The suspected requests, as known to one process. Times are monotonic.
 
-    `revision` grows with each change, so that others can ask for what is new. With
-    another `jitter` (0 to 1) in each router, not all of them try a request again at once.
+    `revision` grows with each change, so that other processes can request the changes. A
+    different `jitter` (0 to 1) in each router keeps them from trying a request at the same time.
     """
 
     def __init__(self, jitter: float = 0.0) -> None:
         self.revision = 0
         self._duration_factor = 1.0 + jitter
-        # The one that changed last stands last.
+        # In order of the last change.
         self._entries: dict[bytes, _Entry] = {}
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def level(self, digest: bytes) -> SuspicionLevel:
-        """Return what is known of a request."""
+        """Return the level of a request."""
         entry = self._entries.get(digest)
         return entry.level if entry else SuspicionLevel()
 
     def standing(self, digest: bytes, now_s: float) -> Standing:
-        """Return what may be done with a request now."""
+        """Return the current standing of a request."""
         entry = self._entries.get(digest)
         if entry is None or not entry.level.ends:
             return Standing.CLEAR
@@ -109,9 +109,9 @@
         return Standing.FATAL if is_fatal else Standing.SUSPECTED
 
     def may_retry(self, digest: bytes) -> bool:
-        """Tell whether a request may be taken elsewhere after a target ended under it.
+        """Return whether a request may be retried on another target after an end under it.
 
-        One end may have had any other cause.
+        A single end may have had another cause.
         """
         return self.level(digest).ends <= 1
 
@@ -120,22 +120,25 @@
         return sum(self.standing(digest, now_s) is standing for digest in self._entries)
 
     def digests(self) -> list[bytes]:
-        """Return all requests that anything is known of."""
+        """Return the digests of all requests in the table."""
         return list(self._entries)
 
     def record_target_end(self, digest: bytes, level: SuspicionLevel, now_s: float) -> bool:
-        """Take that a target ended under a request that was sent with this known of it."""
+        """Record that a target ended under a request, which had this level when it was sent.
+
+        Return whether that changed the table.
+        """
         return self._raise_level(digest, level._replace(ends=level.ends + 1), now_s)
 
     def record_completion(self, digest: bytes, now_s: float) -> bool:
-        """Clear a request that a target has run to its end; tell whether that was news."""
+        """Clear a request that a target completed; return whether that changed the table."""
         level = self.level(digest)
         return level.ends > 0 and self._raise_level(
             digest, SuspicionLevel(level.cleared + 1), now_s
         )
 
     def merge(self, items: Iterable[Suspicion], now_s: float) -> list[bytes]:
-        """Take what another process knows; return the requests of which that was news."""
+        """Merge entries of another process; return the requests whose state changed."""
         return [
             item.digest
             for item in items
@@ -145,7 +148,7 @@
         ]
 
     def entries(self, digests: Iterable[bytes], now_s: float) -> tuple[Suspicion, ...]:
-        """Return what is known of these requests."""
+        """Return the entries of those of these requests that are in the table."""
         entries = ((digest, self._entries.get(digest)) for digest in digests)
         return tuple(
             Suspicion(digest, *entry.level, round(max(now_s - entry.at_s, 0.0), 1))
@@ -156,7 +159,7 @@
     def changed_since(
         self, revision: int, limit: int, now_s: float
     ) -> tuple[tuple[Suspicion, ...], int]:
-        """Return what has changed since a revision, the oldest first, and up to which one."""
+        """Return up to `limit` changes after a revision, oldest first, and the last revision."""
         newer = []
         for digest, entry in reversed(self._entries.items()):
             if entry.revision <= revision:
@@ -167,7 +170,7 @@
         return self.entries([digest for digest, _ in page], now_s), last_revision
 
     def forget(self, now_s: float) -> None:
-        """Drop what is too old to count."""
+        """Drop expired entries."""
         old = [
             digest
             for digest, entry in self._entries.items()
@@ -177,7 +180,7 @@
             del self._entries[digest]
 
     def _raise_level(self, digest: bytes, level: SuspicionLevel, at_s: float) -> bool:
-        """Believe the higher of two beliefs."""
+        """Store a level if it is higher than the known one; return whether it was."""
         if level <= self.level(digest):
             return False
         self.revision += 1
@@ -188,7 +191,7 @@
         return True
 
     def _evict_one(self) -> None:
-        """Make room: those held fatal stay as long as there are others."""
+        """Evict the oldest entry, preferably one that is not fatal."""
         evictable = (item for item, entry in self._entries.items() if entry.level.ends < FATAL_ENDS)
         digest = next(evictable, next(iter(self._entries)))
         del self._entries[digest]
--- a/packages/decisions/src/damaskwind/decisions/fatal_requests/tests/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/fatal_requests/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of following."""
+"""Tests of the detection of fatal requests."""
--- a/packages/decisions/src/damaskwind/decisions/health/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/health/__init__.py
@@ -1,1 +1,1 @@
-"""Circuit state and outlier ejection of targets."""
+"""Circuit breakers, outlier ejection and slow-target detection."""
--- a/packages/decisions/src/damaskwind/decisions/health/circuit.py
+++ b/packages/decisions/src/damaskwind/decisions/health/circuit.py
@@ -1,6 +1,6 @@
-"""The circuit of one target: closed, open for a while, then one trial.
+"""The circuit breaker of one target: closed, open for some time, then half-open for a trial.
 
-The state chart is in `circuit.toml`; this module holds its actions.
+The state chart is in `circuit.toml`; this module implements its actions.
 """
 
 from collections import deque
@@ -19,11 +19,11 @@
 class HealthPolicy(NamedTuple):
     """When a target is ejected and for how long.
 
-    Either `consecutive_failures` in a row, or `failure_share` of the last
-    `sample_size` outcomes, make it an outlier. The n-th ejection lasts
-    `ejection_base_s` doubled n - 1 times, at most `ejection_limit_s`, stretched
-    by up to `jitter_share`. A target that stayed closed for `reset_after_s` starts
-    again from the base.
+    A target is an outlier after `consecutive_failures` in a row, or if failures make up
+    `failure_share` of the last `sample_size` outcomes. The n-th ejection lasts
+    `ejection_base_s` doubled n - 1 times, at most `ejection_limit_s`, lengthened by a
+    random share up to `jitter_share`. After its circuit was closed for `reset_after_s`,
+    a target starts again from the base.
     """
 
     ejection_share: float = 0.34
@@ -52,11 +52,11 @@
 
     @property
     def state(self) -> str:
-        """Name the circuit's state: `closed`, `open` or `half_open`."""
+        """Return the circuit's state: `closed`, `open` or `half_open`."""
         return self._machine.state
 
     def is_outlier(self) -> bool:
-        """Tell whether the recent outcomes justify an ejection."""
+        """Return whether the recent outcomes justify an ejection."""
         if self._consecutive_failures >= self.policy.consecutive_failures:
             return True
         failures = self._outcomes.count(False)
@@ -64,7 +64,7 @@
         return full and failures >= self.policy.failure_share * self.policy.sample_size
 
     def observe(self, succeeded: bool, now_s: float, random: Random) -> None:
-        """Note how a request ended."""
+        """Record the outcome of a request."""
         self._outcomes.append(succeeded)
         self._consecutive_failures = 0 if succeeded else self._consecutive_failures + 1
         self._machine.feed("succeed" if succeeded else "fail", now_s, random)
@@ -74,24 +74,24 @@
         self._machine.feed("eject", now_s, random)
 
     def recall(self, now_s: float) -> None:
-        """Close the circuit because too many others are out."""
+        """Close the circuit because too many targets of the pool are ejected."""
         self._machine.feed("recall", now_s, None)
 
     def tick(self, now_s: float, random: Random) -> None:
-        """Move an open circuit on when its time is over."""
+        """Make an open circuit half-open once its ejection is over."""
         if now_s >= self.open_until_s:
             self._machine.feed("time_over", now_s, random)
 
     def has_trial(self, now_s: float) -> bool:
-        """Tell whether a half-open circuit may take its one trial now."""
+        """Return whether a half-open circuit may get its one trial request now."""
         return self.state == _HALF_OPEN and now_s >= self._trial_until_s
 
     def start_trial(self, now_s: float) -> None:
-        """Hand out the trial; one whose end is never told is given up on in time."""
+        """Start the trial; if its outcome is not observed, another is allowed after a timeout."""
         self._trial_until_s = now_s + self.policy.trial_timeout_s
 
     def start_ejection(self, now_s: float, random: Random) -> None:
-        """Chart action: choose how long the circuit stays open."""
+        """Chart action: set how long the circuit stays open."""
         if self._ejections and now_s - self._closed_since_s > self.policy.reset_after_s:
             self._ejections = 0
         length_s = min(
@@ -102,11 +102,11 @@
         self._closed_since_s = self.open_until_s
 
     def allow_trial(self, now_s: float, random: Random) -> None:
-        """Chart action: let one request through."""
+        """Chart action: allow one trial request."""
         self._trial_until_s = 0.0
 
     def clear_failures(self, now_s: float, random: Random | None) -> None:
-        """Chart action: forget the failures from before the ejection."""
+        """Chart action: clear the outcomes from before the ejection."""
         self._outcomes.clear()
         self._consecutive_failures = 0
         self._closed_since_s = now_s
--- a/packages/decisions/src/damaskwind/decisions/health/slow_targets.py
+++ b/packages/decisions/src/damaskwind/decisions/health/slow_targets.py
@@ -1,9 +1,9 @@
-"""Notice targets that have become much slower than their pool.
+"""Detect targets that have become much slower than their pool.
 
-What counts is the time to the answer's beginning as a part of the route's
-objective. A target whose last answers came too late, while the pool's came in
-time, is slow for a while; then it is tried again. When all are slow, none is:
-the load is then the cause, and moving requests around would not help.
+Latency is the time to the first byte of the answer as a fraction of the route's
+objective. A target whose last answers were late, while those of the pool were in
+time, counts as slow for some seconds; then it is tried again. If all targets are
+slow, none counts as slow: then load is the cause, and moving requests does not help.
 """
 
 from typing import NamedTuple
@@ -16,8 +16,8 @@
 
     An answer is late beyond `late_fraction` of its objective, and counts twice
     beyond `very_late_fraction`. After `late_answers` in a row the target is slow
-    for `slow_s`, if the pool's mean part is below `pool_fraction`. The mean
-    follows the last `mean_window_answers` or so.
+    for `slow_s`, if the pool's mean fraction is below `pool_fraction`. The mean is
+    exponential over about the last `mean_window_answers` answers.
     """
 
     late_fraction: float = 0.9
@@ -32,7 +32,7 @@
 
 
 class SlowTargetDetector:
-    """The pace of one pool's targets, as one router sees it.
+    """The detector for one pool's targets, as one router sees them.
 
     >>> detector = SlowTargetDetector()
     >>> for _ in range(10): detector.observe("fast", 0.2, 0.0)
@@ -48,7 +48,7 @@
         self._slow_until_s: dict[str, float] = {}
 
     def observe(self, target_id: str, objective_fraction: float, now_s: float) -> None:
-        """Note that a target's answer began after this part of its objective."""
+        """Record that a target's answer began after this fraction of its objective."""
         policy = self._policy
         capped = min(objective_fraction, 2.0)
         self._mean_fraction += (capped - self._mean_fraction) / policy.mean_window_answers
@@ -63,10 +63,10 @@
             self._late_counts[target_id] = policy.late_answers - 1
 
     def is_slow(self, target_id: str, now_s: float) -> bool:
-        """Tell whether a target should be passed over for its pace."""
+        """Return whether a target should be avoided because it is slow."""
         return self._slow_until_s.get(target_id, 0.0) > now_s
 
     def forget(self, target_id: str) -> None:
-        """Drop a target that is gone."""
+        """Remove a target that is gone."""
         self._late_counts.pop(target_id, None)
         self._slow_until_s.pop(target_id, None)
--- a/packages/decisions/src/damaskwind/decisions/health/tests/test_ejection.py
+++ b/packages/decisions/src/damaskwind/decisions/health/tests/test_ejection.py
@@ -22,7 +22,7 @@
         for _ in range(POLICY.consecutive_failures):
             pool.observe(target_id, False, now_s, self.random)
 
-    def test_never_more_than_the_share(self):
+    def test_at_most_the_share_is_ejected(self):
         for size, limit in ((1, 0), (2, 0), (3, 1), (6, 2), (9, 3), (250, 85)):
             with self.subTest(size=size):
                 pool = self.make(size)
@@ -31,7 +31,7 @@
                 self.assertEqual(len(pool.ejected(0.0, self.random)), limit)
                 self.assertEqual(len(pool.suspects()), size - limit)
 
-    def test_trials_count_as_out(self):
+    def test_targets_in_trial_count_as_ejected(self):
         pool = self.make(3)
         self.fail(pool, "t0")
         self.assertTrue(pool.may_send("t0", 100.0, self.random))
@@ -45,7 +45,7 @@
         pool.set_targets(["t0", "t1", "t2"], 2.0)
         self.assertEqual(len(pool.ejected(2.0, self.random)), 1)
 
-    def test_half_open_lets_one_trial_through(self):
+    def test_half_open_circuit_allows_one_trial(self):
         pool = self.make(3)
         self.fail(pool, "t0")
         self.assertFalse(pool.may_send("t0", POLICY.ejection_base_s * 0.99, self.random))
@@ -79,7 +79,7 @@
             self.assertGreaterEqual(length_s, expected_s - 0.1)
             self.assertLessEqual(length_s, 1.5 * expected_s + 0.1)
 
-    def test_failure_share_without_a_row_of_failures(self):
+    def test_failure_share_without_consecutive_failures(self):
         pool = self.make(3)
         for number in range(POLICY.sample_size):
             pool.observe("t0", number % 2 == 0, 0.0, self.random)
--- a/packages/decisions/src/damaskwind/decisions/health/tests/test_slow_targets.py
+++ b/packages/decisions/src/damaskwind/decisions/health/tests/test_slow_targets.py
@@ -1,4 +1,4 @@
-"""Tests of the detector of a pool's targets."""
+"""Tests of the detection of slow targets."""
 
 import unittest
 
@@ -11,18 +11,18 @@
         for number in range(30):
             self.detector.observe(f"t{number % 5}", 0.2, 0.0)
 
-    def test_one_late_answer_is_no_pace(self):
+    def test_one_late_answer_does_not_make_a_target_slow(self):
         self.detector.observe("t0", 1.1, 0.0)
         self.assertFalse(self.detector.is_slow("t0", 0.0))
 
-    def test_two_late_answers_or_one_very_late_one_are(self):
+    def test_two_late_answers_or_one_very_late_one_make_a_target_slow(self):
         self.detector.observe("t0", 1.1, 0.0)
         self.detector.observe("t0", 1.1, 0.0)
         self.detector.observe("t1", 3.0, 0.0)
         self.assertTrue(self.detector.is_slow("t0", 0.1))
         self.assertTrue(self.detector.is_slow("t1", 0.1))
 
-    def test_answer_in_time_in_between_forgives(self):
+    def test_answer_in_time_resets_the_late_count(self):
         for fraction in (1.1, 0.3, 1.1):
             self.detector.observe("t0", fraction, 0.0)
         self.assertFalse(self.detector.is_slow("t0", 0.0))
--- a/packages/decisions/src/damaskwind/decisions/load/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/load/__init__.py
@@ -1,1 +1,1 @@
-"""How loaded each target is now, estimated from lagged reports; pure."""
+"""Estimates of each target's current load from lagged reports, without I/O."""
--- a/packages/decisions/src/damaskwind/decisions/load/bound.py
+++ b/packages/decisions/src/damaskwind/decisions/load/bound.py
@@ -1,10 +1,10 @@
-"""Turn the mean load into the levels at which chats spill, and thin them evenly.
+"""Compute from the mean load the levels at which chats spill, and the share that spills.
 
-Routers that act on the same lagged report at once would empty a target that is
-over its bound and fill another one. So the share of chats that spill grows
-gradually between two levels below the bound, and which chats spill is drawn by a
-hash of chat and target, not by chance: every router spills the same chats, and a
-chat that spilled keeps spilling while the target stays as loaded as it is.
+If all routers reacted to the same lagged report at once, they would empty a target that
+is over its bound and overload another one. The share of chats that spill therefore grows
+gradually between two levels below the bound. Which chats spill is decided by a hash of
+chat and target, not at random: every router spills the same chats, and a chat that
+spilled keeps spilling while the target's load is unchanged.
 """
 
 from typing import NamedTuple
@@ -18,12 +18,12 @@
 
 
 class SpillRamp(NamedTuple):
-    """Where spilling is half complete, and how wide the way there is.
+    """The centre and the width of the load range in which spilling grows.
 
-    `centre` is a share of the way from the mean to the bound; `half_width_sds`
-    is counted in standard deviations of the estimate's error, so that the share
-    that spills is near the chance that the target is really over the centre. It
-    is never less than `min_half_width`, again a share of the way from the mean.
+    At `centre`, a fraction of the headroom from the mean to the bound, half of the
+    chats spill. `half_width_sds` is in standard deviations of the estimate's error, so
+    that the share that spills approximates the probability that the load really is over
+    the centre. The half width is at least `min_half_width`, a fraction of the headroom.
     """
 
     centre: float
@@ -32,7 +32,7 @@
 
 
 class LoadLevels(NamedTuple):
-    """The levels of one target in tokens: no chat spills at `start`, all at `full`."""
+    """The levels of one target in tokens: no chat spills up to `start`, all from `full` on."""
 
     start_tokens: float
     full_tokens: float
@@ -47,12 +47,12 @@
     min_headroom_tokens: float,
     capacity_tokens: float,
 ) -> LoadLevels:
-    """Return the levels of a target.
+    """Return the load levels of a target.
 
     The older the report, the larger the error and the more gradual the spilling:
-    a loop that reacts as sharply to old news as to fresh news swings. The way
-    from the mean to the bound is at least `min_headroom_tokens`: at a low load a
-    request or two would else count as a hot target.
+    a control loop that reacts to old reports as sharply as to fresh ones oscillates.
+    The headroom from the mean to the bound is at least `min_headroom_tokens`;
+    otherwise one or two requests would make a target hot at a low load.
 
     >>> levels_for(SpillRamp(0.5, 2.0, 0.1), 100.0, 1.5, 10.0, 0.0, 1000.0)
     LoadLevels(start_tokens=105.0, full_tokens=145.0, bound_tokens=150.0)
@@ -84,5 +84,5 @@
 
 
 def spill_draw(chat_key: bytes, target_seed: int) -> float:
-    """Draw a number in [0, 1) for a chat at a target, the same on every router."""
+    """Return a hash draw in [0, 1) for a chat at a target, equal on every router."""
     return xxhash.xxh3_64_intdigest(chat_key, target_seed ^ _DRAW_SEED) * _DRAW_SCALE
--- a/packages/decisions/src/damaskwind/decisions/load/estimate.py
+++ b/packages/decisions/src/damaskwind/decisions/load/estimate.py
@@ -1,12 +1,12 @@
-"""Estimate each target's load from lagged reports, own work and peers' drift.
+"""Estimate each target's load from lagged reports, own placements and peers' drift.
 
-A report is old when it arrives. What this router has placed since it was
-measured is known exactly and added. What the peers placed, less what the target
-worked off, is taken as a random walk with drift: both its drift and its variance
-per second are learned from successive reports, after own work is taken out. The
+A report is already old when it arrives. What this router has placed since the
+measurement is known exactly and added. What the peers placed, less what the target
+completed, is modelled as a random walk with drift. Its drift and its variance per
+second are learned from successive reports, after subtracting own placements. The
 error of an estimate then grows with the square root of the report's age:
 
-    estimate = report + own placements since + drift * age
+    estimate = report + own placements since then + drift * age
     error sd = sqrt(variance per second * age)
 """
 
@@ -26,7 +26,7 @@
 
 
 class LoadModel:
-    """What one router knows of one target's load.
+    """One router's model of one target's load.
 
     `capacity_tokens` is 0 until the target has reported it.
     """
@@ -61,7 +61,7 @@
         self._own_since_report_tokens = 0.0
 
     def observe(self, report: LoadReport, now_s: float) -> None:
-        """Take in a report; one measured before the last one is ignored."""
+        """Process a report; one that was measured before the last one is ignored."""
         measured_s = now_s - report.age_s
         if self._measured_s is not None and measured_s <= self._measured_s:
             return
@@ -73,10 +73,10 @@
             self.capacity_tokens = report.capacity_tokens
 
     def _learn_from(self, load_tokens: float, measured_s: float, placed_tokens: float) -> None:
-        """Learn from the step since the last report learned from, once it is long enough.
+        """Update the model once enough time has passed since the last update.
 
-        Loads are rounded on their way and so are their ages: over a short step that
-        would pass for peers' work.
+        Loads and ages are rounded in transit. Over a short step the rounding errors
+        would be mistaken for work of the peers.
         """
         self._base_tokens += placed_tokens
         step_s = measured_s - self._base_s if self._measured_s is not None else 0.0
@@ -87,7 +87,7 @@
             self._base_s = measured_s
 
     def _update_model(self, moved_tokens: float, step_s: float) -> None:
-        """Learn the peers' drift and its variance from the step between two reports."""
+        """Update the peers' drift and its variance from the step between two reports."""
         innovation_tokens = moved_tokens - self._drift_tokens_per_s * step_s
         self._learned_s += step_s
         drift_gain = _gain(step_s, self._learned_s, DRIFT_WINDOW_S)
@@ -98,7 +98,7 @@
         )
 
     def _drop_covered_placements(self, measured_s: float) -> float:
-        """Drop own placements that a report covers; return their tokens."""
+        """Drop own placements that a report includes; return their tokens."""
         covered_tokens = 0.0
         while self._own_since_report and self._own_since_report[0][0] <= measured_s:
             covered_tokens += self._own_since_report.popleft()[1]
@@ -106,17 +106,17 @@
         return covered_tokens
 
     def started(self, request_id: str, need_tokens: float, now_s: float) -> None:
-        """Count work that this router just sent."""
+        """Add work that this router just sent."""
         self._own_in_flight[request_id] = need_tokens
         self._own_tokens += need_tokens
         self._own_since_report.append((now_s, need_tokens))
         self._own_since_report_tokens += need_tokens
 
     def finished(self, request_id: str, done: bool, now_s: float) -> None:
-        """Take ended work out of what this router has in flight.
+        """Remove ended work from what this router has in flight.
 
-        Work that was not done no longer weighs on the target, whatever the last
-        report said; work that was done is part of the drift.
+        Work that was not done is subtracted from the target's load, whatever the last
+        report contained; work that was done is part of the drift.
         """
         need_tokens = self._own_in_flight.pop(request_id, 0.0)
         self._own_tokens = self._own_tokens - need_tokens if self._own_in_flight else 0.0
@@ -125,14 +125,14 @@
             self._own_since_report_tokens -= need_tokens
 
     def age_s(self, now_s: float) -> float | None:
-        """Return how long ago the last report was measured, if there is one."""
+        """Return the age of the last report's measurement, or `None` without a report."""
         return None if self._measured_s is None else now_s - self._measured_s
 
     def estimate_tokens(self, now_s: float, router_count: int) -> float:
-        """Return the estimated work in hand.
+        """Return the estimated outstanding work.
 
-        A target that never reported, or not for long, is taken to carry this
-        router's own work once for each router.
+        A target that never reported, or not for a long time, is assumed to have as much
+        work from every router as from this one.
         """
         if self._measured_s is None or now_s - self._measured_s > SILENT_AFTER_S:
             return self._own_tokens * router_count
@@ -150,12 +150,12 @@
 
 
 def _gain(step_s: float, learned_s: float, window_s: float) -> float:
-    """Weigh a step as in a plain mean while little is known, then as in a window's mean."""
+    """Return the weight of a step: of a plain mean at first, then of a windowed mean."""
     return max(1.0 - exp(-step_s / window_s), step_s / learned_s)
 
 
 class LoadTable:
-    """The loads of every target that one router knows.
+    """The load models of all targets that one router knows.
 
     >>> table = LoadTable()
     >>> table.observe("a", LoadReport(100, 1000, 1, 0, 0.5), now_s=10.0)
@@ -170,38 +170,38 @@
         self.router_count = 1
 
     def load(self, target_id: str) -> LoadModel:
-        """Return a target's record, made on first use."""
+        """Return a target's model, created on first use."""
         load = self._loads.get(target_id)
         if load is None:
             load = self._loads[target_id] = LoadModel()
         return load
 
     def forget(self, target_id: str) -> None:
-        """Drop a target's record; its requests in flight end without effect."""
+        """Remove a target's model; ends of its requests in flight are then ignored."""
         self._loads.pop(target_id, None)
 
     def observe(self, target_id: str, report: LoadReport, now_s: float) -> None:
-        """Take in a report on a target."""
+        """Process a report on a target."""
         self.load(target_id).observe(report, now_s)
 
     def started(self, request_id: str, target_id: str, need_tokens: float, now_s: float) -> None:
-        """Count a request sent to a target."""
+        """Record a request sent to a target."""
         self._target_of_request[request_id] = target_id
         self.load(target_id).started(request_id, need_tokens, now_s)
 
     def finished(self, request_id: str, done: bool, now_s: float) -> None:
-        """End a request; an unknown one is ignored."""
+        """Record the end of a request; an unknown request is ignored."""
         target_id = self._target_of_request.pop(request_id, None)
         load = self._loads.get(target_id) if target_id is not None else None
         if load is not None:
             load.finished(request_id, done, now_s)
 
     def estimate_tokens(self, target_id: str, now_s: float) -> float:
-        """Return the estimated work in hand at a target."""
+        """Return the estimated outstanding work at a target."""
         return self.load(target_id).estimate_tokens(now_s, self.router_count)
 
     def mean_tokens(self, target_ids: Sequence[str], now_s: float) -> float:
-        """Return the mean estimated work in hand of some targets."""
+        """Return the mean estimated outstanding work of some targets."""
         router_count = self.router_count
         loads = map(self.load, target_ids)
         total_tokens = sum([load.estimate_tokens(now_s, router_count) for load in loads])
--- a/packages/decisions/src/damaskwind/decisions/load/held_sums.py
+++ b/packages/decisions/src/damaskwind/decisions/load/held_sums.py
@@ -1,9 +1,9 @@
-"""Sum what all routers hold at each target, from what each of them reported last.
+"""Sum the requests that all routers hold at each target, from the last report of each.
 
-Routers call every replica about once a second anyway and tell on each call what
-they hold. The sum is some half a second old on the mean, at 8 routers as at 300,
-and each router hears one from every replica in turn; by its own answers alone it
-would hear each of 39 targets once in 21 s among 195 routers.
+Routers call every replica about once a second anyway, and each call reports the requests
+that the router holds. The sum is about half a second old on average, with 8 routers as with
+300, and each router receives one from every replica in turn. From its own answers alone, a
+router would receive a report of each of 39 targets once in 21 s among 195 routers.
 
 >>> sums = HeldAggregator()
 >>> sums.report("router-1", (HeldCount(7, 2),), now_s=0.0)
@@ -23,22 +23,22 @@
 
 __all__ = ["HeldAggregator", "HeldCount", "HeldSum"]
 
-# A router calls about once a second; one that is silent for longer has died with its
-# requests, or can't be reached and is counted by a replica that it still reaches.
+# A router calls about once a second. One that is silent for longer has died and its requests
+# with it, or is unreachable and is counted by a replica that it still reaches.
 REPORT_TTL_S = 2.2
 
 
 class HeldCount(NamedTuple):
-    """How many requests are held at a target, which its digest stands for."""
+    """How many requests are held at a target, which is identified by its digest."""
 
     target: int
     held: int
 
 
 class HeldSum(NamedTuple):
-    """What `routers` routers hold together at targets; `age_s` is the mean age of their words.
+    """What `routers` routers hold together at each target; `age_s` is their reports' mean age.
 
-    `services` is what they saw together of services that tell no load, each in its last second.
+    `services` sums what they observed of services that report no load, each in its last second.
     """
 
     counts: tuple[HeldCount, ...] = ()
@@ -48,7 +48,7 @@
 
 
 class _Report(NamedTuple):
-    """What one router told, and when."""
+    """The report of one router, and when it arrived."""
 
     counts: tuple[HeldCount, ...]
     at_s: float
@@ -56,7 +56,10 @@
 
 
 class HeldAggregator:
-    """The sums of one replica. A router's word counts until its next one, or `REPORT_TTL_S`."""
+    """The sums of one replica.
+
+    A router's report counts until its next report, or for `REPORT_TTL_S`.
+    """
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
@@ -70,7 +73,7 @@
         now_s: float,
         services: tuple[ServiceCount, ...] = (),
     ) -> None:
-        """Take what a router holds now, in place of what it reported before."""
+        """Replace the report of a router by what it holds now."""
         self._drop(router_id)
         self._reports[router_id] = _Report(counts, now_s, services)
         self._received_sum_s += now_s
@@ -79,11 +82,11 @@
 
     @property
     def target_count(self) -> int:
-        """Return at how many targets anything is held."""
+        """Return the number of targets at which any request is held."""
         return len(self._held)
 
     def total(self, now_s: float) -> HeldSum:
-        """Return the sum of what was reported recently."""
+        """Return the sum of the recent reports."""
         self._drop_silent(now_s)
         routers = len(self._reports)
         if not routers:
@@ -100,7 +103,7 @@
         return tuple(ServiceCount(service, seen) for service, seen in totals.items())
 
     def _drop_silent(self, now_s: float) -> None:
-        """Drop routers that reported nothing for long; the one that reported first stands first."""
+        """Drop routers whose report has expired; reports are in order of arrival."""
         while self._reports:
             router_id, report = next(iter(self._reports.items()))
             if now_s - report.at_s <= REPORT_TTL_S:
--- a/packages/decisions/src/damaskwind/decisions/load/tests/partial_view_replay.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/partial_view_replay.py
@@ -1,9 +1,9 @@
-"""Replay the traffic of many routers over few engines, each router with its sliver of it.
+"""Replay the traffic of many routers over few engines, each router observing a part of it.
 
-Lifetimes, keys and the unevenness of engines and routers are as in the logs of 65
-routers before 30 engines: answers begin after some 0.25 s and last 1.6 s on the
-mean with a long tail, 650 keys of which none is hot, two engines in thirty that
-turn slow, and three seconds with more than the usual. Each router has a call open at every
+Durations, keys and the unevenness of engines and routers are as in the logs of 65
+routers and 30 engines: answers begin after some 0.25 s and last 1.6 s on average
+with a long tail, 650 keys of which none is hot, two engines in thirty that
+are slow, and three seconds with a surge. Each router has a call open at every
 replica, which answers it after a second.
 """
 
@@ -23,21 +23,21 @@
 SECONDS = 16
 SURGE_S = range(8, 11)
 SURGE = 1.6
-# Seconds of a stream by its kind, and how often the kind comes.
+# Mean duration of a stream by its kind, and the weight of the kind.
 LASTS_S = (0.35, 0.8, 3.6)
 KIND_WEIGHTS = (0.35, 0.35, 0.3)
 SLOWNESS = 3.0
-# An engine with more than so many requests in hand is slower for each of them.
+# An engine slows down with each request that it holds beyond this number.
 QUICK_UP_TO = 12.5
 SLOTS = 128
 REPLICAS = 5
 CALL_S = 1.0
-# The users' rule: in five seconds no more than three in a hundred above this bound.
+# The users' rule: at most three in a hundred sends above the bound within five seconds.
 WINDOW_S = 5
 
 
 class Fleet(NamedTuple):
-    """How many routers and engines, and how many requests come in a second."""
+    """The numbers of routers and engines, and the requests per second."""
 
     routers: int
     engines: int
@@ -45,7 +45,7 @@
 
 
 class Engine:
-    """One engine; `slowdown` stretches all its answers."""
+    """One engine; `slowdown` multiplies the duration of its answers."""
 
     def __init__(self, name, slowdown):
         self.name = name
@@ -57,7 +57,11 @@
 
 
 class PartialViewReplay:
-    """One run; afterwards `sent`, `above` and `away` count by second, `errors` lists beliefs."""
+    """One run.
+
+    Afterwards `sent`, `above` and `away` are counts per second; `errors` lists the errors of
+    the estimated loads.
+    """
 
     def __init__(self, fleet, seed):
         self.fleet = fleet
@@ -106,7 +110,7 @@
         self.after(now_s, ends_s, self.end, loads, engine)
 
     def place(self, loads, key, now_s):
-        """Choose as a router does, and note how that was."""
+        """Choose an engine as a router does, and record the choice."""
         known = loads.estimates(self.engines, len(self.routers), now_s)
         candidates = [Candidate(name, "d", known[name], SLOTS, False) for name in self.engines]
         policy = policy_for(len(self.routers), loads.has_sums(now_s))
@@ -147,10 +151,10 @@
         )
 
     def share_away(self):
-        """Return the share of sends that passed their first rank over."""
+        """Return the share of sends that skipped their first rank."""
         return self.away.total() / self.sent.total()
 
     def error_sd(self):
-        """Return the standard deviation of the believed load's error, in requests."""
+        """Return the standard deviation of the estimated load's error, in requests."""
         mean = sum(self.errors) / len(self.errors)
         return (sum((error - mean) ** 2 for error in self.errors) / len(self.errors)) ** 0.5
--- a/packages/decisions/src/damaskwind/decisions/load/tests/release_replay.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/release_replay.py
@@ -1,9 +1,9 @@
 """Replay a release: engines are replaced one after the other while routers send.
 
-A newcomer holds nothing, is the first rank of its share of the keys as soon as a
-router hears of it, and is slow while its caches are cold. One second later an old
-engine says that it leaves; it gets nothing new and ends what it holds. Routers
-learn of both at times of their own, as news reach them.
+A new engine is idle, is first in rank for its share of the keys as soon as a router
+learns of it, and is slow while its caches are cold. One second later an old engine
+announces that it is leaving; it gets no new requests and finishes those that it holds.
+Each router learns of both after a random delay, as updates reach it.
 """
 
 from damaskwind.decisions.load.tests.partial_view_replay import Engine, PartialViewReplay
@@ -21,7 +21,7 @@
 
 
 class ReleaseReplay(PartialViewReplay):
-    """One run; `is_summed` switches the sums of the replicas off for comparison.
+    """One run; without `is_summed` routers get no sums from replicas, for comparison.
 
     `joined_sent` and `joined_above` count sends to engines younger than five seconds.
     """
@@ -72,7 +72,7 @@
         loads.forget(name)
 
     def place(self, loads, key, now_s):
-        """Choose among the engines that this router knows, and record how that was."""
+        """Choose among the engines that this router knows, and record the choice."""
         names = sorted(self.known[self._index[id(loads)]])
         loads_by_name = loads.estimates(names, len(self.routers), now_s)
         candidates = [Candidate(name, "d", loads_by_name[name], SLOTS, False) for name in names]
@@ -84,7 +84,7 @@
         return engine
 
     def record_send(self, engine, rank, now_s):
-        """Count a send; engines that have left and hold nothing are out of the mean."""
+        """Count a send; the mean leaves out engines that have left and hold no requests."""
         held = [
             other.held
             for other in self.engines.values()
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_bound.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_bound.py
@@ -1,4 +1,4 @@
-"""Tests of the load levels and of thinning."""
+"""Tests of the load levels and of the share that spills."""
 
 from unittest import TestCase
 
@@ -17,7 +17,7 @@
         self.assertGreater(old.full_tokens, fresh.full_tokens)
         self.assertEqual(old.bound_tokens, 1250.0)
 
-    def test_two_requests_on_an_idle_pool_are_no_hot_target(self) -> None:
+    def test_two_requests_on_an_idle_pool_make_no_target_hot(self) -> None:
         levels = levels_for(RAMP, 100.0, 1.25, 0.0, 600.0, 1e9)
         self.assertEqual(spill_share(300.0, levels), 0.0)
         self.assertEqual(levels.bound_tokens, 700.0)
@@ -32,9 +32,9 @@
 
 
 class DrawTest(TestCase):
-    """Draws that are equal on every router and even over chats."""
+    """Draws are equal on every router and uniform over chats."""
 
-    def test_draws_are_even_and_differ_by_target(self) -> None:
+    def test_draws_are_uniform_and_independent_by_target(self) -> None:
         draws = [spill_draw(str(i).encode(), 1) for i in range(4000)]
         self.assertLess(abs(sum(draw < 0.3 for draw in draws) / 4000 - 0.3), 0.03)
         others = [spill_draw(str(i).encode(), 2) for i in range(4000)]
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_estimate.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_estimate.py
@@ -14,7 +14,7 @@
 
 
 class EstimateTest(TestCase):
-    """A report, own work since it was measured, and drift."""
+    """An estimate is a report, own work since its measurement, and drift."""
 
     def setUp(self) -> None:
         self.table = LoadTable()
@@ -32,20 +32,20 @@
         self.table.observe("a", _report(9000, age_s=2.0), 4.0)
         self.assertEqual(self.table.estimate_tokens("a", 4.0), 500.0)
 
-    def test_work_that_was_not_done_is_taken_out(self) -> None:
+    def test_work_that_was_not_done_is_subtracted(self) -> None:
         self.table.observe("a", _report(500), 1.0)
         self.table.started("r", "a", 70.0, 1.1)
         self.table.finished("r", False, 1.2)
         self.assertEqual(self.table.estimate_tokens("a", 1.2), 500.0)
 
-    def test_a_silent_target_carries_own_work_for_each_router(self) -> None:
+    def test_a_target_without_reports_has_own_work_from_each_router(self) -> None:
         self.table.router_count = 8
         self.table.started("r", "a", 70.0, 1.0)
         self.assertEqual(self.table.estimate_tokens("a", 1.0), 560.0)
         self.table.finished("r", True, 2.0)
         self.assertEqual(self.table.estimate_tokens("a", 2.0), 0.0)
 
-    def test_a_forgotten_target_starts_anew(self) -> None:
+    def test_a_removed_target_starts_without_load(self) -> None:
         self.table.started("r", "a", 70.0, 1.0)
         self.table.forget("a")
         self.table.finished("r", True, 2.0)
@@ -56,7 +56,7 @@
             self.table.observe("a", _report(1000 + 100 * step), float(step))
         self.assertLess(abs(self.table.estimate_tokens("a", 40.0) - 5000), 10)
 
-    def test_own_work_is_not_taken_for_drift(self) -> None:
+    def test_own_work_is_not_mistaken_for_drift(self) -> None:
         load_tokens = 1000.0
         for step in range(40):
             self.table.started(str(step), "a", 100.0, step + 0.5)
@@ -66,10 +66,10 @@
 
 
 class ErrorTest(TestCase):
-    """The stated error of peers that place at random."""
+    """The predicted error for peers that place at random."""
 
     def _errors(self, lag_s: float) -> tuple[float, float]:
-        """Return the measured and the stated sd of the error at an age."""
+        """Return the measured and the predicted standard deviation of the error at an age."""
         random, table, load_tokens, errors = Random(7), LoadTable(), 100_000.0, []
         stated = 0.0
         for step in range(4000):
@@ -80,11 +80,11 @@
             load_tokens += random.gauss(0.0, 300.0)
         return pstdev(errors), stated
 
-    def test_the_stated_error_matches_the_measured_one(self) -> None:
+    def test_the_predicted_error_matches_the_measured_one(self) -> None:
         measured, stated = self._errors(0.01)
         self.assertLess(abs(stated / measured - 1.0), 0.2)
 
-    def test_it_grows_with_the_square_root_of_age(self) -> None:
+    def test_the_error_grows_with_the_square_root_of_age(self) -> None:
         table = LoadTable()
         for step, load_tokens in enumerate((1000, 1500, 900, 1600, 1000)):
             table.observe("a", _report(load_tokens), float(step))
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_held_requests.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_held_requests.py
@@ -1,4 +1,4 @@
-"""Replay calm traffic over many routers, each of which seldom hears each target."""
+"""Tests of load estimates from many routers, each with few reports of each target."""
 
 import unittest
 from random import Random
@@ -25,7 +25,7 @@
 
 
 class Replay:
-    """Requests for many parts, evenly, from callers who come to any router."""
+    """A steady stream of requests for many parts, each sent to a random router."""
 
     def __init__(self, routers, hot_share=0.0, policy=None):
         self.policy = policy or policy_for(routers)
@@ -41,7 +41,7 @@
 
     def request(self, key, now_s):
         loads = self.random.choice(self.estimators)
-        self.end_those_due(now_s)
+        self.end_due_requests(now_s)
         known = loads.estimates(TARGETS, len(self.estimators), now_s)
         candidates = [Candidate(name, "d", known[name], 128, False) for name in TARGETS]
         choice = choose_target(candidates, key, "d", self.policy, self.random)
@@ -55,7 +55,7 @@
         loads.observe_report(name, TargetLoad(held[name] + 1, 0, 128), now_s)
         self.ends[name].append((now_s + LASTS_S, loads))
 
-    def end_those_due(self, now_s):
+    def end_due_requests(self, now_s):
         for name, ends in self.ends.items():
             for end_s, loads in ends:
                 if end_s <= now_s:
@@ -64,7 +64,7 @@
 
 
 class ColdStartTest(unittest.TestCase):
-    def test_what_is_on_its_way_to_an_unheard_target_counts_for_the_other_routers_too(self):
+    def test_own_requests_to_a_target_without_reports_count_for_other_routers_too(self):
         loads = LoadEstimator()
         loads.sent("a")
         self.assertEqual(loads.estimates(["a", "b"], 8, 0.0), {"a": 8.0, "b": 0.0})
@@ -82,7 +82,7 @@
     def estimate(self, now_s, target="a"):
         return self.loads.estimates(["a", "b"], 8, now_s)[target]
 
-    def test_own_requests_are_counted_as_they_are_now(self):
+    def test_own_requests_are_counted_at_their_current_number(self):
         self.loads.sent("a")
         self.loads.report_to("replica")
         self.loads.sent("a")
@@ -92,7 +92,7 @@
         self.loads.ended("a")
         self.assertEqual(self.estimate(1.1), 6)
 
-    def test_younger_of_word_and_sum_counts(self):
+    def test_fresher_of_report_and_sum_counts(self):
         self.loads.observe_report("a", TargetLoad(20, 0, 64), 0.4)
         self.receive_sum(now_s=1.0, age_s=0.5, a=7, b=2)
         self.assertEqual(self.estimate(1.0), 7)
@@ -100,44 +100,44 @@
         self.assertEqual(self.estimate(1.2), 10)
         self.assertEqual(self.loads.basis("a", 1.2), (LoadSource.REPORT, 0.1))
         self.assertEqual(self.loads.basis("b", 1.2), (LoadSource.SUM, 0.7))
-        # No router holds anything there, or its pool is not told.
+        # No router holds a request there, or its pool is not reported.
         self.assertEqual(self.loads.basis("c", 1.2), (LoadSource.SUM, 0.7))
         self.assertEqual(self.loads.basis("c", 1.2, is_shared=False), (LoadSource.ESTIMATE, None))
 
-    def test_replica_that_hears_few_routers_is_passed_over(self):
+    def test_sum_over_few_routers_is_ignored(self):
         self.receive_sum("old", now_s=1.0, routers=65, a=20)
         self.receive_sum("restarted", now_s=1.2, routers=4, a=1)
         self.assertEqual(self.estimate(1.2), 20)
 
-    def test_cut_off_domain_goes_by_its_own_sum(self):
+    def test_partitioned_domain_uses_its_own_sum(self):
         self.receive_sum("beyond", now_s=1.0, routers=65, a=20)
         self.receive_sum("near", now_s=4.0, routers=22, a=5)
         self.assertEqual(self.estimate(4.0), 5)
 
-    def test_old_sum_gives_way_to_words(self):
+    def test_expired_sum_is_replaced_by_reports(self):
         self.loads.observe_report("a", TargetLoad(20, 0, 64), 0.0)
         self.receive_sum(now_s=1.0, a=3)
         self.assertEqual(self.estimate(1.0), 3)
         self.assertEqual(self.estimate(0.6 + SUM_TTL_S), 20)
 
-    def test_nothing_is_believed_of_a_former_life(self):
+    def test_load_of_an_earlier_incarnation_is_discarded(self):
         self.receive_sum(a=30, b=2)
         self.loads.forget("a")
         self.assertEqual(self.estimate(1.0), 0)
 
-    def test_plain_requests_are_not_told(self):
+    def test_plain_requests_are_not_reported(self):
         self.loads.sent("a", is_shared=False)
         self.assertEqual(self.loads.report_to("replica"), ())
         self.assertEqual(self.loads.own_in_flight("a"), 1)
 
 
 class ManyRoutersTest(unittest.TestCase):
-    def test_calm_requests_stay_at_their_homes_from_many_routers_too(self):
+    def test_requests_stay_at_their_homes_with_many_routers(self):
         for routers in (8, 65):
             replay = Replay(routers)
             self.assertLess(replay.away / replay.sent, 0.1, routers)
 
-    def test_hot_part_keeps_to_the_users_bound(self):
+    def test_hot_part_stays_within_the_users_bound(self):
         whole = Replay(65, hot_share=0.1, policy=AffinityPolicy())
         part = Replay(65, hot_share=0.1)
         self.assertLess(part.above / part.sent, 0.01)
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_held_sums.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_held_sums.py
@@ -1,4 +1,4 @@
-"""Tests of the sums of what all routers hold."""
+"""Tests of the sums of the requests that all routers hold."""
 
 import unittest
 
@@ -12,17 +12,17 @@
 )
 
 
-class HeldSumsTest(unittest.TestCase):
-    def test_no_router_has_told_anything(self):
+class HeldAggregatorTest(unittest.TestCase):
+    def test_sum_without_reports_is_empty(self):
         self.assertEqual(HeldAggregator().total(5.0), HeldSum((), 0, 0.0))
 
-    def test_later_word_replaces_the_earlier_one(self):
+    def test_later_report_replaces_the_earlier_one(self):
         sums = HeldAggregator()
         sums.report("r", (HeldCount(1, 5), HeldCount(2, 1)), 0.0)
         sums.report("r", (HeldCount(1, 2),), 1.0)
         self.assertEqual(sums.total(1.0), HeldSum((HeldCount(1, 2),), 1, 0.0))
 
-    def test_silent_router_counts_no_longer(self):
+    def test_silent_router_is_no_longer_counted(self):
         sums = HeldAggregator()
         sums.report("dead", (HeldCount(1, 5),), 0.0)
         sums.report("alive", (HeldCount(1, 2),), REPORT_TTL_S)
@@ -30,12 +30,12 @@
         self.assertEqual(sums.total(REPORT_TTL_S + 0.1).counts, (HeldCount(1, 2),))
 
     @given(st.lists(st.tuples(st.sampled_from("abc"), COUNTS), max_size=20))
-    def test_sum_is_that_of_the_last_words(self, words):
+    def test_sum_is_that_of_the_last_reports(self, reports):
         sums, last = HeldAggregator(), {}
-        for number, (router, counts) in enumerate(words):
+        for number, (router, counts) in enumerate(reports):
             sums.report(router, counts, number * 0.01)
             last[router] = dict(counts)
-        total = sums.total(len(words) * 0.01)
+        total = sums.total(len(reports) * 0.01)
         self.assertEqual(total.routers, len(last))
         expected = {}
         for held in last.values():
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_load_in_a_release.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_load_in_a_release.py
@@ -1,12 +1,13 @@
-"""Replay a release among many routers: what routers believe of engines that have just joined.
-
-While engines were replaced one every 2.5 s, 42 of 1,221 requests in five seconds went to
-engines that held more than twice the mean and three, where 36 may; the request on record
-went to an engine that had started 4.4 s before. Either the newcomer was to blame (empty by
-all words, at once the first rank of its share of the keys, cold) or, as in calm, the age of
-what routers believed. The replay tells them apart: by words alone 0.9 to 6.1 in 100 of
-the worst five seconds are above at 65 and 195 routers, and of 1,055 sends to engines
-younger than five seconds none. With the sums of all routers 0.0 to 0.3 in 100 are left.
+"""Replay a release with many routers: load estimates of engines that have just joined.
+
+Guards against overloading engines during a release. With one engine replaced every 2.5 s, 42
+of 1,221 requests in five seconds were sent to engines that held more than twice the mean plus
+three, where 36 are allowed; the recorded request went to an engine that had started 4.4 s
+before. The cause could have been the new engine (idle by all reports, at once first in rank
+for its share of the keys, cold) or, as in steady traffic, the age of the routers' estimates.
+The replay shows the latter: with reports alone, 0.9 to 6.1 in 100 sends of the worst five
+seconds are above the bound with 65 and 195 routers, but none of 1,055 sends to engines younger
+than five seconds. With the sums of all routers 0.0 to 0.3 in 100 remain.
 """
 
 import unittest
@@ -32,8 +33,8 @@
     def test_195_routers(self):
         self.check(Fleet(195, 39, 270.0))
 
-    def test_words_alone_break_the_bound(self):
-        """The fault that the sums mend is in the replay: without them it shows."""
+    def test_reports_alone_exceed_the_bound(self):
+        """The replay reproduces the overload that the sums prevent."""
         worst = max(
             ReleaseReplay(Fleet(195, 39, 270.0), seed, is_summed=False).play().worst_share_above()
             for seed in (1, 2)
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_load_of_many_routers.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_load_of_many_routers.py
@@ -1,17 +1,16 @@
-"""Replay calm and busy seconds of fleets in which each router sees a sliver of the traffic.
-
-Sixty-five routers before thirty engines sent 44 of 1,011 requests in five seconds to
-engines that held more than twice the mean and three, where three in a hundred may, and
-on a day with nothing out of the ordinary 44 of 953. What a router believed of an engine
-was 2.4 s old in the median and 7.7 s in one of ten sends, since it heard each engine only
-with its own answers; it missed by 10 requests (standard deviation) where 15 to 23 were
-held, and the fuller an engine was, the later it answered and the older the word. No key
-was hot; 97 of 99 such sends were at their key's first rank. An engine that held 48 to 52
-was believed to hold
-
-    21.5 (0.75 s old), 6.0 (8.7), 11.6 (3.5), 10.0 (never heard), 9.4 (5.7), 8.0 (6.0)
-
-by the routers that sent there within 0.6 s.
+"""Replay steady and busy traffic of fleets in which each router observes a part of it.
+
+Guards against overloading engines because of old load estimates. Sixty-five routers and
+thirty engines sent 44 of 1,011 requests in five seconds to engines that held more than twice
+the mean plus three, where three in a hundred are allowed, and 44 of 953 under ordinary
+conditions. A router received reports of an engine only with its own answers, so that its
+estimates were 2.4 s old in the median and 7.7 s in one of ten sends. Their error was 10
+requests (standard deviation) where 15 to 23 were held, and the more an engine held, the later
+it answered and the older the report. No key was hot; 97 of 99 such sends were at their key's
+first rank. An engine that held 48 to 52 was estimated, by the routers that sent to it within
+0.6 s, to hold
+
+    21.5 (0.75 s old), 6.0 (8.7), 11.6 (3.5), 10.0 (no report), 9.4 (5.7), 8.0 (6.0)
 """
 
 import unittest
@@ -19,8 +18,8 @@
 from damaskwind.decisions.load.tests.partial_view_replay import Fleet, PartialViewReplay
 
 SHARE_ALLOWED = 0.03
-# What is left of the error when the load is some hundred ms old: arrivals and ends since,
-# of which some ten come in half a second where an engine holds twenty.
+# The error that remains with loads some hundred ms old: arrivals and ends since then, about
+# ten in half a second where an engine holds twenty.
 ERROR_ALLOWED = 4.0
 
 
--- a/packages/decisions/src/damaskwind/decisions/routing/checks.py
+++ b/packages/decisions/src/damaskwind/decisions/routing/checks.py
@@ -1,4 +1,4 @@
-"""Name every mistake of a published configuration."""
+"""Check a traffic configuration for contradictions before it is published."""
 
 from collections import Counter
 
@@ -8,7 +8,7 @@
 
 
 def configuration_mistakes(configuration: TrafficConfiguration) -> list[str]:
-    """Return a line for each contradiction; none means that it may be published.
+    """Return one message per contradiction; an empty list means that it may be published.
 
     >>> configuration_mistakes(TrafficConfiguration(0))
     ['version: expected a number above 0, got 0']
@@ -21,22 +21,22 @@
         mistakes.append("services: two have the same name")
     for route in configuration.routes:
         mistakes += _route_mistakes(route, services)
-    places = Counter((route.host, route.path_prefix) for route in configuration.routes)
+    locations = Counter((route.host, route.path_prefix) for route in configuration.routes)
     mistakes += [
         f"routes: {count} routes share {host}{prefix}"
-        for (host, prefix), count in places.items()
+        for (host, prefix), count in locations.items()
         if count > 1
     ]
-    holders = Counter(
+    key_counts = Counter(
         key for account in configuration.accounts for key in dict.fromkeys(account.keys)
     )
-    if any(count > 1 for count in holders.values()):
+    if any(count > 1 for count in key_counts.values()):
         mistakes.append("accounts: two share a key")
     return mistakes
 
 
 def _route_mistakes(route: TrafficRoute, services: set[str]) -> list[str]:
-    """Return the mistakes of one route."""
+    """Return one message per mistake of a route."""
     mistakes = []
     if not route.path_prefix.startswith("/") or not route.path_prefix.endswith("/"):
         mistakes.append(f"route {route.name}: prefix must begin and end with a slash")
--- a/packages/decisions/src/damaskwind/decisions/routing/regions.py
+++ b/packages/decisions/src/damaskwind/decisions/routing/regions.py
@@ -1,4 +1,4 @@
-"""Keep requests in the regions that their route and their account allow."""
+"""Restrict requests to the regions that their route and their client account allow."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,7 @@
 
 
 def allowed_regions(route: TrafficRoute, account: KeyedAccount | None) -> frozenset[str] | None:
-    """Return the regions that both the route and the account allow; `None` where any will do.
+    """Return the regions that both the route and the account allow; `None` if unrestricted.
 
     >>> from damaskwind.model.traffic_configuration import RouteKind
     >>> route = TrafficRoute("r", "h", "/", RouteKind.STREAMING, (), 1.0, regions=("a", "b"))
@@ -19,15 +19,17 @@
     >>> allowed_regions(route._replace(regions=()), KeyedAccount("n", ())) is None
     True
     """
-    of_account = account.regions if account is not None else ()
-    stated = [frozenset(regions) for regions in (route.regions, of_account) if regions]
-    return frozenset.intersection(*stated) if stated else None
+    account_regions = account.regions if account is not None else ()
+    restrictions = [frozenset(regions) for regions in (route.regions, account_regions) if regions]
+    return frozenset.intersection(*restrictions) if restrictions else None
 
 
 def is_allowed(
     failure_domain: str, regions: frozenset[str] | None, region_of: Mapping[str, str]
 ) -> bool:
-    """Tell whether a request may go to a failure domain; one of unknown region is in none.
+    """Return whether a request may be sent to a failure domain.
+
+    A failure domain whose region is unknown belongs to no region.
 
     >>> is_allowed("d", frozenset("a"), {"d": "a"}), is_allowed("e", frozenset("a"), {"d": "a"})
     (True, False)
--- a/packages/decisions/src/damaskwind/decisions/routing/table.py
+++ b/packages/decisions/src/damaskwind/decisions/routing/table.py
@@ -1,4 +1,4 @@
-"""Find the route of a request by host and longest prefix, and its account by key."""
+"""Find the route of a request by host and longest path prefix, and its account by key."""
 
 from typing import NamedTuple
 
@@ -17,14 +17,14 @@
 
 
 class RoutingReason:
-    """Why a request has no route or no account."""
+    """The reasons why a request has no route or no account."""
 
     NO_ROUTE = "no_route"
     UNKNOWN_KEY = "unknown_key"
 
 
 class RoutingOutcome(NamedTuple):
-    """The route and account of a request, or the reason why it has none."""
+    """The route and account of a request, or in `refusal` the reason why one is missing."""
 
     route: TrafficRoute | None
     account: KeyedAccount | None = None
@@ -32,7 +32,7 @@
 
 
 class RouteTable:
-    """One version's routes and keys, indexed.
+    """The routes and keys of one configuration version, indexed.
 
     >>> from damaskwind.model.traffic_configuration import RouteKind, ServiceShare
     >>> shares = (ServiceShare("s", 1),)
@@ -57,19 +57,19 @@
         }
 
     def cold_start_limits(self, service: str) -> ColdStartLimits:
-        """Return what cold targets of a service bear."""
+        """Return the limits for cold targets of a service."""
         return self._cold_start_limits.get(service, ColdStartLimits())
 
     @property
     def version(self) -> int:
-        """Return the version that this table holds."""
+        """Return the version of the configuration."""
         return self.configuration.version
 
     def find(self, host: str, path: str, key: str | None) -> RoutingOutcome:
         """Return the route and account of a request.
 
-        The longest prefix that begins the path wins; prefixes end with a slash.
-        Without any account in the configuration no key is asked for.
+        The longest matching path prefix wins; prefixes end with a slash.
+        A configuration without accounts requires no keys.
         """
         route = self._find_route(host, path)
         if route is None:
@@ -80,7 +80,7 @@
         return RoutingOutcome(route, account)
 
     def _find_route(self, host: str, path: str) -> TrafficRoute | None:
-        """Try the prefixes of a path, the longest first."""
+        """Try the prefixes of a path, longest first."""
         end = path.rfind("/")
         while end >= 0:
             route = self._routes.get((host, path[: end + 1]))
@@ -91,10 +91,10 @@
 
 
 def choose_service(route: TrafficRoute, draw: bytes) -> str:
-    """Return the service of a route that `draw` falls to, by the weights.
+    """Choose a service of a route at random by weight, with the hash of `draw`.
 
-    The same bytes fall to the same service, so that what shares a cache stays
-    together.
+    The same bytes always give the same service, so that requests that share a cache
+    stay together.
 
     >>> from damaskwind.model.traffic_configuration import RouteKind, ServiceShare
     >>> shares = (ServiceShare("a", 0), ServiceShare("b", 1))
