--- a/benchmarks/overload/simulation.py
+++ b/benchmarks/overload/simulation.py
@@ -18,7 +18,7 @@
 )
 from damaskwind.decisions.admission.start_window import WindowPolicy
 from damaskwind.decisions.load.held_requests import LoadEstimator, TargetLoad
-from damaskwind.decisions.load.held_sums import HeldSums
+from damaskwind.decisions.load.held_sums import HeldAggregator
 from damaskwind.decisions.placement.affinity import (
     AffinityPolicy,
     Candidate,
@@ -109,7 +109,7 @@
         self._routers = [
             _Router(f"r{n}", Random(seed * 100 + n), routers, engines) for n in range(routers)
         ]
-        self._replicas = {f"replica{n}": HeldSums() for n in range(REPLICAS)}
+        self._replicas = {f"replica{n}": HeldAggregator() for n in range(REPLICAS)}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count(1)
         self._calls: dict[int, tuple[_Router, _Call]] = {}
@@ -136,10 +136,10 @@
     def _call(self, router: _Router, replica: str) -> None:
         """A router tells a replica what it holds; the answer comes a second later."""
         sums = self._replicas[replica]
-        sums.tell(router.name, router.loads.tell(replica), self.now_s)
+        sums.report(router.name, router.loads.report_to(replica), self.now_s)
 
         def answer() -> None:
-            router.loads.take_sum(replica, sums.total(self.now_s), self.now_s)
+            router.loads.observe_sum(replica, sums.total(self.now_s), self.now_s)
             self._call(router, replica)
 
         self._at(self.now_s + CALL_S, answer)
@@ -211,7 +211,7 @@
 
     def _places(self, router: _Router) -> list[TargetSlots]:
         loads = self._loads(router)
-        known = router.loads.known(self._engines, self.now_s)
+        known = router.loads.known_targets(self._engines, self.now_s)
         return [
             TargetSlots(name, self._figures.slots - loads[name] * (name in known))
             for name, engine in self._engines.items()
@@ -235,7 +235,7 @@
         ]
         arrival = call.arrival
         key = f"{arrival.kind.name}-{arrival.subject}".encode()
-        policy = policy_for(len(self._routers), router.loads.knows_sums(self.now_s))
+        policy = policy_for(len(self._routers), router.loads.has_sums(self.now_s))
         choice = choose_target(candidates, key, "d", policy, router.random)
         return choice.candidate.target_id
 
@@ -272,7 +272,7 @@
             if call.is_over:
                 continue
             call.is_over = True
-            router.loads.reported(engine.name, word, self.now_s)
+            router.loads.observe_report(engine.name, word, self.now_s)
             router.entry.answer_started(job.number, self.now_s)
             took_s = self.now_s - call.arrival.at_s
             end = "in time" if took_s <= call.arrival.kind.objective_s else "late"
--- a/packages/control/src/damaskwind/control/fleet/news_board.py
+++ b/packages/control/src/damaskwind/control/fleet/news_board.py
@@ -11,7 +11,7 @@
 from damaskwind.control.fleet.heard_targets import HeardTargets
 from damaskwind.decisions.fatal_requests.suspicion import Suspicion, SuspicionTable
 from damaskwind.decisions.following.read_redirection import RelayEndpoint
-from damaskwind.decisions.load.held_sums import HeldSum, HeldSums
+from damaskwind.decisions.load.held_sums import HeldAggregator, HeldSum
 from damaskwind.decisions.membership.report_assignment import ReportAssignment
 from damaskwind.decisions.membership.target_record import TargetRecord
 from damaskwind.decisions.membership.target_table import Changes, TargetTable
@@ -82,7 +82,7 @@
         evacuations: Callable[[], Evacuations] = Evacuations,
     ) -> None:
         self.table = TargetTable()
-        self.held = HeldSums()
+        self.held = HeldAggregator()
         self.suspicions = SuspicionTable()
         self.epoch = secrets.token_hex(4)
         self._version = version
@@ -141,7 +141,7 @@
 
     def lift(self, digest: bytes) -> bool:
         """Clear a request; tell whether it was under suspicion."""
-        was_suspected = self.suspicions.note_survived(digest, read_clock())
+        was_suspected = self.suspicions.record_completion(digest, read_clock())
         if was_suspected:
             self._note_suspicions()
         return was_suspected
@@ -278,7 +278,7 @@
         if request.kind == SubscriberKind.REPLICA:
             self.wake()
         else:
-            self.held.tell(request.node_id, request.held, now_s, request.services)
+            self.held.report(request.node_id, request.held, now_s, request.services)
             self.merge(request.records, request.heard)
             for target_id, age_s, _ in request.heard:
                 self._heard.note_at_router(target_id, now_s - age_s)
--- a/packages/decisions/src/damaskwind/decisions/load/held_sums.py
+++ b/packages/decisions/src/damaskwind/decisions/load/held_sums.py
@@ -1,13 +1,13 @@
-"""Sum what all routers hold at each target, from what each of them told last.
+"""Sum the requests that all routers hold at each target, from the last report of each.
 
-Routers call every replica about once a second anyway and tell on each call what
-they hold. The sum is some half a second old on the mean, at 8 routers as at 300,
-and each router hears one from every replica in turn; by its own answers alone it
-would hear each of 39 targets once in 21 s among 195 routers.
+Routers call every replica about once a second anyway, and each call reports the requests
+that the router holds. The sum is about half a second old on average, with 8 routers as with
+300, and each router receives one from every replica in turn. From its own answers alone, a
+router would receive a report of each of 39 targets once in 21 s among 195 routers.
 
->>> sums = HeldSums()
->>> sums.tell("router-1", (HeldCount(7, 2),), now_s=0.0)
->>> sums.tell("router-2", (HeldCount(7, 1), HeldCount(9, 4)), now_s=0.5)
+>>> sums = HeldAggregator()
+>>> sums.report("router-1", (HeldCount(7, 2),), now_s=0.0)
+>>> sums.report("router-2", (HeldCount(7, 1), HeldCount(9, 4)), now_s=0.5)
 >>> total = sums.total(now_s=1.0)
 >>> total.counts
 (HeldCount(target=7, held=3), HeldCount(target=9, held=4))
@@ -21,24 +21,24 @@
 from damaskwind.decisions.admission.service_tally import ServiceReport
 from damaskwind.decisions.admission.service_throttle import ServiceStats
 
-__all__ = ["HeldCount", "HeldSum", "HeldSums"]
+__all__ = ["HeldAggregator", "HeldCount", "HeldSum"]
 
-# A router calls about once a second; one that is silent for longer has died with its
-# requests, or can't be reached and is counted by a replica that it still reaches.
-TOLD_S = 2.2
+# A router calls about once a second. One that is silent for longer has died and its requests
+# with it, or is unreachable and is counted by a replica that it still reaches.
+REPORT_TTL_S = 2.2
 
 
 class HeldCount(NamedTuple):
-    """How many requests are held at a target, which its digest stands for."""
+    """How many requests are held at a target, which is identified by its digest."""
 
     target: int
     held: int
 
 
 class HeldSum(NamedTuple):
-    """What `routers` routers hold together at targets; `age_s` is the mean age of their words.
+    """What `routers` routers hold together at each target; `age_s` is their reports' mean age.
 
-    `services` is what they saw together of services that tell no load, each in its last second.
+    `services` sums what they observed of services that report no load, each in its last second.
     """
 
     counts: tuple[HeldCount, ...] = ()
@@ -47,72 +47,75 @@
     services: tuple[ServiceReport, ...] = ()
 
 
-class _Told(NamedTuple):
-    """What one router told, and when."""
+class _Report(NamedTuple):
+    """The report of one router, and when it arrived."""
 
     counts: tuple[HeldCount, ...]
     at_s: float
     services: tuple[ServiceReport, ...]
 
 
-class HeldSums:
-    """The sums of one replica. A router's word counts until its next one, or `TOLD_S`."""
+class HeldAggregator:
+    """The sums of one replica.
+
+    A router's report counts until its next report, or for `REPORT_TTL_S`.
+    """
 
     def __init__(self) -> None:
-        self._told: dict[str, _Told] = {}
+        self._reports: dict[str, _Report] = {}
         self._held: Counter[int] = Counter()
-        self._at_sum_s = 0.0
+        self._received_sum_s = 0.0
 
-    def tell(
+    def report(
         self,
         router_id: str,
         counts: tuple[HeldCount, ...],
         now_s: float,
         services: tuple[ServiceReport, ...] = (),
     ) -> None:
-        """Take what a router holds now, in place of what it told before."""
+        """Replace the report of a router by what it holds now."""
         self._drop(router_id)
-        self._told[router_id] = _Told(counts, now_s, services)
-        self._at_sum_s += now_s
+        self._reports[router_id] = _Report(counts, now_s, services)
+        self._received_sum_s += now_s
         for item in counts:
             self._held[item.target] += item.held
 
     @property
-    def targets(self) -> int:
-        """Return at how many targets anything is held."""
+    def target_count(self) -> int:
+        """Return the number of targets at which any request is held."""
         return len(self._held)
 
     def total(self, now_s: float) -> HeldSum:
-        """Return the sum of what was told lately."""
-        self._forget_silent(now_s)
-        routers = len(self._told)
+        """Return the sum of the recent reports."""
+        self._drop_silent(now_s)
+        routers = len(self._reports)
         if not routers:
             return HeldSum()
         counts = tuple(HeldCount(target, held) for target, held in self._held.items())
-        age_s = now_s - self._at_sum_s / routers
+        age_s = now_s - self._received_sum_s / routers
         return HeldSum(counts, routers, round(age_s, 2), self._services())
 
     def _services(self) -> tuple[ServiceReport, ...]:
         totals: dict[int, ServiceStats] = {}
-        for told in self._told.values():
-            for service, seen in told.services:
+        for report in self._reports.values():
+            for service, seen in report.services:
                 totals[service] = totals.get(service, ServiceStats()).plus(seen)
         return tuple(ServiceReport(service, seen) for service, seen in totals.items())
 
-    def _forget_silent(self, now_s: float) -> None:
-        """Drop routers that have told nothing for long; the one that told first stands first."""
-        while self._told:
-            router_id, told = next(iter(self._told.items()))
-            if now_s - told.at_s <= TOLD_S:
+    def _drop_silent(self, now_s: float) -> None:
+        """Drop routers whose report has expired; reports are in order of arrival."""
+        while self._reports:
+            router_id, report = next(iter(self._reports.items()))
+            if now_s - report.at_s <= REPORT_TTL_S:
                 return
             self._drop(router_id)
 
     def _drop(self, router_id: str) -> None:
-        told = self._told.pop(router_id, None)
-        if told is None:
+        report = self._reports.pop(router_id, None)
+        if report is None:
             return
-        self._at_sum_s -= told.at_s
-        for item in told.counts:
+        self._received_sum_s -= report.at_s
+        for item in report.counts:
             self._held[item.target] -= item.held
             if self._held[item.target] <= 0:
                 del self._held[item.target]
--- a/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
@@ -13,13 +13,13 @@
 from damaskwind.decisions.admission.pool_admission import TargetSlots
 from damaskwind.decisions.health.circuit import HealthPolicy
 from damaskwind.decisions.health.ejection import PoolHealth
-from damaskwind.decisions.health.pace import PoolPace
+from damaskwind.decisions.health.slow_targets import SlowTargetDetector
 from damaskwind.decisions.load.held_requests import LoadEstimator
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.decisions.placement.affinity import Candidate
-from damaskwind.decisions.target_words.said import Said
-from damaskwind.decisions.target_words.words import TargetWords, Wish
+from damaskwind.decisions.target_signals.answer_signals import AnswerSignals
+from damaskwind.decisions.target_signals.signal_table import SignalTable, TargetSignal
 from damaskwind.router.forwarding.cold_targets import ColdTargets
 from damaskwind.router.forwarding.connections import TargetConnections
 from damaskwind.router.forwarding.fleet_view import FleetView
@@ -45,7 +45,7 @@
     Of one that tells no load nothing is known: a guess from own sends would have
     requests wait, and be turned away, while its places are free.
     """
-    held = candidate.load if candidate.has_told_load else 0.0
+    held = candidate.load if candidate.has_known_load else 0.0
     return TargetSlots(candidate.target_id, candidate.slots - held)
 
 
@@ -82,22 +82,22 @@
         self.connections = connections
         self.loads = LoadEstimator()
         self.activity = TargetActivity()
-        self.words = TargetWords()
+        self.words = SignalTable()
         self._heartbeat_s = heartbeat_s
         self._random = random
         self._health: dict[str, PoolHealth] = {}
-        self._paces: dict[str, PoolPace] = {}
+        self._paces: dict[str, SlowTargetDetector] = {}
         self._avoided_until_s: dict[str, float] = {}
         self._displaced_s: dict[str, float] = {}
         view.on_gone.append(self.forget)
         view.on_held.append(self._take_held)
-        view.count_held = self.loads.tell
+        view.count_held = self.loads.report_to
         view.on_restarted.append(self.begin_life)
         self.cold = ColdTargets(view, random)
 
     def _take_held(self, host: str, held: HeldSum) -> None:
         """Take what a replica says that all routers hold."""
-        self.loads.take_sum(host, held, read_clock())
+        self.loads.observe_sum(host, held, read_clock())
 
     def begin_life(self, record: TargetRecord) -> None:
         """Believe nothing that was learned of a target before it started again.
@@ -131,10 +131,10 @@
         """Note that an answer began after this part of its objective."""
         self._pool_pace(service).observe(target_id, part, now_s)
 
-    def note_said(self, target: TargetRecord, said: Said) -> None:
+    def note_said(self, target: TargetRecord, said: AnswerSignals) -> None:
         """Take what a target asks for in an answer."""
-        new = self.words.hear(_life(target), said, read_clock())
-        if new is not Wish.NOTHING:
+        new = self.words.observe(_life(target), said, read_clock())
+        if new is not TargetSignal.NOTHING:
             logger.info(
                 "target asks",
                 target=target.target_id,
@@ -160,11 +160,11 @@
 
     def takes_work(self, record: TargetRecord, now_s: float) -> bool:
         """Tell whether a target may be sent to, by operators' orders and its own words."""
-        return self._wish(record, now_s) is Wish.NOTHING and self.view.takes_work(record)
+        return self._wish(record, now_s) is TargetSignal.NOTHING and self.view.takes_work(record)
 
-    def _wish(self, record: TargetRecord, now_s: float) -> Wish:
+    def _wish(self, record: TargetRecord, now_s: float) -> TargetSignal:
         """Return what a target wants now by its own words; mostly there are none."""
-        return self.words.wish(_life(record), now_s) if self.words else Wish.NOTHING
+        return self.words.signal(_life(record), now_s) if self.words else TargetSignal.NOTHING
 
     def still_takes_work(self, placed: TargetRecord) -> bool:
         """Tell whether a target takes work that took some when a request was placed there."""
@@ -182,7 +182,7 @@
 
     def is_said_leaving(self, target: TargetRecord) -> bool:
         """Tell whether a target said in an answer that it leaves."""
-        return self.words.wish(_life(target), read_clock()) is Wish.LEAVE
+        return self.words.signal(_life(target), read_clock()) is TargetSignal.LEAVE
 
     def rest_left_s(self, records: Collection[TargetRecord], now_s: float) -> float | None:
         """Return the seconds until one of these targets has rested, if all that serve rest."""
@@ -222,7 +222,7 @@
         }
         ids = [record.target_id for record in records]
         loads = self.loads.estimates(ids, self.view.routers, now_s)
-        known = self.loads.known(ids, now_s)
+        known = self.loads.known_targets(ids, now_s)
         return [
             self._candidate(
                 record,
@@ -257,8 +257,10 @@
         )
         warmth = self.cold.warmth(record, now_s)
         wish = self._wish(record, now_s)
-        takes_work = wish is Wish.NOTHING and self.view.takes_work(record) and warmth.may_send
-        is_leaving = wish is Wish.LEAVE or record.phase is not TargetPhase.SERVING
+        takes_work = (
+            wish is TargetSignal.NOTHING and self.view.takes_work(record) and warmth.may_send
+        )
+        is_leaving = wish is TargetSignal.LEAVE or record.phase is not TargetPhase.SERVING
         return Candidate(
             target_id,
             record.failure_domain,
@@ -293,9 +295,9 @@
         health.set_targets(ids, now_s)
         return health
 
-    def _pool_pace(self, service: str) -> PoolPace:
+    def _pool_pace(self, service: str) -> SlowTargetDetector:
         """Return the pace of a service's targets."""
         pace = self._paces.get(service)
         if pace is None:
-            pace = self._paces[service] = PoolPace()
+            pace = self._paces[service] = SlowTargetDetector()
         return pace
