--- a/packages/router/src/damaskwind/router/forwarding/attempt.py
+++ b/packages/router/src/damaskwind/router/forwarding/attempt.py
@@ -17,7 +17,7 @@
 from damaskwind.router.forwarding.call import Call, target_headers
 from damaskwind.router.forwarding.connections import SETTLE_S
 from damaskwind.router.forwarding.delivery import Delivery
-from damaskwind.router.forwarding.target_beliefs import TargetBeliefs
+from damaskwind.router.forwarding.target_states import TargetStates
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.clock_loop import last_woken_s
 from damaskwind.runtime.http1.client import (
@@ -28,7 +28,7 @@
 )
 from damaskwind.runtime.http1.messages import Answer, Request, header
 
-__all__ = ["AttemptEnd", "AttemptOutcome", "AttemptSender", "Placed"]
+__all__ = ["AttemptEnd", "AttemptOutcome", "AttemptSender", "Placement"]
 
 # A whole answer is gathered before any of it is passed on, so that a cut one
 # can be told apart; services answer with some KB.
@@ -37,15 +37,15 @@
 SKIPPED_ANSWERS = 3
 # A repeatable request is taken elsewhere after so many objectives if its target
 # has been silent on all connections.
-DARK_OBJECTIVES = 1.5
-DARK_LEAST_S = 0.8
-DARK_LOOK_S = 0.1
+UNRESPONSIVE_OBJECTIVES = 1.5
+UNRESPONSIVE_MIN_S = 0.8
+UNRESPONSIVE_POLL_S = 0.1
 # And after this many objectives when only this request is kept waiting.
 STALL_OBJECTIVES = 4.0
-STALL_LEAST_S = 1.2
+STALL_MIN_S = 1.2
 # The same between two events, by the pause that users accept.
 STALL_GAPS = 4.0
-STALL_GAP_LEAST_S = 0.8
+STALL_GAP_MIN_S = 0.8
 
 
 # The status by which a target says that it is not the one that was meant.
@@ -63,7 +63,7 @@
     STALLED = "stalled"
 
 
-class Placed(NamedTuple):
+class Placement(NamedTuple):
     """Where a request goes: the target, why, and the engine it may copy from."""
 
     target: TargetRecord
@@ -76,8 +76,8 @@
 
     `was_reached` tells whether a connection to the target stood, `first_s`
     how long the head of its answer took, `is_displaced` that another target
-    answered at its address, `is_lost` that its connection ended within the answer,
-    `rests` that it asked for rest. What was withheld was not sent.
+    answered at its address, `is_connection_lost` that its connection ended within the answer,
+    `asks_for_pause` that it asked for rest. What was withheld was not sent.
     """
 
     end: AttemptEnd
@@ -86,15 +86,15 @@
     was_reached: bool = True
     first_s: float | None = None
     is_displaced: bool = False
-    is_lost: bool = False
-    rests: bool = False
+    is_connection_lost: bool = False
+    asks_for_pause: bool = False
 
 
-def _note_nothing(call: Call, target_id: str, first_s: float) -> None:
+def _ignore_answer_begun(call: Call, target_id: str, first_s: float) -> None:
     """Take how long a target's answer took to begin, and do nothing with it."""
 
 
-def _is_lost(connection: ClientConnection) -> bool:
+def _is_connection_lost(connection: ClientConnection) -> bool:
     """Tell whether a target lost a connection that it had taken.
 
     One that is reset as soon as it stands leads to no target: what stands before
@@ -107,57 +107,59 @@
 class AttemptSender:
     """Send to targets over kept connections.
 
-    `on_first` is told how long each answer took to begin.
+    `on_answer_begun` is told how long each answer took to begin.
     """
 
-    def __init__(self, beliefs: TargetBeliefs, names: HeaderNames) -> None:
-        self.connections = beliefs.connections
-        self.activity = beliefs.activity
-        self.on_first: Callable[[Call, str, float], None] = _note_nothing
-        self._beliefs = beliefs
-        self._loads = beliefs.loads
+    def __init__(self, target_states: TargetStates, names: HeaderNames) -> None:
+        self.connections = target_states.connections
+        self.activity = target_states.activity
+        self.on_answer_begun: Callable[[Call, str, float], None] = _ignore_answer_begun
+        self._target_states = target_states
+        self._loads = target_states.loads
         self._names = names
 
     async def send(
         self,
         request: Request,
         call: Call,
-        placed: Placed,
+        placement: Placement,
         delivery: Delivery,
-        may_move: bool,
+        may_reroute: bool,
     ) -> AttemptOutcome:
-        """Send and pass the answer on; with `may_move` give up a target that is silent.
+        """Send and pass the answer on; with `may_reroute` give up a target that is silent.
 
         Raise `TimeoutError` before anything is sent when the caller's time is up.
         """
-        target = placed.target
+        target = placement.target
         try:
-            connection = await self.connections.take(
+            connection = await self.connections.acquire(
                 target.target_id, target.address, call.left_s(), call.is_suspected
             )
         except ConnectFailedError as error:
             why = f"no connection: {error}"
             return AttemptOutcome(AttemptEnd.NOT_RUN, why, was_reached=False)
         if call.left_s() <= 0:
-            self.connections.put_back(target.target_id, connection)
+            self.connections.return_unused(target.target_id, connection)
             raise TimeoutError("the caller's time is up")
-        if not self._beliefs.still_takes_work(target):
-            self.connections.put_back(target.target_id, connection)
+        if not self._target_states.still_takes_work(target):
+            self.connections.return_unused(target.target_id, connection)
             return AttemptOutcome(AttemptEnd.WITHHELD, "the target takes no work any more")
         is_engine = call.key is not None
         self._loads.sent(target.target_id, is_engine)
-        waiting = self.activity.begin(target.target_id, read_clock())
+        wait_number = self.activity.begin_wait(target.target_id, read_clock())
         try:
-            return await self._exchange(connection, request, call, placed, delivery, may_move)
+            return await self._exchange(connection, request, call, placement, delivery, may_reroute)
         except AnswerBrokenError as error:
             if connection.is_timed_out:
                 self.connections.watch(target.target_id, target.address)
-            return AttemptOutcome(AttemptEnd.BROKEN, str(error), is_lost=_is_lost(connection))
+            return AttemptOutcome(
+                AttemptEnd.BROKEN, str(error), is_connection_lost=_is_connection_lost(connection)
+            )
         except TimeoutError:
             return AttemptOutcome(AttemptEnd.STALLED, "the target was silent")
         finally:
             self._loads.ended(target.target_id, is_engine)
-            self.activity.end(target.target_id, waiting)
+            self.activity.end_wait(target.target_id, wait_number)
             if connection.is_in_use:
                 connection.abort()
 
@@ -166,65 +168,71 @@
         connection: ClientConnection,
         request: Request,
         call: Call,
-        placed: Placed,
+        placement: Placement,
         delivery: Delivery,
-        may_move: bool,
+        may_reroute: bool,
     ) -> AttemptOutcome:
         """Write the request and read the answer that is its own."""
         resume_after = delivery.resume_after(call.facts.resume_after)
-        target = placed.target
+        target = placement.target
         headers = target_headers(
-            request, call, self._names, target.target_id, resume_after, placed.donor
+            request, call, self._names, target.target_id, resume_after, placement.donor
         )
         sent_s = read_clock()
         connection.send(Request(request.method, request.target, headers, request.body))
-        head = await self._head_in_time(connection, call, target.target_id, may_move)
+        head = await self._read_head_in_time(connection, call, target.target_id, may_reroute)
         first_s = read_clock() - sent_s
-        self.activity.heard(target.target_id, read_clock())
-        self.on_first(call, target.target_id, first_s)
-        said = self._take_word(head, target)
+        self.activity.note_received(target.target_id, read_clock())
+        self.on_answer_begun(call, target.target_id, first_s)
+        signal = self._read_signal(head, target)
         if head.status == MISDIRECTED or header(head.headers, self._names.not_run) is not None:
-            outcome = await self._refused(connection, head, target)
-            return outcome._replace(rests=said.rest_s > 0)
+            outcome = await self._read_refusal(connection, head, target)
+            return outcome._replace(asks_for_pause=signal.rest_s > 0)
         is_stream = call.route.kind is RouteKind.STREAMING and 200 <= head.status < 300
         if is_stream:
-            outcome = await self._relay(connection, head, call, target, delivery, may_move)
+            outcome = await self._relay_stream(
+                connection, head, call, target, delivery, may_reroute
+            )
             return outcome._replace(first_s=first_s)
         body = await connection.read_body(ANSWER_LIMIT_BYTES)
-        self.connections.give_back(target.target_id, connection, head.headers)
+        self.connections.release(target.target_id, connection, head.headers)
         answer = Answer(head.status, head.headers, body)
         if head.status >= 500:
             why = f"status {head.status}"
-            return AttemptOutcome(AttemptEnd.TARGET_ERROR, why, answer, rests=said.rest_s > 0)
-        delivery.whole(answer)
+            return AttemptOutcome(
+                AttemptEnd.TARGET_ERROR, why, answer, asks_for_pause=signal.rest_s > 0
+            )
+        delivery.send_whole(answer)
         why = f"status {head.status}"
         return AttemptOutcome(AttemptEnd.DELIVERED, why, first_s=first_s)
 
-    async def _head_in_time(
-        self, connection: ClientConnection, call: Call, target_id: str, may_move: bool
+    async def _read_head_in_time(
+        self, connection: ClientConnection, call: Call, target_id: str, may_reroute: bool
     ) -> AnswerHead:
-        """Wait for the head; with `may_move` raise `TimeoutError` for a target that is stuck."""
-        if not may_move:
-            return await self._own_head(connection, call)
+        """Wait for the head; with `may_reroute` raise `TimeoutError` for a target that is stuck."""
+        if not may_reroute:
+            return await self._read_own_head(connection, call)
         objective_s = call.route.objective_s
-        stall_s = max(STALL_OBJECTIVES * objective_s, STALL_LEAST_S)
-        dark_s = max(DARK_OBJECTIVES * objective_s, DARK_LEAST_S)
-        reading = asyncio.ensure_future(self._own_head(connection, call))
+        stall_s = max(STALL_OBJECTIVES * objective_s, STALL_MIN_S)
+        unresponsive_s = max(UNRESPONSIVE_OBJECTIVES * objective_s, UNRESPONSIVE_MIN_S)
+        reading = asyncio.ensure_future(self._read_own_head(connection, call))
         begun_s = read_clock()
-        limit_s = dark_s
+        limit_s = unresponsive_s
         try:
             while not (await asyncio.wait([reading], timeout=limit_s))[0]:
                 now_s = read_clock()
                 woken_s = last_woken_s()
-                is_dark = self.activity.silent_s(target_id, now_s, woken_s) > DARK_LEAST_S
-                if is_dark or now_s - max(begun_s, woken_s) > stall_s:
+                is_unresponsive = (
+                    self.activity.silent_s(target_id, now_s, woken_s) > UNRESPONSIVE_MIN_S
+                )
+                if is_unresponsive or now_s - max(begun_s, woken_s) > stall_s:
                     raise TimeoutError
-                limit_s = DARK_LOOK_S
+                limit_s = UNRESPONSIVE_POLL_S
             return reading.result()
         finally:
             reading.cancel()
 
-    async def _own_head(self, connection: ClientConnection, call: Call) -> AnswerHead:
+    async def _read_own_head(self, connection: ClientConnection, call: Call) -> AnswerHead:
         """Return the head of the answer to this request, past late ones to earlier requests."""
         for _ in range(SKIPPED_ANSWERS):
             head = await connection.read_head()
@@ -242,40 +250,40 @@
             connection.skip_answer()
         raise AnswerBrokenError("only answers to other requests came")
 
-    async def _refused(
+    async def _read_refusal(
         self, connection: ClientConnection, head: AnswerHead, target: TargetRecord
     ) -> AttemptOutcome:
         """Take the target's word that it did not run the request."""
         await connection.read_body(ANSWER_LIMIT_BYTES)
-        self.connections.give_back(target.target_id, connection, head.headers)
+        self.connections.release(target.target_id, connection, head.headers)
         why = f"target said so: status {head.status}"
         return AttemptOutcome(AttemptEnd.NOT_RUN, why, is_displaced=head.status == MISDIRECTED)
 
-    async def _relay(
+    async def _relay_stream(
         self,
         connection: ClientConnection,
         head: AnswerHead,
         call: Call,
         target: TargetRecord,
         delivery: Delivery,
-        may_move: bool,
+        may_reroute: bool,
     ) -> AttemptOutcome:
         """Pass a stream on, event by event."""
-        delivery.stream_head(head)
-        gap_s = max(STALL_GAPS * call.route.gap_objective_s, STALL_GAP_LEAST_S)
+        delivery.begin_stream(head)
+        gap_s = max(STALL_GAPS * call.route.gap_objective_s, STALL_GAP_MIN_S)
         while True:
-            data = await self._data_in_time(connection, gap_s if may_move else None)
+            data = await self._read_data_in_time(connection, gap_s if may_reroute else None)
             if data is None:
                 break
-            self.activity.heard(target.target_id, read_clock())
-            delivery.stream_data(data)
+            self.activity.note_received(target.target_id, read_clock())
+            delivery.write_stream(data)
             await delivery.drained()
-        self.connections.give_back(target.target_id, connection, head.headers)
-        if not delivery.stream_end():
+        self.connections.release(target.target_id, connection, head.headers)
+        if not delivery.end_stream():
             return AttemptOutcome(AttemptEnd.BROKEN, "the stream ended inside an event")
         return AttemptOutcome(AttemptEnd.DELIVERED, "stream complete")
 
-    async def _data_in_time(
+    async def _read_data_in_time(
         self, connection: ClientConnection, gap_s: float | None
     ) -> bytes | None:
         """Return the next piece; raise `TimeoutError` when none comes in time.
@@ -291,7 +299,7 @@
                 if last_woken_s() < begun_s:
                     raise
 
-    def _take_word(self, head: AnswerHead, target: TargetRecord) -> Said:
+    def _read_signal(self, head: AnswerHead, target: TargetRecord) -> Said:
         """Take a target's word on its load and its wishes; return these.
 
         Who answers in another's place speaks for itself.
@@ -302,11 +310,11 @@
         load = parse_target_load(header(headers, self._names.target_load))
         if load is not None:
             self._loads.reported(target.target_id, load, read_clock())
-        said = read_said(
+        signal = read_said(
             head.status,
             header(headers, b"retry-after"),
             header(headers, self._names.leaving),
             header(headers, b"date"),
         )
-        self._beliefs.note_said(target, said)
-        return said
+        self._target_states.note_signal(target, signal)
+        return signal
--- a/packages/router/src/damaskwind/router/forwarding/call.py
+++ b/packages/router/src/damaskwind/router/forwarding/call.py
@@ -79,11 +79,11 @@
     """One request in hand. Times are monotonic.
 
     `number` tells it apart in this process, `entry` notes how it came into its
-    pool, `return_s` is when its caller should come back if it is refused.
+    pool, `retry_after_s` is when its caller should come back if it is refused.
     `sends` counts targets that it was sent to, `unreached` those to which no
     connection came about, `silent_domains` the failure domains of targets that
     were unreachable or silent for it. `digest` knows the request again when it comes
-    under another id. It stays in `regions`, if there are any. `look` finds out whether
+    under another id. It stays in `regions`, if there are any. `exit_probe` finds out whether
     the target has ended under the last send. With `is_suspected`, targets have ended
     under it.
     """
@@ -101,7 +101,7 @@
         self.facts = facts
         self.digest = digest
         self.is_suspected = False
-        self.look: asyncio.Task[bool] | None = None
+        self.exit_probe: asyncio.Task[bool] | None = None
         self.route = route
         self.account = account
         self.service = service
@@ -109,14 +109,14 @@
         self.started_s = started_s
         self.number = next(_NUMBERS)
         self.entry: EntryNote | None = None
-        self.return_s: float | None = None
+        self.retry_after_s: float | None = None
         self.deadline_s = started_s + min(facts.wait_s, route.timeout_s)
         self.regions = allowed_regions(route, account)
         self.key = affinity_key(facts.part_ids) if route.has_prompt_parts else None
         self.tried: set[str] = set()
         self.notes: list[AttemptNote] = []
         self.sends = 0
-        self.arrivals = 0
+        self.reached = 0
         self.unreached = 0
         self.silent_domains: set[str] = set()
         self.may_have_run = False
@@ -167,7 +167,7 @@
     return key.strip().decode("latin-1") or None
 
 
-def own_headers(names: HeaderNames) -> frozenset[bytes]:
+def system_headers(names: HeaderNames) -> frozenset[bytes]:
     """Return the headers that the system sets, whatever the caller sent."""
     own = (
         names.authorization,
@@ -190,7 +190,7 @@
     donor: Address | None,
 ) -> Headers:
     """Return the headers of a request as a target gets them."""
-    headers = without(request.headers, own_headers(names))
+    headers = without(request.headers, system_headers(names))
     left_ms = max(int(call.left_s() * 1000), 1)
     headers.append((names.deadline_ms, b"%d" % left_ms))
     headers.append((names.expect_target, target_id.encode("latin-1")))
--- a/packages/router/src/damaskwind/router/forwarding/cold_targets.py
+++ b/packages/router/src/damaskwind/router/forwarding/cold_targets.py
@@ -19,7 +19,7 @@
         self._view = view
         self._spells = ColdSpells(random)
         view.on_cold.append(self._note_cold)
-        view.on_taken_back.append(self._take_back)
+        view.on_evacuations_lifted.append(self._mark_cold_after_evacuation)
 
     def warmth(self, record: TargetRecord, now_s: float) -> Warmth:
         """Return whether a target is cold, and whether it may be sent a request now.
@@ -29,7 +29,7 @@
         if not self._spells.knows(record.target_id):
             return WARM
         terms = self._view.cold_terms(record.service)
-        routers = self._view.most_routers.value(now_s)
+        routers = self._view.max_routers.value(now_s)
         warmth = self._spells.warmth(record.target_id, terms, routers or 1, now_s)
         if warmth.is_cold and routers is None:
             return warmth._replace(may_send=False)
@@ -37,7 +37,7 @@
 
     def note_sent(self, record: TargetRecord, now_s: float) -> None:
         """Note that a request is being sent to a target."""
-        routers = self._view.most_routers.value(now_s) or 1
+        routers = self._view.max_routers.value(now_s) or 1
         self._spells.sent(record.target_id, self._view.cold_terms(record.service), routers)
 
     def forget(self, target_id: str) -> None:
@@ -53,7 +53,7 @@
         self._spells.begin(record.target_id, read_clock(), record.cold_s)
         logger.info("target cold", target=record.target_id, cold_s=round(record.cold_s, 2))
 
-    def _take_back(self, failure_domains: frozenset[str]) -> None:
+    def _mark_cold_after_evacuation(self, failure_domains: frozenset[str]) -> None:
         """Hold the targets of failure domains that were emptied for cold.
 
         Any of them may have become cold a moment ago, and its next heartbeat is still to come.
--- a/packages/router/src/damaskwind/router/forwarding/connections.py
+++ b/packages/router/src/damaskwind/router/forwarding/connections.py
@@ -14,14 +14,14 @@
 
 # A new connection inside a region stands within some ms; a lost opening packet
 # is sent again after a second, and by then another target has answered.
-CONNECT_S = 0.3
+CONNECT_TIMEOUT_S = 0.3
 # Idle time without the target's word on it; targets close idle connections.
-IDLE_S = 2.0
+DEFAULT_IDLE_S = 2.0
 # So long a connection has to stand to count.
 SETTLE_S = 0.02
 # A target that could not be reached is tried again this often, without a request:
 # whoever waits for a lost opening packet comes too late.
-WATCH_S = 0.4
+WATCH_INTERVAL_S = 0.4
 # After so many tries somebody else has to know better: a heartbeat, or a leave.
 WATCH_TRIES = 60
 # Distance kept from the idle time that the target names.
@@ -33,14 +33,14 @@
 
     def __init__(self) -> None:
         self.opened = 0
-        self._made: dict[str, WeakSet[ClientConnection]] = {}
+        self._established: dict[str, WeakSet[ClientConnection]] = {}
         self._idle: dict[str, list[ClientConnection]] = {}
         self._watches: dict[str, asyncio.Task] = {}
 
-    async def take(
-        self, target_id: str, address: Address, timeout_s: float, has_to_stand: bool = False
+    async def acquire(
+        self, target_id: str, address: Address, timeout_s: float, must_stay_open: bool = False
     ) -> ClientConnection:
-        """Return a clean connection, kept or new, with `has_to_stand` one that stood for a while.
+        """Return a clean connection, kept or new, with `must_stay_open` one that stood for a while.
 
         Raises `ConnectFailedError` when none stands in time: nothing was sent.
         """
@@ -52,13 +52,13 @@
                 return connection
             connection.close()
         self.opened += 1
-        connection = await connect(address, min(timeout_s, CONNECT_S))
-        if has_to_stand and not await self._stands(connection):
+        connection = await connect(address, min(timeout_s, CONNECT_TIMEOUT_S))
+        if must_stay_open and not await self._stays_open(connection):
             raise ConnectFailedError("the connection was reset before anything was sent")
-        self._made.setdefault(target_id, WeakSet()).add(connection)
+        self._established.setdefault(target_id, WeakSet()).add(connection)
         return connection
 
-    def give_back(self, target_id: str, connection: ClientConnection, headers: Headers) -> None:
+    def release(self, target_id: str, connection: ClientConnection, headers: Headers) -> None:
         """Keep a connection whose answer was read to its end, if it may be kept."""
         if not connection.release():
             return
@@ -73,21 +73,21 @@
         """Tell whether no connection to a target came about lately."""
         return target_id in self._watches
 
-    async def try_once(self, target_id: str, address: Address) -> bool:
+    async def probe(self, target_id: str, address: Address) -> bool:
         """Tell whether a target takes a connection and keeps it; one that stands is kept here.
 
         What stands before targets may take a connection for one that has ended, and reset it.
         """
         try:
-            connection = await connect(address, CONNECT_S)
+            connection = await connect(address, CONNECT_TIMEOUT_S)
         except ConnectFailedError:
             return False
-        stands = await self._stands(connection)
-        if stands:
-            self.put_back(target_id, connection)
-        return stands
+        stays_open = await self._stays_open(connection)
+        if stays_open:
+            self.return_unused(target_id, connection)
+        return stays_open
 
-    async def _stands(self, connection: ClientConnection) -> bool:
+    async def _stays_open(self, connection: ClientConnection) -> bool:
         """Tell whether a new connection is still there after a while."""
         lost = asyncio.Event()
         connection.on_lost = lambda _: lost.set()
@@ -103,9 +103,9 @@
             connection.on_lost = None
         return False
 
-    def put_back(self, target_id: str, connection: ClientConnection) -> None:
+    def return_unused(self, target_id: str, connection: ClientConnection) -> None:
         """Keep a connection on which nothing was sent."""
-        connection.usable_until_s = read_clock() + IDLE_S
+        connection.usable_until_s = read_clock() + DEFAULT_IDLE_S
         self._idle.setdefault(target_id, []).append(connection)
 
     def watch(self, target_id: str, address: Address) -> None:
@@ -120,8 +120,8 @@
         begun_s = read_clock()
         try:
             for _ in range(WATCH_TRIES):
-                await asyncio.sleep(WATCH_S)
-                if await self.try_once(target_id, address):
+                await asyncio.sleep(WATCH_INTERVAL_S)
+                if await self.probe(target_id, address):
                     break
             took_s = round(read_clock() - begun_s, 2)
             logger.info("target tried again", target=target_id, after_s=took_s)
@@ -134,12 +134,12 @@
             self._watches[target_id].cancel()
         for connection in self._idle.pop(target_id, []):
             connection.close()
-        if not self._made.get(target_id):
-            self._made.pop(target_id, None)
+        if not self._established.get(target_id):
+            self._established.pop(target_id, None)
 
-    def end_former(self, target_id: str, before_s: float) -> None:
+    def abort_older(self, target_id: str, before_s: float) -> None:
         """Reset the connections in use that were made before a monotonic time."""
-        for connection in list(self._made.get(target_id, ())):
+        for connection in list(self._established.get(target_id, ())):
             if connection.made_s < before_s:
                 connection.abort()
 
@@ -161,4 +161,4 @@
         name, _, value = item.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return max(int(value) - IDLE_MARGIN_S, 0.0)
-    return IDLE_S
+    return DEFAULT_IDLE_S
--- a/packages/router/src/damaskwind/router/forwarding/target_losses.py
+++ b/packages/router/src/damaskwind/router/forwarding/crash_detector.py
@@ -12,9 +12,9 @@
 
 from damaskwind.decisions.fatal_requests.suspicion import Known
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
-from damaskwind.router.forwarding.target_beliefs import TargetBeliefs
+from damaskwind.router.forwarding.target_states import TargetStates
 
-__all__ = ["BrokenSend", "TargetLosses"]
+__all__ = ["BrokenSend", "CrashDetector"]
 
 # A line tells this many of the requests that were in hand at a target that ended.
 LISTED_REQUESTS = 16
@@ -28,45 +28,45 @@
     request_id: bytes
 
 
-LossCallback = Callable[[TargetRecord, list[BrokenSend]], None]
+CrashCallback = Callable[[TargetRecord, list[BrokenSend]], None]
 
 
-class TargetLosses:
+class CrashDetector:
     """The targets of one router that are being looked at.
 
-    `on_ended` is told of each target that ended by itself, with the sends that
+    `on_crashed` is told of each target that ended by itself, with the sends that
     broke at this router; one that was leaving is not among them.
     """
 
-    def __init__(self, beliefs: TargetBeliefs) -> None:
-        self.on_ended: list[LossCallback] = []
-        self._beliefs = beliefs
-        self._connections = beliefs.connections
-        self._looks: dict[str, asyncio.Task[bool]] = {}
+    def __init__(self, target_states: TargetStates) -> None:
+        self.on_crashed: list[CrashCallback] = []
+        self._target_states = target_states
+        self._connections = target_states.connections
+        self._probes: dict[str, asyncio.Task[bool]] = {}
         self._broken: dict[str, list[BrokenSend]] = {}
 
-    def look(self, target: TargetRecord, broken: BrokenSend) -> asyncio.Task[bool]:
+    def probe(self, target: TargetRecord, broken: BrokenSend) -> asyncio.Task[bool]:
         """Note a send that broke; the task tells whether its target has ended by itself.
 
         Sends that break together are told by one look.
         """
         target_id = target.target_id
         self._broken.setdefault(target_id, []).append(broken)
-        look = self._looks.get(target_id)
-        if look is None:
-            look = self._looks[target_id] = asyncio.ensure_future(self._look(target))
-        return look
+        probe = self._probes.get(target_id)
+        if probe is None:
+            probe = self._probes[target_id] = asyncio.ensure_future(self._probe(target))
+        return probe
 
-    async def _look(self, target: TargetRecord) -> bool:
+    async def _probe(self, target: TargetRecord) -> bool:
         target_id = target.target_id
         try:
-            answers = await self._connections.try_once(target_id, target.address)
+            answers = await self._connections.probe(target_id, target.address)
         finally:
-            del self._looks[target_id]
+            del self._probes[target_id]
             broken = self._broken.pop(target_id)
-        phase = self._beliefs.view.targets.phase_of(target_id)
-        said_so = self._beliefs.is_said_leaving(target)
-        is_leaving = said_so or phase is not TargetPhase.SERVING
+        phase = self._target_states.view.targets.phase_of(target_id)
+        has_announced = self._target_states.has_announced_leaving(target)
+        is_leaving = has_announced or phase is not TargetPhase.SERVING
         has_ended = not answers and not is_leaving
         logger.warning(
             "sends broken",
@@ -86,6 +86,6 @@
         elif not answers:
             self._connections.watch(target_id, target.address)
         if has_ended:
-            for callback in self.on_ended:
+            for callback in self.on_crashed:
                 callback(target, broken)
         return has_ended
--- a/packages/router/src/damaskwind/router/forwarding/delivery.py
+++ b/packages/router/src/damaskwind/router/forwarding/delivery.py
@@ -33,28 +33,28 @@
         """Return the event after which a run has to go on; `asked` is the caller's own."""
         return asked if self.last_event is None else self.last_event
 
-    def whole(self, answer: Answer) -> None:
+    def send_whole(self, answer: Answer) -> None:
         """Pass on a whole answer."""
         headers = without(answer.headers, frozenset())
         self.bytes += len(answer.body)
         self._exchange.respond(Answer(answer.status, headers, answer.body))
 
-    def stream_head(self, head: AnswerHead) -> None:
+    def begin_stream(self, head: AnswerHead) -> None:
         """Pass on the head of the first run; those of later runs are left out."""
         self._splitter = EventSplitter()
         if not self.has_begun:
             self._exchange.begin(head.status, without(head.headers, frozenset()))
 
-    def stream_data(self, data: bytes) -> None:
+    def write_stream(self, data: bytes) -> None:
         """Pass on a piece of a stream."""
         if not self._is_resumable:
             self.bytes += len(data)
             self._exchange.write(data)
             return
         for event in self._splitter.feed(data):
-            self._event(event)
+            self._write_event(event)
 
-    def _event(self, event: bytes) -> None:
+    def _write_event(self, event: bytes) -> None:
         """Pass on an event that the caller does not have."""
         number = event_id(event)
         if number is not None:
@@ -65,7 +65,7 @@
         self.bytes += len(event)
         self._exchange.write(event)
 
-    def stream_end(self) -> bool:
+    def end_stream(self) -> bool:
         """End the answer as complete, unless the run ended inside an event."""
         if self._is_resumable and self._splitter.rest:
             return False
--- a/packages/router/src/damaskwind/router/forwarding/document_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/document_relay.py
@@ -26,7 +26,7 @@
 
 # A replica names a router that will have the document, in this time at the latest.
 WAIT_S = LONGEST_S
-LOOK_S = 0.02
+POLL_S = 0.02
 
 
 async def _refuse_unknown(exchange: Exchange) -> None:
@@ -56,12 +56,12 @@
     ) -> None:
         self._newest_for = newest_for
         self._whole = whole
-        self._pace = BulkPace(link_bytes_per_s * PASSING_PART, read_clock())
+        self._pacer = BulkPace(link_bytes_per_s * PASSING_PART, read_clock())
         self._server = HttpServer(self._handle, ServerLimits())
-        self.passed_on = 0
+        self.documents_served = 0
         # What else comes to this address, by its path, and heartbeats in the platform's words.
         self.handlers: dict[bytes, Callable[[Exchange], Awaitable[None]]] = {}
-        self.handle_other: Callable[[Exchange], Awaitable[None]] = _refuse_unknown
+        self.fallback_handler: Callable[[Exchange], Awaitable[None]] = _refuse_unknown
 
     def listen(self, host: str, port: int) -> None:
         """Open the socket; without it, others fetch from the replicas alone."""
@@ -79,32 +79,32 @@
         """Answer one request for a document."""
         path, _, query = exchange.request.target.partition(b"?")
         if (exchange.request.method, path) == (b"GET", READ_PATH):
-            await self._read(exchange, query)
+            await self._serve_read(exchange, query)
             return
         if path != DOCUMENT_PATH:
-            await self.handlers.get(path, self.handle_other)(exchange)
+            await self.handlers.get(path, self.fallback_handler)(exchange)
             return
         try:
             request = decode_document_request(exchange.request.body)
         except MessageError as error:
             exchange.respond(Answer(400, [], str(error).encode()))
             return
-        if not await self._has(request.version):
+        if not await self._wait_for_version(request.version):
             exchange.respond(Answer(404, []))
             return
         size_bytes = len(self._newest_for(request.held_version).packed)
-        await asyncio.sleep(self._pace.wait_s(size_bytes, read_clock()))
+        await asyncio.sleep(self._pacer.wait_s(size_bytes, read_clock()))
         exchange.respond(Answer(200, [], encode(self._newest_for(request.held_version))))
-        self.passed_on += 1
+        self.documents_served += 1
 
-    async def _read(self, exchange: Exchange, query: bytes) -> None:
+    async def _serve_read(self, exchange: Exchange, query: bytes) -> None:
         """Give an operator the configuration, to whom a replica named this router."""
         asked_s = read_clock()
         version = read_version(query)
         if version is None:
             exchange.respond(Answer(400, [], b"expected version=N"))
             return
-        if not await self._has(version):
+        if not await self._wait_for_version(version):
             logger.info("read refused", caller=exchange.caller, version=version, why="not here yet")
             exchange.respond(Answer(503, []))
             return
@@ -115,11 +115,11 @@
         answer = Answer(200, [(b"content-type", b"application/json")], whole.content)
         await exchange.deliver(answer, partial(log_read, read))
 
-    async def _has(self, version: int) -> bool:
+    async def _wait_for_version(self, version: int) -> bool:
         """Wait a little until a version is here; tell whether it is."""
         limit_s = read_clock() + WAIT_S
         while self._newest_for(0).version < max(version, 1):
             if read_clock() > limit_s:
                 return False
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         return True
--- a/packages/router/src/damaskwind/router/forwarding/final_answers.py
+++ b/packages/router/src/damaskwind/router/forwarding/final_answers.py
@@ -5,7 +5,7 @@
 from damaskwind.router.forwarding.attempt import AttemptEnd, AttemptOutcome
 from damaskwind.router.forwarding.call import Call
 from damaskwind.router.forwarding.delivery import Delivery
-from damaskwind.router.forwarding.pool_entries import PoolEntries
+from damaskwind.router.forwarding.pool_admissions import PoolAdmissions
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.http1.exchange import Exchange
 from damaskwind.runtime.http1.messages import Answer
@@ -16,16 +16,16 @@
 # A router that has just started knows a configuration after some 0.5 s, when replicas
 # on a quarter of a core have started too; who comes back sooner is refused once more,
 # and who comes back much later is late.
-START_S = 0.8
-NOT_READY_RETURN_S = 0.3
+STARTUP_S = 0.8
+NOT_READY_RETRY_S = 0.3
 
 
 class FinalAnswers:
     """The ends of one router's requests; `started_s` is when its process began to serve."""
 
-    def __init__(self, entries: PoolEntries, started_s: float) -> None:
+    def __init__(self, admissions: PoolAdmissions, started_s: float) -> None:
         self.tallies = Tallies()
-        self._entries = entries
+        self._admissions = admissions
         self._started_s = started_s
 
     def finish(
@@ -40,12 +40,16 @@
             self.log(call, delivery, "cut", outcome.why)
             return
         if outcome.answer is not None:
-            delivery.whole(outcome.answer)
+            delivery.send_whole(outcome.answer)
             self.log(call, delivery, "target failure passed on", outcome.why)
             return
         if not call.may_have_run:
-            return_s = self._entries.return_s(call) if call.return_s is None else call.return_s
-            headers = [(b"retry-after", b"%.3f" % return_s)]
+            retry_after_s = (
+                self._admissions.retry_after_s(call)
+                if call.retry_after_s is None
+                else call.retry_after_s
+            )
+            headers = [(b"retry-after", b"%.3f" % retry_after_s)]
             exchange.respond(Answer(503, headers))
             self.log(call, delivery, "refused as not run", outcome.why)
             return
@@ -64,9 +68,9 @@
         """Answer a request that reached no route."""
         headers = []
         if status == 503:
-            left_s = self._started_s + START_S - read_clock()
-            return_s = max(left_s, NOT_READY_RETURN_S)
-            headers.append((b"retry-after", b"%.3f" % return_s))
+            left_s = self._started_s + STARTUP_S - read_clock()
+            retry_after_s = max(left_s, NOT_READY_RETRY_S)
+            headers.append((b"retry-after", b"%.3f" % retry_after_s))
         exchange.respond(Answer(status, headers))
         self.tallies.count("requests", outcome=f"refused {status}", kind="none")
         logger.info(
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -51,10 +51,10 @@
 __all__ = ["FleetView"]
 
 # The leader becomes a source, and one that failed again, without a word of news.
-LOOK_AGAIN_S = 0.05
+SOURCE_RECHECK_S = 0.05
 # Between fetches that brought nothing: replicas that refuse all calls, or a document
 # that can't be read here, must not be asked for over and over.
-PAUSE_S = 0.1
+FETCH_PAUSE_S = 0.1
 # The first replica that a router asks tells it the table within some ms; the next ones
 # need not tell it again.
 STAGGER_S = 0.06
@@ -63,10 +63,10 @@
 # A target that says that it is gone serves on for as long as one that drains.
 LINGER_S = 2.0
 # News come every second from each replica that can be reached.
-CONTACT_S = 2.2
+REACHABLE_S = 2.2
 
 
-def _hold_nothing(host: str) -> tuple[HeldCount, ...]:
+def _no_held_counts(host: str) -> tuple[HeldCount, ...]:
     """Stand for a router that sends nothing yet."""
     return ()
 
@@ -90,13 +90,13 @@
         self.routers = 1
         self.on_gone: list[Callable[[str], None]] = []
         self.on_cold: list[Callable[[TargetRecord], None]] = []
-        self.on_taken_back: list[Callable[[frozenset[str]], None]] = []
-        self.most_routers = MostRouters()
+        self.on_evacuations_lifted: list[Callable[[frozenset[str]], None]] = []
+        self.max_routers = MostRouters()
         self.on_restarted: list[Callable[[TargetRecord], None]] = []
         self.on_configuration: list[Callable[[TrafficConfiguration], None]] = []
-        self.on_held: list[Callable[[str, HeldSum], None]] = []
+        self.on_load_sum: list[Callable[[str, HeldSum], None]] = []
         self.count_services: Callable[[], tuple[ServiceCount, ...]] = tuple
-        self.count_held: Callable[[str], tuple[HeldCount, ...]] = _hold_nothing
+        self.count_held: Callable[[str], tuple[HeldCount, ...]] = _no_held_counts
         self._node_id = node_id
         self._news_port = news_port
         self._decode = decode
@@ -108,16 +108,16 @@
         self._own_host = own_host
         self._link_bytes_per_s = link_bytes_per_s
         self.relay = DocumentRelay(self._newest_for, self._whole, link_bytes_per_s)
-        self.heartbeats = HeartbeatRelay(self.targets, self._is_in_touch)
-        self._tables = TableExchange(
-            self.targets, self._seen, self._take_table, news_port, link_bytes_per_s
+        self.heartbeats = HeartbeatRelay(self.targets, self._reaches_majority)
+        self._table_exchange = TableExchange(
+            self.targets, self._seen, self._merge_table, news_port, link_bytes_per_s
         )
-        self.relay.handlers[TABLE_PATH] = self._tables.handle
+        self.relay.handlers[TABLE_PATH] = self._table_exchange.handle
         self.suspicions = SuspicionRelay(news_port, random.random())
-        self._has_news = asyncio.Event()
+        self._has_update = asyncio.Event()
         self._document = b""
         self._received = Document(0, b"")
-        self._wants_whole = False
+        self._needs_whole = False
         self._fetching: asyncio.Task | None = None
         self._router_counts: dict[str, int] = {}
 
@@ -126,7 +126,7 @@
         if self._own_host:
             self.relay.listen(self._own_host, self._news_port)
         self.follow(rendezvous_order(self._node_id, self._seed_hosts), STAGGER_S)
-        self._fetching = asyncio.ensure_future(self._follow_documents())
+        self._fetching = asyncio.ensure_future(self._fetch_documents())
 
     async def stop(self) -> None:
         """End all subscriptions."""
@@ -134,7 +134,7 @@
             self._fetching.cancel()
             await asyncio.gather(self._fetching, return_exceptions=True)
         self._fetcher.close()
-        await self._tables.stop()
+        await self._table_exchange.stop()
         await self.suspicions.stop()
         await self.relay.stop()
         for link in self._links.values():
@@ -143,7 +143,7 @@
     def follow(self, hosts: Iterable[str], stagger_s: float = 0.0) -> None:
         """Follow every host that is not followed yet, one after the other."""
         fresh = [host for host in hosts if host not in self._links]
-        for place, host in enumerate(fresh):
+        for index, host in enumerate(fresh):
             link = NewsLink(
                 self._node_id,
                 SubscriberKind.ROUTER,
@@ -154,24 +154,24 @@
             )
             self._links[host] = link
             self.suspicions.follow(host)
-            link.start(place * stagger_s)
+            link.start(index * stagger_s)
 
-    def replicas_heard(self) -> int:
+    def count_reachable_replicas(self) -> int:
         """Return how many replicas were heard lately."""
-        return len(self._hosts_heard())
+        return len(self._reachable_hosts())
 
-    def _hosts_heard(self) -> list[str]:
+    def _reachable_hosts(self) -> list[str]:
         """Return the replicas that were heard lately."""
-        oldest_s = read_clock() - CONTACT_S
+        oldest_s = read_clock() - REACHABLE_S
         return [host for host, link in self._links.items() if link.last_heard_s > oldest_s]
 
-    def _is_in_touch(self) -> bool:
+    def _reaches_majority(self) -> bool:
         """Tell whether most replicas were heard lately."""
-        return 2 * self.replicas_heard() > len(self._links)
+        return 2 * self.count_reachable_replicas() > len(self._links)
 
     def heard_targets(self) -> tuple[Heard, ...]:
         """Return the targets that reported here lately."""
-        return self.heartbeats.heard()
+        return self.heartbeats.recent_reports()
 
     def new_records(self) -> tuple[TargetRecord, ...]:
         """Return what targets reported here that replicas may not know."""
@@ -179,7 +179,7 @@
 
     def is_first(self, host: str) -> bool:
         """Tell whether a replica is the first by rendezvous of those heard lately."""
-        hosts = self._hosts_heard() or list(self._links)
+        hosts = self._reachable_hosts() or list(self._links)
         return host == next(iter(rendezvous_order(self._node_id, hosts)))
 
     def takes_work(self, record: TargetRecord) -> bool:
@@ -190,14 +190,14 @@
 
     def serving(self, service: str) -> list[TargetRecord]:
         """Return the targets of a service that take work."""
-        emptied = self.evacuations.failure_domains
+        evacuated = self.evacuations.failure_domains
         return [
             record
             for record in self.targets.serving()
-            if record.service == service and record.failure_domain not in emptied
+            if record.service == service and record.failure_domain not in evacuated
         ]
 
-    def present(self, service: str) -> list[TargetRecord]:
+    def serving_or_draining(self, service: str) -> list[TargetRecord]:
         """Return the targets of a service that take work or still finish theirs."""
         departed = self.targets.departed(read_clock(), LINGER_S)
         records = [*self.targets.living(), *departed]
@@ -207,7 +207,7 @@
         """Tell whether a target has missed its heartbeats, as far as this router can know."""
         # Who was away itself has heard nobody meanwhile.
         heard_s = max(self.targets.heard_s(target_id), last_woken_s())
-        return now_s - heard_s > SILENT_S and self.replicas_heard() > 0
+        return now_s - heard_s > SILENT_S and self.count_reachable_replicas() > 0
 
     def table_digest(self) -> int:
         """Return which targets are known here."""
@@ -225,36 +225,36 @@
         """Return the version in force here."""
         return self.table.version if self.table else 0
 
-    async def _follow_documents(self) -> None:
+    async def _fetch_documents(self) -> None:
         """Fetch each newer configuration, over and over."""
         while True:
             host = self.sources.choose(self.known_version(), len(self._links), read_clock())
             if host is not None:
                 if not await self._fetch_from(host):
-                    await asyncio.sleep(PAUSE_S)
+                    await asyncio.sleep(FETCH_PAUSE_S)
                 continue
-            self._has_news.clear()
+            self._has_update.clear()
             is_pending = self.sources.has_newer(self.known_version())
             with suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_AGAIN_S if is_pending else None):
-                    await self._has_news.wait()
+                async with asyncio.timeout(SOURCE_RECHECK_S if is_pending else None):
+                    await self._has_update.wait()
 
     async def _fetch_from(self, host: str) -> bool:
         """Fetch from one replica; tell whether that brought a newer configuration."""
         asked_s = read_clock()
         try:
-            held_version = 0 if self._wants_whole else self.known_version()
+            held_version = 0 if self._needs_whole else self.known_version()
             document = await self._fetcher.fetch(host, held_version)
             content = self._unpack(document)
         except FETCH_ERRORS as error:
-            self._wants_whole = isinstance(error, MessageError)
+            self._needs_whole = isinstance(error, MessageError)
             self.sources.fail(host, read_clock())
             logger.warning("document not fetched", host=host, why=repr(error))
             return False
-        self._wants_whole = False
+        self._needs_whole = False
         took_s = read_clock() - asked_s
         held_version = self.known_version()
-        self.take_document(host, content, took_s, len(document.packed))
+        self.apply_document(host, content, took_s, len(document.packed))
         if self.known_version() > held_version:
             self._received = document
             return True
@@ -267,12 +267,12 @@
         self.sources.hear(host, news.version, news.is_current, news.leads, now_s)
         self.sources.place = news.place
         if news.version > self.known_version():
-            self._has_news.set()
-        self._take_evacuations(host, news.evacuations)
-        self._take_records(host, news.records, now_s)
-        self._take_records(host, self.targets.described(news.phases), now_s)
+            self._has_update.set()
+        self._apply_evacuations(host, news.evacuations)
+        self._merge_records(host, news.records, now_s)
+        self._merge_records(host, self.targets.described(news.phases), now_s)
         if news.tables_at:
-            self._tables.fetch(news.tables_at)
+            self._table_exchange.fetch(news.tables_at)
         for target_id, age_s, born_ms in news.heard:
             self.targets.hear(target_id, now_s - age_s, born_ms)
         others = news.heard_others
@@ -284,19 +284,19 @@
         self.suspicions.take_news(host, news)
         self._router_counts[host] = news.routers
         self.routers = max(1, *self._router_counts.values())
-        self.most_routers.note(self.routers, now_s)
+        self.max_routers.note(self.routers, now_s)
         if news.held is not None:
-            for callback in self.on_held:
+            for callback in self.on_load_sum:
                 callback(host, news.held)
         self.follow(news.hosts)
 
-    def _take_evacuations(self, host: str, evacuations: Evacuations) -> None:
+    def _apply_evacuations(self, host: str, evacuations: Evacuations) -> None:
         """Put newer evacuations in force; older ones are ignored."""
         if evacuations.revision <= self.evacuations.revision:
             return
         taken_back = frozenset(self.evacuations.failure_domains) - set(evacuations.failure_domains)
         self.evacuations = evacuations
-        for callback in self.on_taken_back:
+        for callback in self.on_evacuations_lifted:
             callback(taken_back)
         logger.info(
             "evacuations in force",
@@ -309,20 +309,20 @@
         """Return what was seen of each replica."""
         return tuple(link.seen for link in self._links.values())
 
-    def _take_table(self, host: str, copy: TableCopy) -> None:
+    def _merge_table(self, host: str, copy: TableCopy) -> None:
         """Merge what another router knows."""
-        self._take_records(host, copy.records, read_clock())
+        self._merge_records(host, copy.records, read_clock())
         for seen in copy.seen:
             for link in self._links.values():
                 link.adopt(seen)
         logger.info("targets fetched", host=host, targets=len(copy.records))
 
-    def _take_records(self, host: str, records: Iterable[TargetRecord], now_s: float) -> None:
+    def _merge_records(self, host: str, records: Iterable[TargetRecord], now_s: float) -> None:
         """Merge records of targets."""
         for record in records:
-            life = self.targets.life_of(record.target_id)
+            incarnation = self.targets.life_of(record.target_id)
             if self.targets.take(record, now_s):
-                if life not in (None, record.life) and record.service:
+                if incarnation not in (None, record.life) and record.service:
                     self._note_restarted(record)
                 if record.cold_s > 0:
                     self._note_cold(record)
@@ -379,7 +379,7 @@
             raise MessageError(f"difference from version {document.base_version}")
         return apply_difference(self._document, document.packed)
 
-    def take_document(self, host: str, document: bytes, took_s: float, packed_bytes: int) -> None:
+    def apply_document(self, host: str, document: bytes, took_s: float, packed_bytes: int) -> None:
         """Put a newer configuration in force; an older one is ignored."""
         try:
             configuration = self._decode(document)
@@ -406,4 +406,4 @@
     def lost(self, host: str) -> None:
         """Wait no longer for its version; what it told of targets stays believed."""
         self.sources.lose(host)
-        self._has_news.set()
+        self._has_update.set()
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -14,16 +14,21 @@
 from damaskwind.decisions.routing.homes import is_allowed
 from damaskwind.decisions.routing.table import RoutingReason, choose_service
 from damaskwind.model.header_names import HeaderNames
-from damaskwind.router.forwarding.attempt import AttemptEnd, AttemptOutcome, AttemptSender, Placed
+from damaskwind.router.forwarding.attempt import (
+    AttemptEnd,
+    AttemptOutcome,
+    AttemptSender,
+    Placement,
+)
 from damaskwind.router.forwarding.call import AttemptNote, Call, read_facts, read_key
 from damaskwind.router.forwarding.connections import TargetConnections
+from damaskwind.router.forwarding.crash_detector import BrokenSend, CrashDetector
 from damaskwind.router.forwarding.delivery import Delivery
 from damaskwind.router.forwarding.final_answers import FinalAnswers
 from damaskwind.router.forwarding.fleet_view import FleetView
-from damaskwind.router.forwarding.pool_entries import PoolEntries
-from damaskwind.router.forwarding.service_paces import ServicePaces
-from damaskwind.router.forwarding.target_beliefs import SendEnded, TargetBeliefs
-from damaskwind.router.forwarding.target_losses import BrokenSend, TargetLosses
+from damaskwind.router.forwarding.pool_admissions import PoolAdmissions
+from damaskwind.router.forwarding.service_throttles import ServiceThrottles
+from damaskwind.router.forwarding.target_states import SendResult, TargetStates
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.http1.exchange import Exchange
 from damaskwind.runtime.http1.messages import header
@@ -34,7 +39,7 @@
 # Sends beyond a route's attempts, where all earlier ones certainly did not run.
 EXTRA_SENDS = 1
 # Targets that a request may find unreachable, at 0.3 s each, before it is refused.
-UNREACHED_MOST = 3
+MAX_UNREACHED = 3
 
 
 # A target's own status for a request whose deadline has passed.
@@ -43,14 +48,14 @@
 _ROUTING_STATUS = {RoutingReason.NO_ROUTE: 404, RoutingReason.UNKNOWN_KEY: 401}
 
 
-def _as_seen(outcome: AttemptOutcome) -> SendEnded:
+def _send_result(outcome: AttemptOutcome) -> SendResult:
     """Return what an outcome says of the target."""
     was_refused = outcome.end is AttemptEnd.NOT_RUN and outcome.was_reached
     is_good = outcome.end is AttemptEnd.DELIVERED
-    return SendEnded(is_good, outcome.was_reached, was_refused, outcome.is_displaced)
+    return SendResult(is_good, outcome.was_reached, was_refused, outcome.is_displaced)
 
 
-def _has_survived(outcome: AttemptOutcome) -> bool:
+def _ran_to_end(outcome: AttemptOutcome) -> bool:
     """Tell whether the target ran the request to its end.
 
     A request that waited at a target until its deadline may not have begun.
@@ -80,22 +85,22 @@
         region_of: Mapping[str, str] = MappingProxyType({}),
     ) -> None:
         self.view = view
-        self.beliefs = TargetBeliefs(view, connections, heartbeat_s, random)
+        self.target_states = TargetStates(view, connections, heartbeat_s, random)
         self.tallies = Tallies()
         self._names = names
         self._failure_domain = failure_domain
-        self._terms = budget_terms
+        self._budget_terms = budget_terms
         self._region_of = region_of
         self._random = random
-        self.entries = PoolEntries(self.beliefs, random)
-        self.paces = ServicePaces(self.beliefs, random)
-        self.losses = TargetLosses(self.beliefs)
-        self.losses.on_ended.append(self._note_target_ended)
-        self._sender = AttemptSender(self.beliefs, names)
-        self._sender.on_first = self._note_first
+        self.admissions = PoolAdmissions(self.target_states, random)
+        self.throttles = ServiceThrottles(self.target_states, random)
+        self.crash_detector = CrashDetector(self.target_states)
+        self.crash_detector.on_crashed.append(self._note_target_crashed)
+        self._sender = AttemptSender(self.target_states, names)
+        self._sender.on_answer_begun = self._note_answer_begun
         self._budgets: dict[str, SharedRetryBudget] = {}
         self._started_s = read_clock() if started_s is None else started_s
-        self.answers = FinalAnswers(self.entries, self._started_s)
+        self.answers = FinalAnswers(self.admissions, self._started_s)
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
@@ -116,7 +121,7 @@
             self.answers.log(call, delivery, "caller left", "the caller closed its connection")
             raise
         finally:
-            self.entries.ended(call)
+            self.admissions.ended(call)
         self.answers.finish(exchange, call, delivery, outcome)
 
     def _admit(self, exchange: Exchange) -> Call | None:
@@ -151,56 +156,56 @@
         """Send until an answer is delivered or nothing more may be tried."""
         outcome = AttemptOutcome(AttemptEnd.NOT_RUN, "no target")
         failure: AttemptOutcome | None = None
-        placed = self._place(call)
-        if placed is None:
-            self._note_rest(call)
+        placement = self._choose_target(call)
+        if placement is None:
+            self._note_pause(call)
             return outcome
-        if call.key is None and not self.paces.admits(call.service):
-            call.return_s = self.paces.return_s(call)
+        if call.key is None and not self.throttles.admits(call.service):
+            call.retry_after_s = self.throttles.retry_after_s(call)
             return outcome._replace(why="service pressed", was_reached=False)
-        home = placed.choice.candidate if call.key else None
-        turned_away = await self.entries.enter(call, home)
+        home = placement.choice.candidate if call.key else None
+        turned_away = await self.admissions.admit(call, home)
         self.tallies.count("entries", step=call.entry.step)
         if turned_away is not None:
-            call.return_s = turned_away.return_s
+            call.retry_after_s = turned_away.return_s
             return AttemptOutcome(AttemptEnd.NOT_RUN, turned_away.why, was_reached=False)
         if call.entry.waited_ms:
-            placed = self._place(call)
+            placement = self._choose_target(call)
         while True:
-            if placed is None:
-                self._note_rest(call)
+            if placement is None:
+                self._note_pause(call)
                 return failure or outcome
-            if call.arrivals and not self._budget(call.service).take(read_clock()):
+            if call.reached and not self._budget(call.service).take(read_clock()):
                 return failure or outcome._replace(why=f"{outcome.why}; retry budget spent")
-            outcome = await self._send(exchange, call, delivery, placed)
+            outcome = await self._send(exchange, call, delivery, placement)
             if outcome.end is AttemptEnd.DELIVERED:
                 return outcome
             if outcome.answer is not None:
                 failure = outcome
-            if not self._may_go_on(call, outcome):
+            if not self._may_retry(call, outcome):
                 return failure or outcome
-            if outcome.is_lost and not await self._may_risk_another(call):
+            if outcome.is_connection_lost and not await self._may_retry_after_loss(call):
                 return failure or outcome
-            placed = self._place(call)
+            placement = self._choose_target(call)
 
-    def _may_go_on(self, call: Call, outcome: AttemptOutcome) -> bool:
+    def _may_retry(self, call: Call, outcome: AttemptOutcome) -> bool:
         """Tell whether another target may get the request."""
         if outcome.end is AttemptEnd.WITHHELD:
             return True
         if not outcome.was_reached:
-            return call.unreached < UNREACHED_MOST
+            return call.unreached < MAX_UNREACHED
         if outcome.end is AttemptEnd.NOT_RUN:
             return call.sends < call.route.max_attempts + EXTRA_SENDS
         return call.route.may_repeat and call.sends < call.route.max_attempts
 
-    async def _may_risk_another(self, call: Call) -> bool:
+    async def _may_retry_after_loss(self, call: Call) -> bool:
         """Tell whether another target may get a request whose last send broke.
 
         The request may be what ended the last one: once it is taken elsewhere, not twice.
         """
-        if call.look is not None:
+        if call.exit_probe is not None:
             # The look goes on for others when this caller leaves.
-            await asyncio.shield(call.look)
+            await asyncio.shield(call.exit_probe)
         return self.view.suspicions.table.may_repeat(call.digest)
 
     async def _send(
@@ -208,30 +213,32 @@
         exchange: Exchange,
         call: Call,
         delivery: Delivery,
-        placed: Placed,
+        placement: Placement,
     ) -> AttemptOutcome:
         """Send to one target and note how it went."""
-        target, choice = placed.target, placed.choice
+        target, choice = placement.target, placement.choice
         begun_s = read_clock()
-        basis = self.beliefs.loads.basis(target.target_id, begun_s, call.key is not None)
+        basis = self.target_states.loads.basis(target.target_id, begun_s, call.key is not None)
         if basis.age_s is not None:
             self.tallies.observe("load_age", basis.age_s, source=basis.source.value)
         self.tallies.count("placements", load_from=basis.source.value)
-        self.entries.sent(call, target.target_id)
+        self.admissions.sent(call, target.target_id)
         call.sends += 1
         call.tried.add(target.target_id)
-        self.beliefs.note_sent(target, begun_s)
-        may_move = call.route.may_repeat and call.sends < call.route.max_attempts
+        self.target_states.note_sent(target, begun_s)
+        may_reroute = call.route.may_repeat and call.sends < call.route.max_attempts
         # Until the outcome is known, the request may be running.
-        before, call.may_have_run = call.may_have_run, True
-        call.look, known = None, self.view.suspicions.table.known(call.digest)
+        could_have_run, call.may_have_run = call.may_have_run, True
+        call.exit_probe, known = None, self.view.suspicions.table.known(call.digest)
         call.is_suspected = known.ends > 0
         outcome = AttemptOutcome(AttemptEnd.BROKEN, "given up")
         try:
-            outcome = await self._sender.send(exchange.request, call, placed, delivery, may_move)
+            outcome = await self._sender.send(
+                exchange.request, call, placement, delivery, may_reroute
+            )
         finally:
             now_s = read_clock()
-            self.entries.ended(call)
+            self.admissions.ended(call)
             call.notes.append(
                 AttemptNote(
                     target.target_id,
@@ -249,58 +256,58 @@
             )
         self.tallies.count("attempts", end=outcome.end.value)
         if outcome.end is AttemptEnd.WITHHELD:
-            call.may_have_run = before
+            call.may_have_run = could_have_run
             call.sends -= 1
             return outcome
         if call.key is None:
-            self._note_pace(call, outcome, now_s - begun_s)
-        call.arrivals += outcome.was_reached
+            self._note_service_result(call, outcome, now_s - begun_s)
+        call.reached += outcome.was_reached
         if not outcome.was_reached:
             call.unreached += 1
             call.sends -= 1
         if not outcome.was_reached or outcome.end is AttemptEnd.STALLED:
             call.silent_domains.add(target.failure_domain)
         if outcome.end is AttemptEnd.NOT_RUN:
-            call.may_have_run = before
+            call.may_have_run = could_have_run
             if outcome.was_reached and not outcome.is_displaced:
-                self.entries.turned_away_by_target(call, target.target_id)
-        self.beliefs.note_ended(target, _as_seen(outcome), now_s)
-        if outcome.is_lost:
+                self.admissions.turned_away_by_target(call, target.target_id)
+        self.target_states.note_ended(target, _send_result(outcome), now_s)
+        if outcome.is_connection_lost:
             broken = BrokenSend(call.digest, known, call.facts.request_id)
-            call.look = self.losses.look(target, broken)
-        elif _has_survived(outcome):
+            call.exit_probe = self.crash_detector.probe(target, broken)
+        elif _ran_to_end(outcome):
             self.view.suspicions.note_survived(call.digest)
         return outcome
 
-    def _note_pace(self, call: Call, outcome: AttemptOutcome, took_s: float) -> None:
+    def _note_service_result(self, call: Call, outcome: AttemptOutcome, took_s: float) -> None:
         """Note how fast a service that tells no load answered, or that it had no place."""
-        seen = _as_seen(outcome)
-        if outcome.answer is not None or seen.is_good:
-            self.paces.answered(call, took_s)
-        elif seen.was_refused and not seen.is_displaced and not outcome.rests:
-            self.paces.turned_away(call)
+        result = _send_result(outcome)
+        if outcome.answer is not None or result.is_good:
+            self.throttles.answered(call, took_s)
+        elif result.was_refused and not result.is_displaced and not outcome.asks_for_pause:
+            self.throttles.turned_away(call)
 
-    def _note_target_ended(self, target: TargetRecord, sends: list[BrokenSend]) -> None:
+    def _note_target_crashed(self, target: TargetRecord, sends: list[BrokenSend]) -> None:
         """Suspect what was in hand at a target that ended."""
         self.view.suspicions.note_end((item.digest, item.known) for item in sends)
 
-    def _note_first(self, call: Call, target_id: str, first_s: float) -> None:
+    def _note_answer_begun(self, call: Call, target_id: str, first_s: float) -> None:
         """Take how long a target's answer took to begin."""
         self.tallies.observe("first_piece", first_s, kind=call.route.kind.value)
-        part = first_s / call.route.objective_s
-        self.beliefs.note_begun(call.service, target_id, part, read_clock())
-        self.entries.begun(call)
+        objective_share = first_s / call.route.objective_s
+        self.target_states.note_answer_begun(call.service, target_id, objective_share, read_clock())
+        self.admissions.begun(call)
 
-    def _place(self, call: Call) -> Placed | None:
+    def _choose_target(self, call: Call) -> Placement | None:
         """Choose the next target for a request."""
         now_s = read_clock()
-        records = self._allowed(call)
+        records = self._allowed_targets(call)
         for target_id in call.tried:
             records.pop(target_id, None)
-        if self.beliefs.are_all_unreachable(records, bool(call.unreached), now_s):
+        if self.target_states.are_all_unreachable(records, bool(call.unreached), now_s):
             return None
         is_engine = call.key is not None
-        candidates = self.beliefs.candidates(records.values(), now_s, is_engine)
+        candidates = self.target_states.candidates(records.values(), now_s, is_engine)
         # What hid one target of another failure domain from it hides the rest.
         cut_off = call.silent_domains - {self._failure_domain}
         if cut_off:
@@ -308,38 +315,40 @@
                 item._replace(is_doubtful=item.is_doubtful or item.failure_domain in cut_off)
                 for item in candidates
             ]
-        candidates = self.entries.with_waiting(call.service, candidates)
+        candidates = self.admissions.add_queued_load(call.service, candidates)
         choice = choose_target(
             candidates,
             call.key,
             self._failure_domain,
-            policy_for(self.view.routers, self.beliefs.loads.knows_sums(now_s)),
+            policy_for(self.view.routers, self.target_states.loads.knows_sums(now_s)),
             self._random,
         )
         if choice is None:
             return None
         donor = records.get(choice.donor_id)
         target = records[choice.candidate.target_id]
-        return Placed(target, choice, donor.address if donor else None)
+        return Placement(target, choice, donor.address if donor else None)
 
-    def _allowed(self, call: Call) -> dict[str, TargetRecord]:
+    def _allowed_targets(self, call: Call) -> dict[str, TargetRecord]:
         """Return the targets to which a request may go, or from which it may copy, by id."""
         return {
             target_id: record
-            for target_id, record in self.beliefs.present(call.service).items()
+            for target_id, record in self.target_states.serving_or_draining(call.service).items()
             if is_allowed(record.failure_domain, call.regions, self._region_of)
         }
 
-    def _note_rest(self, call: Call) -> None:
+    def _note_pause(self, call: Call) -> None:
         """Have a caller for whom all targets rest come back when one of them has rested."""
-        rest_s = self.beliefs.rest_left_s(self._allowed(call).values(), read_clock())
+        rest_s = self.target_states.rest_left_s(self._allowed_targets(call).values(), read_clock())
         if rest_s is not None:
-            call.return_s = return_after_rest_s(rest_s, call.route.objective_s, self._random)
+            call.retry_after_s = return_after_rest_s(rest_s, call.route.objective_s, self._random)
 
     def _budget(self, service: str) -> SharedRetryBudget:
         """Return this router's retry budget for a service."""
         budget = self._budgets.get(service)
         if budget is None:
-            budget = SharedRetryBudget(self._terms, lambda: self.view.routers, self._started_s)
+            budget = SharedRetryBudget(
+                self._budget_terms, lambda: self.view.routers, self._started_s
+            )
             self._budgets[service] = budget
         return budget
--- a/packages/router/src/damaskwind/router/forwarding/heartbeat_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/heartbeat_relay.py
@@ -15,7 +15,7 @@
 __all__ = ["HeartbeatRelay"]
 
 # Reports are told in so many seconds' calls: two of each replica, as replicas tell each other.
-TOLD_S = 2.5
+RELAY_WINDOW_S = 2.5
 
 
 class _Report(NamedTuple):
@@ -29,17 +29,17 @@
 class HeartbeatRelay:
     """The reports that one router hears.
 
-    `is_in_touch` tells whether what is heard here reaches the replicas.
+    `reaches_majority` tells whether what is heard here reaches the replicas.
     """
 
-    def __init__(self, table: TargetTable, is_in_touch: Callable[[], bool]) -> None:
+    def __init__(self, table: TargetTable, reaches_majority: Callable[[], bool]) -> None:
         self._table = table
-        self._is_in_touch = is_in_touch
+        self._reaches_majority = reaches_majority
         self._reports: dict[str, _Report] = {}
 
-    def take(self, record: TargetRecord) -> bool:
+    def accept(self, record: TargetRecord) -> bool:
         """Take a report; tell whether it may be acknowledged here."""
-        if record.phase is not TargetPhase.SERVING or not self._is_in_touch():
+        if record.phase is not TargetPhase.SERVING or not self._reaches_majority():
             return False
         held = self._table.record_of(record.target_id)
         if held is not None and held.service not in ("", record.service):
@@ -55,9 +55,9 @@
         self._reports[record.target_id] = _Report(now_s, new_at_s, record.born_ms)
         return True
 
-    def heard(self) -> tuple[Heard, ...]:
+    def recent_reports(self) -> tuple[Heard, ...]:
         """Return which targets were heard here lately."""
-        self._forget_told()
+        self._drop_old_reports()
         now_s = read_clock()
         return tuple(
             Heard(key, round(now_s - report.at_s, 2), report.born_ms)
@@ -66,12 +66,14 @@
 
     def new_records(self) -> tuple[TargetRecord, ...]:
         """Return what was said lately that replicas may not know."""
-        oldest_s = read_clock() - TOLD_S
+        oldest_s = read_clock() - RELAY_WINDOW_S
         new = [key for key, report in self._reports.items() if report.new_at_s > oldest_s]
         records = [self._table.record_of(target_id) for target_id in new]
         known = [record for record in records if record is not None]
         return self._table.as_of(known, read_clock())
 
-    def _forget_told(self) -> None:
-        oldest_s = read_clock() - TOLD_S
-        self._reports = {key: one for key, one in self._reports.items() if one.at_s > oldest_s}
+    def _drop_old_reports(self) -> None:
+        oldest_s = read_clock() - RELAY_WINDOW_S
+        self._reports = {
+            key: report for key, report in self._reports.items() if report.at_s > oldest_s
+        }
--- a/packages/router/src/damaskwind/router/forwarding/pool_entries.py
+++ b/packages/router/src/damaskwind/router/forwarding/pool_admissions.py
@@ -13,60 +13,62 @@
 from damaskwind.decisions.admission.waiting_line import Ticket
 from damaskwind.decisions.placement.affinity import Candidate
 from damaskwind.router.forwarding.call import Call, EntryNote
-from damaskwind.router.forwarding.target_beliefs import TargetBeliefs, free_places
+from damaskwind.router.forwarding.target_states import TargetStates, free_slots_of
 from damaskwind.runtime.clock import read_clock
 
-__all__ = ["PoolEntries"]
+__all__ = ["PoolAdmissions"]
 
 # What a target may be sent before anything is known of its pace: some 32 prompts of
 # some ten ms; all routers share it.
 FIRST_PER_TARGET = 32
 # A router's part may come to little, and its callers come unevenly.
-FIRST_LEAST = 2.0
+FIRST_MIN = 2.0
 # A caller that has less than this part of the longest time stated on its route has
 # spent the rest on an earlier attempt: callers' own times differ by some 15 in 100.
-FIRST_ATTEMPT_PART = 0.8
+FIRST_ATTEMPT_SHARE = 0.8
 # Places come free without an event of this router's: what is overdue holds none.
-LOOK_S = 0.05
+POLL_S = 0.05
 
 
-class PoolEntries:
+class PoolAdmissions:
     """The entries of one router to all pools."""
 
-    def __init__(self, beliefs: TargetBeliefs, random: Random) -> None:
-        self._beliefs = beliefs
+    def __init__(self, target_states: TargetStates, random: Random) -> None:
+        self._target_states = target_states
         self._random = random
         self._pools: dict[str, PoolAdmission] = {}
-        self._waiting: dict[int, asyncio.Future[TurnedAway | None]] = {}
+        self._waiters: dict[int, asyncio.Future[TurnedAway | None]] = {}
         self._longest_wait_s: dict[str, float] = {}
-        self._looked_s: dict[str, float] = {}
-        beliefs.view.on_gone.append(self.forget)
-        beliefs.view.on_restarted.append(lambda record: self.forget(record.target_id))
+        self._polled_s: dict[str, float] = {}
+        target_states.view.on_gone.append(self.forget)
+        target_states.view.on_restarted.append(lambda record: self.forget(record.target_id))
 
     def forget(self, target_id: str) -> None:
         """Drop what was learned of a target that is gone."""
         for pool in self._pools.values():
             pool.forget(target_id)
 
-    async def enter(self, call: Call, home: Candidate | None) -> TurnedAway | None:
+    async def admit(self, call: Call, home: Candidate | None) -> TurnedAway | None:
         """Wait until a request may be sent; return a refusal if it is turned away.
 
         `home` is the target that it should go to, if not any will do.
         """
         now_s = read_clock()
         pool = self._pool(call.service)
-        ticket = self._ticket(call, home.target_id if home else "", now_s)
-        places = [free_places(home)] if home else self._beliefs.places(call.service, now_s)
-        admitted = pool.offer(ticket, places, now_s)
+        ticket = self._describe(call, home.target_id if home else "", now_s)
+        free_slots = (
+            [free_slots_of(home)] if home else self._target_states.free_slots(call.service, now_s)
+        )
+        admitted = pool.offer(ticket, free_slots, now_s)
         outcome = None
         if admitted.step is not Step.START:
-            self._waiting[call.number] = asyncio.get_running_loop().create_future()
-            self._tell(admitted.turned_away)
+            self._waiters[call.number] = asyncio.get_running_loop().create_future()
+            self._notify(admitted.turned_away)
             outcome = await self._wait(call, admitted.until_s)
-        call.entry = _note(admitted, outcome, read_clock() - now_s, ticket.came_back)
+        call.entry = _entry_note(admitted, outcome, read_clock() - now_s, ticket.came_back)
         return outcome
 
-    def with_waiting(self, service: str, candidates: list[Candidate]) -> list[Candidate]:
+    def add_queued_load(self, service: str, candidates: list[Candidate]) -> list[Candidate]:
         """Count those who wait here for a target to its load, so that a hot one is passed over."""
         pool = self._pool(service)
         if not len(pool.line):
@@ -83,66 +85,66 @@
     def begun(self, call: Call) -> None:
         """Note that an answer began."""
         self._pool(call.service).begun(call.number, read_clock())
-        self._look(call.service)
+        self._start_ready(call.service)
 
     def ended(self, call: Call) -> None:
         """Note that no answer of the last send will begin any more."""
         self._pool(call.service).ended(call.number)
-        self._look(call.service)
+        self._start_ready(call.service)
 
     def turned_away_by_target(self, call: Call, target_id: str) -> None:
         """Note that a target had no place."""
         self._pool(call.service).turned_away_by_target(target_id, read_clock())
 
-    def return_s(self, call: Call) -> float:
+    def retry_after_s(self, call: Call) -> float:
         """Return when a caller that is refused now should come back."""
         objective_s = call.route.objective_s
         return self._pool(call.service).return_s(objective_s, call.left_s(), read_clock())
 
-    def waiting(self) -> int:
+    def queued(self) -> int:
         """Return how many requests wait now."""
-        return len(self._waiting)
+        return len(self._waiters)
 
     async def _wait(self, call: Call, until_s: float) -> TurnedAway | None:
         """Wait for a place until `until_s`; return the refusal if none came."""
         pool, number = self._pool(call.service), call.number
-        future = self._waiting[number]
+        future = self._waiters[number]
         try:
             while not future.done() and (left_s := until_s - read_clock()) > 0:
-                await asyncio.wait([future], timeout=min(left_s, LOOK_S))
-                self._look_now_and_then(call.service)
+                await asyncio.wait([future], timeout=min(left_s, POLL_S))
+                self._poll(call.service)
             if future.done():
                 return future.result()
             return pool.give_up(number, read_clock())
         finally:
             # Also where the caller has left.
             pool.withdraw(number)
-            del self._waiting[number]
+            del self._waiters[number]
 
-    def _look_now_and_then(self, service: str) -> None:
+    def _poll(self, service: str) -> None:
         """Look once for all who wait: each of them comes by."""
         now_s = read_clock()
-        if now_s - self._looked_s.get(service, 0.0) >= LOOK_S:
-            self._looked_s[service] = now_s
-            self._look(service)
+        if now_s - self._polled_s.get(service, 0.0) >= POLL_S:
+            self._polled_s[service] = now_s
+            self._start_ready(service)
 
-    def _look(self, service: str) -> None:
+    def _start_ready(self, service: str) -> None:
         """Let those go on for whom there is room now."""
         pool = self._pool(service)
         if not len(pool.line):
             return
         now_s = read_clock()
-        places = self._beliefs.places(service, now_s)
+        free_slots = self._target_states.free_slots(service, now_s)
         # Where no target takes work, all are placed anew, and refused at once.
-        for number in pool.look(places, now_s) if places else pool.release():
-            self._waiting[number].set_result(None)
+        for number in pool.look(free_slots, now_s) if free_slots else pool.release():
+            self._waiters[number].set_result(None)
 
-    def _tell(self, turned_away: tuple[TurnedAway, ...]) -> None:
+    def _notify(self, turned_away: tuple[TurnedAway, ...]) -> None:
         """Let requests know that they are turned away."""
         for refusal in turned_away:
-            self._waiting[refusal.number].set_result(refusal)
+            self._waiters[refusal.number].set_result(refusal)
 
-    def _ticket(self, call: Call, target_id: str, now_s: float) -> Ticket:
+    def _describe(self, call: Call, target_id: str, now_s: float) -> Ticket:
         """Describe a request to the decision."""
         route, facts = call.route, call.facts
         came_back = False
@@ -152,7 +154,7 @@
             wait_s = min(facts.wait_s, route.timeout_s)
             longest_s = max(self._longest_wait_s.get(route.name, 0.0), wait_s)
             self._longest_wait_s[route.name] = longest_s
-            came_back = wait_s < FIRST_ATTEMPT_PART * longest_s
+            came_back = wait_s < FIRST_ATTEMPT_SHARE * longest_s
         account = call.account.name if call.account else ""
         return Ticket(
             call.number,
@@ -175,15 +177,15 @@
 
     def _first_policy(self, service: str) -> WindowPolicy:
         """Return how much this router may send to a pool before anything is known of its pace."""
-        view = self._beliefs.view
+        view = self._target_states.view
         part = FIRST_PER_TARGET / view.routers
         targets = len(view.serving(service))
         return WindowPolicy(
-            first=max(FIRST_LEAST, part), first_of_pool=max(FIRST_LEAST, part * targets)
+            first=max(FIRST_MIN, part), first_of_pool=max(FIRST_MIN, part * targets)
         )
 
 
-def _note(
+def _entry_note(
     admitted: Admitted, outcome: TurnedAway | None, waited_s: float, came_back: bool
 ) -> EntryNote:
     """Return what the log says of an entry."""
--- a/packages/router/src/damaskwind/router/forwarding/process.py
+++ b/packages/router/src/damaskwind/router/forwarding/process.py
@@ -58,9 +58,9 @@
             settings.internal_host,
             settings.link_bytes_per_s,
         )
-        self.view.on_configuration.append(self._take_limits)
+        self.view.on_configuration.append(self._apply_limits)
         if handle_report is not None:
-            self.view.relay.handle_other = partial(handle_report, self.view.heartbeats)
+            self.view.relay.fallback_handler = partial(handle_report, self.view.heartbeats)
         self.connections = TargetConnections()
         self.forwarder = Forwarder(
             self.view,
@@ -77,7 +77,7 @@
         self._metrics = MetricsSite(self.tallies)
         self._callers = HttpServer(self.forwarder.handle, ServerLimits())
         self._ready = HttpServer(self._answer_ready, READY_LIMITS)
-        self._show_gauges()
+        self._register_gauges()
         self.is_draining = False
         self._was_ready = False
 
@@ -90,27 +90,29 @@
             self._metrics.listen(settings.caller_address.host, settings.metrics_port)
         self.view.start()
 
-    def _show_gauges(self) -> None:
+    def _register_gauges(self) -> None:
         """Show what this router believes now."""
         show, view = self.tallies.gauge, self.view
         show("requests_in_progress", "requests being answered", lambda: self._callers.active)
         show("configuration_version", "version in force", view.known_version)
         show("targets_serving", "targets that take work", lambda: len(view.targets.serving()))
-        show("replicas_heard", "replicas heard lately", view.replicas_heard)
-        show("documents_passed_on", "to other routers", lambda: view.relay.passed_on)
+        show("replicas_heard", "replicas heard lately", view.count_reachable_replicas)
+        show("documents_passed_on", "to other routers", lambda: view.relay.documents_served)
         show("routers", "routers that the replicas count", lambda: view.routers)
-        show("requests_waiting", "held for a place at a target", self.forwarder.entries.waiting)
+        show("requests_waiting", "held for a place at a target", self.forwarder.admissions.queued)
         show("connections_opened", "to targets", lambda: self.connections.opened)
         show("requests_suspected", "in hand where targets ended", self._suspected)
         show("requests_held_fatal", "sent no more, as targets end", self._held_fatal)
-        show("targets_cold", "that bear few requests", self.forwarder.beliefs.cold.count)
-        show("targets_resting", "that asked for no requests", partial(self._wishing, Wish.REST))
-        show("targets_said_leaving", "in an answer", partial(self._wishing, Wish.LEAVE))
+        show("targets_cold", "that bear few requests", self.forwarder.target_states.cold.count)
+        show(
+            "targets_resting", "that asked for no requests", partial(self._count_signals, Wish.REST)
+        )
+        show("targets_said_leaving", "in an answer", partial(self._count_signals, Wish.LEAVE))
         show("failure_domains_evacuated", "emptied by operators", self._evacuated)
         show("ready", "1 while callers should come", lambda: float(self.is_ready))
 
-    def _wishing(self, wish: Wish) -> float:
-        return self.forwarder.beliefs.words.count(wish, read_clock())
+    def _count_signals(self, wish: Wish) -> float:
+        return self.forwarder.target_states.signals.count(wish, read_clock())
 
     def _evacuated(self) -> float:
         return float(len(self.view.evacuations.failure_domains))
@@ -151,7 +153,7 @@
         """Follow seeds that the settings name now."""
         self.view.follow(seed_hosts)
 
-    def _take_limits(self, configuration: TrafficConfiguration) -> None:
+    def _apply_limits(self, configuration: TrafficConfiguration) -> None:
         """Hold callers to the published limits."""
         self._callers.limits = ServerLimits(*configuration.limits)
 
--- a/packages/router/src/damaskwind/router/forwarding/service_paces.py
+++ b/packages/router/src/damaskwind/router/forwarding/service_throttles.py
@@ -9,60 +9,60 @@
 from damaskwind.decisions.load.held_requests import target_digest
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.router.forwarding.call import Call
-from damaskwind.router.forwarding.target_beliefs import TargetBeliefs
+from damaskwind.router.forwarding.target_states import TargetStates
 from damaskwind.runtime.clock import read_clock
 
-__all__ = ["ServicePaces"]
+__all__ = ["ServiceThrottles"]
 
 # An answer is late for a router when it took more than this part of its objective.
-LATE_PART = 0.8
+LATE_SHARE = 0.8
 # Who is turned away comes back after a part of the objective between these: there is room for
 # the same part of requests then, and the answer may still be in time.
-RETURN_PARTS = (0.2, 0.5)
+RETRY_AFTER_SHARES = (0.2, 0.5)
 # A sum that covers fewer of the routers says nothing of the whole.
-COVERED_PART = 0.9
+COVERED_SHARE = 0.9
 # A part that is admitted is told in a log line when it has changed by so much.
-TOLD_CHANGE = 0.1
+LOGGED_CHANGE = 0.1
 
 
-class ServicePaces:
+class ServiceThrottles:
     """What one router saw of each service, and the part of requests that it admits."""
 
-    def __init__(self, beliefs: TargetBeliefs, random: Random) -> None:
-        self._beliefs = beliefs
-        self._view = view = beliefs.view
+    def __init__(self, target_states: TargetStates, random: Random) -> None:
+        self._target_states = target_states
+        self._view = view = target_states.view
         self._random = random
         self._tallies: dict[str, ServiceTally] = {}
-        self._paces: dict[str, ServicePace] = {}
-        self._told_parts: dict[str, float] = {}
-        view.on_held.append(self._take)
-        view.count_services = self.tell
+        self._throttles: dict[str, ServicePace] = {}
+        self._logged_shares: dict[str, float] = {}
+        view.on_load_sum.append(self._update)
+        view.count_services = self.recent_counts
 
     def admits(self, service: str) -> bool:
         """Count a request that comes for a service, and tell whether it may go on."""
-        self._note(service, ServiceSeen(asked=1))
-        return self._random.random() < self.part(service)
+        self._count(service, ServiceSeen(asked=1))
+        return self._random.random() < self.admitted_share(service)
 
-    def part(self, service: str) -> float:
+    def admitted_share(self, service: str) -> float:
         """Return the part of a service's requests that is admitted now."""
-        pace = self._paces.get(service)
-        return pace.part_at(read_clock()) if pace else 1.0
+        throttle = self._throttles.get(service)
+        return throttle.part_at(read_clock()) if throttle else 1.0
 
-    def return_s(self, call: Call) -> float:
+    def retry_after_s(self, call: Call) -> float:
         """Return when a caller that is turned away here should come back."""
-        return round(self._random.uniform(*RETURN_PARTS) * call.route.objective_s, 3)
+        return round(self._random.uniform(*RETRY_AFTER_SHARES) * call.route.objective_s, 3)
 
     def answered(self, call: Call, took_s: float) -> None:
         """Note that a target answered after some time."""
-        is_late = took_s > LATE_PART * call.route.objective_s
+        is_late = took_s > LATE_SHARE * call.route.objective_s
         seen = ServiceSeen(answered=1, late=int(is_late), busy_ms=round(took_s * 1000))
-        self._note(call.service, seen)
+        self._count(call.service, seen)
 
     def turned_away(self, call: Call) -> None:
         """Note that a target had no place."""
-        self._note(call.service, ServiceSeen(turned_away=1))
+        self._count(call.service, ServiceSeen(turned_away=1))
 
-    def tell(self) -> tuple[ServiceCount, ...]:
+    def recent_counts(self) -> tuple[ServiceCount, ...]:
         """Return what was seen here in the last second."""
         now_s = read_clock()
         seen = {service: tally.recent(now_s) for service, tally in self._tallies.items()}
@@ -72,30 +72,30 @@
             if any(item)
         )
 
-    def _note(self, service: str, seen: ServiceSeen) -> None:
+    def _count(self, service: str, seen: ServiceSeen) -> None:
         self._tallies.setdefault(service, ServiceTally()).add(seen, read_clock())
 
-    def _take(self, host: str, held: HeldSum) -> None:
+    def _update(self, host: str, held: HeldSum) -> None:
         """Take what all routers saw."""
-        if held.routers < COVERED_PART * self._view.routers:
+        if held.routers < COVERED_SHARE * self._view.routers:
             return
         now_s = read_clock()
         totals = dict(held.services)
         for service in self._tallies:
-            pace = self._paces.setdefault(service, ServicePace())
+            throttle = self._throttles.setdefault(service, ServicePace())
             seen = totals.get(target_digest(service), ServiceSeen())
-            places = sum(record.slots for record in self._beliefs.serving(service))
-            pace.take(seen, places, now_s)
-            self._log(service, pace.part, seen, host)
+            slots = sum(record.slots for record in self._target_states.serving(service))
+            throttle.take(seen, slots, now_s)
+            self._log(service, throttle.part, seen, host)
 
-    def _log(self, service: str, part: float, seen: ServiceSeen, host: str) -> None:
-        if abs(part - self._told_parts.get(service, 1.0)) < TOLD_CHANGE:
+    def _log(self, service: str, share: float, seen: ServiceSeen, host: str) -> None:
+        if abs(share - self._logged_shares.get(service, 1.0)) < LOGGED_CHANGE:
             return
-        self._told_parts[service] = part
+        self._logged_shares[service] = share
         logger.info(
             "service pace changed",
             service=service,
-            part=round(part, 2),
+            part=round(share, 2),
             asked=seen.asked,
             answered=seen.answered,
             late=seen.late,
--- a/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
@@ -25,12 +25,12 @@
 
 __all__ = ["SuspicionRelay"]
 
-CONNECT_S = 0.5
-ANSWER_S = 0.8
+CONNECT_TIMEOUT_S = 0.5
+ANSWER_TIMEOUT_S = 0.8
 ANSWER_LIMIT_BYTES = 4096
 # A call with so many is 6 KB.
-TOLD_AT_ONCE = 256
-FORGET_EVERY_S = 30.0
+MAX_BATCH = 256
+EXPIRY_INTERVAL_S = 30.0
 
 
 class SuspicionRelay:
@@ -40,21 +40,21 @@
         self.table = SuspicionTable(spread)
         self._good_ends = GoodEnds()
         self._news_port = news_port
-        self._forgot_s = 0.0
+        self._expired_at_s = 0.0
         self._epochs: dict[str, str] = {}
         # In the order in which they came.
-        self._owed: dict[str, dict[bytes, None]] = {}
-        self._telling: dict[str, asyncio.Task] = {}
+        self._pending: dict[str, dict[bytes, None]] = {}
+        self._sending: dict[str, asyncio.Task] = {}
 
     async def stop(self) -> None:
         """Tell no more."""
-        for task in self._telling.values():
+        for task in self._sending.values():
             task.cancel()
-        await asyncio.gather(*self._telling.values(), return_exceptions=True)
+        await asyncio.gather(*self._sending.values(), return_exceptions=True)
 
     def follow(self, host: str) -> None:
         """Tell a replica too."""
-        self._owed.setdefault(host, dict.fromkeys(self.table.digests()))
+        self._pending.setdefault(host, dict.fromkeys(self.table.digests()))
 
     def standing(self, digest: bytes) -> Standing:
         """Return what may be done with a request now."""
@@ -63,7 +63,9 @@
     def note_end(self, sends: Iterable[tuple[bytes, Known]]) -> None:
         """Take that a target ended under these requests, sent with this known of them."""
         now_s = read_clock()
-        self._tell_all([digest for digest, known in sends if self._note_end(digest, known, now_s)])
+        self._queue_for_all(
+            [digest for digest, known in sends if self._note_end(digest, known, now_s)]
+        )
 
     def _note_end(self, digest: bytes, known: Known, now_s: float) -> bool:
         if self._good_ends.has(digest, now_s):
@@ -83,7 +85,7 @@
         """Clear a request that is under suspicion, here and elsewhere."""
         if self.table.note_survived(digest, now_s):
             logger.info("request cleared", digest=digest.hex())
-            self._tell_all([digest])
+            self._queue_for_all([digest])
 
     def take_news(self, host: str, news: News) -> None:
         """Merge what a replica knows, and tell it what it may lack."""
@@ -93,13 +95,13 @@
                 self._clear(digest, now_s)
             else:
                 self._log_fatal(digest, host)
-        if now_s - self._forgot_s > FORGET_EVERY_S:
-            self._forgot_s = now_s
+        if now_s - self._expired_at_s > EXPIRY_INTERVAL_S:
+            self._expired_at_s = now_s
             self.table.forget(now_s)
         if self._epochs.get(host) != news.epoch:
             self._epochs[host] = news.epoch
-            self._owed[host] = dict.fromkeys(self.table.digests())
-        self._tell(host)
+            self._pending[host] = dict.fromkeys(self.table.digests())
+        self._start_sending(host)
 
     def count(self, standing: Standing) -> int:
         """Return how many requests have this standing now."""
@@ -111,36 +113,38 @@
             ends = self.table.known(digest).ends
             logger.warning("request held fatal", digest=digest.hex(), ends=ends, told_by=told_by)
 
-    def _tell_all(self, digests: list[bytes]) -> None:
-        for host, owed in self._owed.items():
-            owed.update(dict.fromkeys(digests))
-            self._tell(host)
+    def _queue_for_all(self, digests: list[bytes]) -> None:
+        for host, pending in self._pending.items():
+            pending.update(dict.fromkeys(digests))
+            self._start_sending(host)
 
-    def _tell(self, host: str) -> None:
-        if self._owed.get(host) and host not in self._telling:
-            task = self._telling[host] = asyncio.ensure_future(self._tell_owed(host))
-            task.add_done_callback(lambda _: self._telling.pop(host, None))
+    def _start_sending(self, host: str) -> None:
+        if self._pending.get(host) and host not in self._sending:
+            task = self._sending[host] = asyncio.ensure_future(self._send_pending(host))
+            task.add_done_callback(lambda _: self._sending.pop(host, None))
 
-    async def _tell_owed(self, host: str) -> None:
+    async def _send_pending(self, host: str) -> None:
         """Tell a replica what it is owed; what fails is told when it is heard again."""
-        owed = self._owed[host]
-        while owed:
-            part = list(islice(owed, TOLD_AT_ONCE))
+        pending = self._pending[host]
+        while pending:
+            part = list(islice(pending, MAX_BATCH))
             for digest in part:
-                del owed[digest]
+                del pending[digest]
             try:
                 await self._call(host, part)
             except (ConnectFailedError, AnswerBrokenError, TimeoutError) as error:
-                owed.update(dict.fromkeys(part))
-                logger.info("suspicions not told", host=host, requests=len(owed), why=repr(error))
+                pending.update(dict.fromkeys(part))
+                logger.info(
+                    "suspicions not told", host=host, requests=len(pending), why=repr(error)
+                )
                 return
 
     async def _call(self, host: str, digests: list[bytes]) -> None:
         items = self.table.told(digests, read_clock())
-        connection = await connect(Address(host, self._news_port), CONNECT_S)
+        connection = await connect(Address(host, self._news_port), CONNECT_TIMEOUT_S)
         request = Request(b"POST", SUSPICIONS_PATH, [(b"host", b"control")], encode(items))
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 answer = await fetch(connection, request, ANSWER_LIMIT_BYTES)
         finally:
             connection.abort()
--- a/packages/router/src/damaskwind/router/forwarding/table_exchange.py
+++ b/packages/router/src/damaskwind/router/forwarding/table_exchange.py
@@ -37,11 +37,11 @@
 
 # What tables may take of a router's link: at 5 Mbit/s one of 3,000 targets, 97 KB, takes half
 # a second. The rest is for answers, and for documents.
-TABLE_PART = 0.3
+TABLE_LINK_SHARE = 0.3
 # Who would wait longer is sent away, to another router or to a replica.
-LINE_S = 1.0
-CONNECT_S = 0.5
-ANSWER_S = 2.5
+MAX_QUEUE_S = 1.0
+CONNECT_TIMEOUT_S = 0.5
+ANSWER_TIMEOUT_S = 2.5
 ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
 # A copy is as good for so long: packing 3,000 targets takes some 10 ms.
 COPY_S = 0.25
@@ -65,17 +65,17 @@
         self._seen = seen
         self._take = take
         self._port = port
-        self._pace = BulkPace(link_bytes_per_s * TABLE_PART, read_clock())
+        self._pacer = BulkPace(link_bytes_per_s * TABLE_LINK_SHARE, read_clock())
         self._copy = Answer(503, [])
         self._copied_s = float("-inf")
         self._fetching: asyncio.Task | None = None
 
     async def handle(self, exchange: Exchange) -> None:
         """Give a copy, unless many wait for one already."""
-        if self._pace.line_s(read_clock()) > LINE_S:
+        if self._pacer.line_s(read_clock()) > MAX_QUEUE_S:
             exchange.respond(Answer(503, []))
             return
-        await asyncio.sleep(self._pace.wait_s(len(self._copy.body), read_clock()))
+        await asyncio.sleep(self._pacer.wait_s(len(self._copy.body), read_clock()))
         exchange.respond(self._newest_copy())
 
     def _newest_copy(self) -> Answer:
@@ -108,10 +108,10 @@
                 logger.info("targets not fetched", host=host, why=repr(error))
 
     async def _ask(self, host: str) -> TableCopy:
-        connection = await connect(Address(host, self._port), CONNECT_S)
+        connection = await connect(Address(host, self._port), CONNECT_TIMEOUT_S)
         try:
             request = Request(b"POST", TABLE_PATH, [(b"host", b"router")], b"")
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 answer = await fetch(connection, request, ANSWER_LIMIT_BYTES)
             if answer.status != 200:
                 raise AnswerBrokenError(f"status {answer.status}")
--- a/packages/router/src/damaskwind/router/forwarding/target_beliefs.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_states.py
@@ -27,11 +27,11 @@
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.clock_loop import last_woken_s
 
-__all__ = ["SendEnded", "TargetBeliefs", "free_places"]
+__all__ = ["SendResult", "TargetStates", "free_slots_of"]
 
 # A target that refused is left alone so long, unless there is no other: about as
 # long as a queue of short requests takes to shrink.
-BUSY_S = 0.1
+REFUSED_AVOID_S = 0.1
 EJECTION_S = 1.0
 
 # A first report is under way for less than this; a connection that was made longer
@@ -39,7 +39,7 @@
 LATE_REPORT_S = 1.0
 
 
-def free_places(candidate: Candidate) -> TargetPlaces:
+def free_slots_of(candidate: Candidate) -> TargetPlaces:
     """Return how many places of a target are free by its own word.
 
     Of one that tells no load nothing is known: a guess from own sends would have
@@ -49,12 +49,12 @@
     return TargetPlaces(candidate.target_id, candidate.slots - held)
 
 
-def _life(target: TargetRecord) -> tuple[str, tuple[int, int]]:
+def _incarnation(target: TargetRecord) -> tuple[str, tuple[int, int]]:
     """Return what tells one life of a target from all others."""
     return (target.target_id, target.life)
 
 
-class SendEnded(NamedTuple):
+class SendResult(NamedTuple):
     """How one send ended, as far as it says something of the target.
 
     `was_refused` is the target's own word that it did not run the request,
@@ -68,7 +68,7 @@
     is_displaced: bool = False
 
 
-class TargetBeliefs:
+class TargetStates:
     """The beliefs of one router; targets that are gone are forgotten."""
 
     def __init__(
@@ -82,24 +82,24 @@
         self.connections = connections
         self.loads = LoadEstimator()
         self.activity = TargetActivity()
-        self.words = TargetWords()
+        self.signals = TargetWords()
         self._heartbeat_s = heartbeat_s
         self._random = random
         self._health: dict[str, PoolHealth] = {}
-        self._paces: dict[str, PoolPace] = {}
+        self._latencies: dict[str, PoolPace] = {}
         self._avoided_until_s: dict[str, float] = {}
         self._displaced_s: dict[str, float] = {}
         view.on_gone.append(self.forget)
-        view.on_held.append(self._take_held)
+        view.on_load_sum.append(self._take_load_sum)
         view.count_held = self.loads.tell
-        view.on_restarted.append(self.begin_life)
+        view.on_restarted.append(self.reset)
         self.cold = ColdTargets(view, random)
 
-    def _take_held(self, host: str, held: HeldSum) -> None:
+    def _take_load_sum(self, host: str, held: HeldSum) -> None:
         """Take what a replica says that all routers hold."""
         self.loads.take_sum(host, held, read_clock())
 
-    def begin_life(self, record: TargetRecord) -> None:
+    def reset(self, record: TargetRecord) -> None:
         """Believe nothing that was learned of a target before it started again.
 
         What was sent to the former life may have run, and no more of its answer comes.
@@ -109,7 +109,7 @@
         for health in self._health.values():
             health.forget(target_id)
         started_s = record.sequence * self._heartbeat_s + LATE_REPORT_S
-        self.connections.end_former(target_id, read_clock() - started_s)
+        self.connections.abort_older(target_id, read_clock() - started_s)
 
     def forget(self, target_id: str) -> None:
         """Drop what was learned of a target that is gone."""
@@ -119,39 +119,41 @@
         self.activity.forget(target_id)
         self.connections.forget(target_id)
         self.cold.forget(target_id)
-        for pace in self._paces.values():
-            pace.forget(target_id)
+        for latency in self._latencies.values():
+            latency.forget(target_id)
 
     def note_sent(self, target: TargetRecord, now_s: float) -> None:
         """Note that a request is being sent."""
         self._pool_health(target.service, now_s).note_sent(target.target_id, now_s)
         self.cold.note_sent(target, now_s)
 
-    def note_begun(self, service: str, target_id: str, part: float, now_s: float) -> None:
+    def note_answer_begun(
+        self, service: str, target_id: str, objective_share: float, now_s: float
+    ) -> None:
         """Note that an answer began after this part of its objective."""
-        self._pool_pace(service).observe(target_id, part, now_s)
+        self._pool_latency(service).observe(target_id, objective_share, now_s)
 
-    def note_said(self, target: TargetRecord, said: Said) -> None:
+    def note_signal(self, target: TargetRecord, said: Said) -> None:
         """Take what a target asks for in an answer."""
-        new = self.words.hear(_life(target), said, read_clock())
-        if new is not Wish.NOTHING:
+        signal = self.signals.hear(_incarnation(target), said, read_clock())
+        if signal is not Wish.NOTHING:
             logger.info(
                 "target asks",
                 target=target.target_id,
                 service=target.service,
-                wish=new.value,
+                wish=signal.value,
                 rest_s=round(said.rest_s, 3),
                 phase=target.phase.name.lower(),
             )
 
-    def note_ended(self, target: TargetRecord, ended: SendEnded, now_s: float) -> None:
+    def note_ended(self, target: TargetRecord, ended: SendResult, now_s: float) -> None:
         """Take what the end of a send says of the target."""
         target_id = target.target_id
         if ended.is_displaced:
             self._displaced_s[target_id] = now_s
             logger.warning("target displaced", target=target_id, address=str(target.address))
         if ended.was_refused:
-            self._avoided_until_s[target_id] = now_s + BUSY_S
+            self._avoided_until_s[target_id] = now_s + REFUSED_AVOID_S
             return
         if not ended.was_reached:
             self.connections.watch(target_id, target.address)
@@ -160,36 +162,38 @@
 
     def takes_work(self, record: TargetRecord, now_s: float) -> bool:
         """Tell whether a target may be sent to, by operators' orders and its own words."""
-        return self._wish(record, now_s) is Wish.NOTHING and self.view.takes_work(record)
+        return self._signal(record, now_s) is Wish.NOTHING and self.view.takes_work(record)
 
-    def _wish(self, record: TargetRecord, now_s: float) -> Wish:
+    def _signal(self, record: TargetRecord, now_s: float) -> Wish:
         """Return what a target wants now by its own words; mostly there are none."""
-        return self.words.wish(_life(record), now_s) if self.words else Wish.NOTHING
+        return self.signals.wish(_incarnation(record), now_s) if self.signals else Wish.NOTHING
 
-    def still_takes_work(self, placed: TargetRecord) -> bool:
+    def still_takes_work(self, target: TargetRecord) -> bool:
         """Tell whether a target takes work that took some when a request was placed there."""
-        held = self.view.targets.record_of(placed.target_id)
-        return held is not None and held.life == placed.life and self.takes_work(held, read_clock())
+        known = self.view.targets.record_of(target.target_id)
+        return (
+            known is not None and known.life == target.life and self.takes_work(known, read_clock())
+        )
 
     def serving(self, service: str) -> list[TargetRecord]:
         """Return the targets of a service that may be sent to."""
         now_s = read_clock()
         return [item for item in self.view.serving(service) if self.takes_work(item, now_s)]
 
-    def is_said_leaving(self, target: TargetRecord) -> bool:
+    def has_announced_leaving(self, target: TargetRecord) -> bool:
         """Tell whether a target said in an answer that it leaves."""
-        return self.words.wish(_life(target), read_clock()) is Wish.LEAVE
+        return self.signals.wish(_incarnation(target), read_clock()) is Wish.LEAVE
 
     def rest_left_s(self, records: Collection[TargetRecord], now_s: float) -> float | None:
         """Return the seconds until one of these targets has rested, if all that serve rest."""
         if any(self.takes_work(record, now_s) for record in records):
             return None
-        lives = [_life(record) for record in records if self.view.takes_work(record)]
-        return self.words.rest_left_s(lives, now_s)
+        lives = [_incarnation(record) for record in records if self.view.takes_work(record)]
+        return self.signals.rest_left_s(lives, now_s)
 
-    def present(self, service: str) -> dict[str, TargetRecord]:
+    def serving_or_draining(self, service: str) -> dict[str, TargetRecord]:
         """Return the targets of a service that take work or still finish theirs, by id."""
-        return {record.target_id: record for record in self.view.present(service)}
+        return {record.target_id: record for record in self.view.serving_or_draining(service)}
 
     def are_all_unreachable(
         self, records: dict[str, TargetRecord], has_tried: bool, now_s: float
@@ -245,16 +249,16 @@
         is_doubtful = (
             self._avoided_until_s.get(target_id, 0.0) > now_s
             or self.connections.is_unreachable(target_id)
-            or self.activity.is_dark(target_id, now_s, is_engine, last_woken_s())
+            or self.activity.is_unresponsive(target_id, now_s, is_engine, last_woken_s())
             or self.view.is_silent(target_id, now_s)
             or self._is_displaced(target_id)
             or self.view.targets.is_superseded(target_id, self._heartbeat_s)
             or not health.may_send(target_id, now_s, self._random)
         )
         warmth = self.cold.warmth(record, now_s)
-        wish = self._wish(record, now_s)
-        takes_work = wish is Wish.NOTHING and self.view.takes_work(record) and warmth.may_send
-        is_leaving = wish is Wish.LEAVE or record.phase is not TargetPhase.SERVING
+        signal = self._signal(record, now_s)
+        takes_work = signal is Wish.NOTHING and self.view.takes_work(record) and warmth.may_send
+        is_leaving = signal is Wish.LEAVE or record.phase is not TargetPhase.SERVING
         return Candidate(
             target_id,
             record.failure_domain,
@@ -263,16 +267,16 @@
             is_doubtful,
             takes_work,
             self.view.targets.age_s(target_id, now_s, self._heartbeat_s),
-            warmth.is_cold or self._pool_pace(record.service).is_slow(target_id, now_s),
+            warmth.is_cold or self._pool_latency(record.service).is_slow(target_id, now_s),
             is_known,
             not takes_work and not is_leaving,
         )
 
-    def places(self, service: str, now_s: float) -> list[TargetPlaces]:
+    def free_slots(self, service: str, now_s: float) -> list[TargetPlaces]:
         """Return the targets that may be sent to, with their free places."""
         candidates = self.candidates(self.serving(service), now_s, True)
         sound = [item for item in candidates if not item.is_doubtful]
-        return [free_places(item) for item in sound or candidates]
+        return [free_slots_of(item) for item in sound or candidates]
 
     def _is_displaced(self, target_id: str) -> bool:
         """Tell whether another target answers at its address, and it was not heard since."""
@@ -289,9 +293,9 @@
         health.set_targets(ids, now_s)
         return health
 
-    def _pool_pace(self, service: str) -> PoolPace:
+    def _pool_latency(self, service: str) -> PoolPace:
         """Return the pace of a service's targets."""
-        pace = self._paces.get(service)
-        if pace is None:
-            pace = self._paces[service] = PoolPace()
-        return pace
+        latency = self._latencies.get(service)
+        if latency is None:
+            latency = self._latencies[service] = PoolPace()
+        return latency
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_document_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_document_relay.py
@@ -66,7 +66,7 @@
     async def test_next_router_is_asked_when_the_first_is_gone(self):
         self.assertEqual(await self.fetcher.fetch(REPLICA, 6), WHOLE)
         self.assertEqual([request.host for request in self.asked], ["127.79.0.9"])
-        self.assertEqual(self.relay.passed_on, 1)
+        self.assertEqual(self.relay.documents_served, 1)
 
     @asyncio_test
     async def test_replica_sends_it_when_no_router_does(self):
@@ -81,7 +81,7 @@
         await asyncio.sleep(0.1)
         self.document = WHOLE
         self.assertEqual(await fetching, WHOLE)
-        self.assertEqual(self.relay.passed_on, 1)
+        self.assertEqual(self.relay.documents_served, 1)
 
     @asyncio_test
     async def test_router_without_it_says_so_soon(self):
@@ -89,7 +89,7 @@
         begun_s = read_clock()
         self.assertEqual(await self.fetcher.fetch(REPLICA, 6), WHOLE)
         self.assertLess(read_clock() - begun_s, WAIT_S + 1.0)
-        self.assertEqual(self.relay.passed_on, 0)
+        self.assertEqual(self.relay.documents_served, 0)
 
     @asyncio_test
     async def test_other_calls_are_refused(self):
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
@@ -10,7 +10,7 @@
 from damaskwind.decisions.following.document_sources import UNSURE_AFTER_S
 from damaskwind.model.exception import ConfigurationError
 from damaskwind.router.forwarding import fleet_view
-from damaskwind.router.forwarding.fleet_view import PAUSE_S, FleetView
+from damaskwind.router.forwarding.fleet_view import FETCH_PAUSE_S, FleetView
 from damaskwind.runtime.bridge import asyncio_test
 from damaskwind.runtime.clock import clock_in_force
 from damaskwind.runtime.http1.client import ConnectFailedError
@@ -82,7 +82,7 @@
             view.start()
             for host in "abc":
                 view.sources.hear(host, 7, True, False, 0.0)
-            view._has_news.set()
+            view._has_update.set()
             await asyncio.sleep(duration_s)
             await view.stop()
         return asked
@@ -93,7 +93,7 @@
     @asyncio_test
     async def test_document_that_can_not_be_read_is_not_fetched_over_and_over(self):
         asked = await self.fetches_in(1.0, lambda: Document(7, pack_document(b"x")))
-        self.assertLessEqual(len(asked), 1.0 / PAUSE_S + 1)
+        self.assertLessEqual(len(asked), 1.0 / FETCH_PAUSE_S + 1)
         self.assertEqual({host for host, _ in asked}, set("abc"))
 
     @asyncio_test
@@ -102,7 +102,7 @@
             raise ConnectFailedError("refused")
 
         asked = await self.fetches_in(1.0, refuse)
-        self.assertLessEqual(len(asked), 1.0 / PAUSE_S + 1)
+        self.assertLessEqual(len(asked), 1.0 / FETCH_PAUSE_S + 1)
         self.assertEqual({host for host, _ in asked}, set("abc"))
 
     @asyncio_test
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
@@ -116,14 +116,14 @@
             )
             self.assertIn(answer.status, (200, 502, 503, 504), value)
         seen = []
-        enter = self.forwarder.entries.enter
+        admit = self.forwarder.admissions.admit
 
         async def watched(call, home):
-            outcome = await enter(call, home)
+            outcome = await admit(call, home)
             seen.append(call.entry.came_back)
             return outcome
 
-        self.forwarder.entries.enter = watched
+        self.forwarder.admissions.admit = watched
         self.assertEqual((await self.call(request_id=b"z", x_deadline_ms=b"1900")).status, 200)
         self.assertEqual(seen, [False])
 
@@ -373,9 +373,9 @@
     async def test_one_unreachable_target_speaks_for_its_failure_domain(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT, max_attempts=1))
         for number in range(12):
-            self.forwarder.beliefs.forget("far0")
-            self.forwarder.beliefs.forget("far1")
-            self.forwarder.beliefs.forget("far2")
+            self.forwarder.target_states.forget("far0")
+            self.forwarder.target_states.forget("far1")
+            self.forwarder.target_states.forget("far2")
             answer = await self.call(request_id=b"r%d" % number)
             self.assertEqual(answer.status, 200)
         self.assertEqual(len(self.received()), 12)
@@ -480,7 +480,7 @@
     @asyncio_test
     async def test_a_look_that_is_given_up_leaves_no_connection_open(self):
         address = self.view.targets.record_of("t0").address
-        looking = asyncio.ensure_future(self.connections.try_once("t0", address))
+        looking = asyncio.ensure_future(self.connections.probe("t0", address))
         while not self.targets[0].connections:
             await asyncio.sleep(0.001)
         looking.cancel()
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_many_targets.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_many_targets.py
@@ -15,7 +15,7 @@
 from damaskwind.model.targets import Address
 from damaskwind.router.forwarding.connections import TargetConnections
 from damaskwind.router.forwarding.fleet_view import FleetView
-from damaskwind.router.forwarding.target_beliefs import TargetBeliefs
+from damaskwind.router.forwarding.target_states import TargetStates
 from damaskwind.runtime.clock import read_clock
 
 FEW, MANY = 100, 1000
@@ -24,7 +24,7 @@
 MOST_TIMES = 15.0
 
 
-def beliefs_of(targets):
+def states_of(targets):
     """Return the beliefs of a router that knows so many targets of one pool."""
     random = Random(1)
     view = FleetView("router", (), 1, lambda body: None, random)
@@ -33,17 +33,17 @@
         name = f"i-{random.getrandbits(40):010x}"
         record = TargetRecord(name, "pool", address, "domain", TargetPhase.SERVING, 5, 16)
         view.targets.take(record, read_clock())
-    return TargetBeliefs(view, TargetConnections(), 1.2, random)
+    return TargetStates(view, TargetConnections(), 1.2, random)
 
 
 def placement_s(targets):
     """Return the processor time of a placement among so many targets, the least of some."""
-    beliefs = beliefs_of(targets)
+    target_states = states_of(targets)
     times_s = []
     for number in range(PLACEMENTS):
         begun_s = time.process_time()
-        records = beliefs.present("pool").values()
-        candidates = beliefs.candidates(records, read_clock(), True)
+        records = target_states.serving_or_draining("pool").values()
+        candidates = target_states.candidates(records, read_clock(), True)
         choose_target(candidates, b"part-%d" % number, "domain", policy_for(100), Random(1))
         times_s.append(time.process_time() - begun_s)
     return min(times_s)
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
@@ -4,7 +4,7 @@
 
 from damaskwind.decisions.load.held_requests import TargetLoad
 from damaskwind.model.traffic_configuration import RouteKind
-from damaskwind.router.forwarding.target_beliefs import SendEnded
+from damaskwind.router.forwarding.target_states import SendResult
 from damaskwind.router.forwarding.tests.bench import ForwarderTestCase, route
 from damaskwind.runtime.bridge import asyncio_test
 from damaskwind.runtime.clock import read_clock
@@ -30,20 +30,20 @@
 
     @asyncio_test
     async def test_nothing_of_the_former_life_is_believed(self):
-        beliefs, now_s = self.forwarder.beliefs, read_clock()
+        target_states, now_s = self.forwarder.target_states, read_clock()
         record = self.view.targets.record_of("t0")
-        beliefs.loads.reported("t0", TargetLoad(8, 4, 8), now_s)
-        beliefs.loads.sent("t0")
-        beliefs.note_ended(record, SendEnded(False, was_refused=True), now_s)
+        target_states.loads.reported("t0", TargetLoad(8, 4, 8), now_s)
+        target_states.loads.sent("t0")
+        target_states.note_ended(record, SendResult(False, was_refused=True), now_s)
         for _ in range(20):
-            beliefs.note_sent(record, now_s)
-            beliefs.note_ended(record, SendEnded(False), now_s)
-            beliefs.note_begun("pool", "t0", 9.0, now_s)
-        beliefs.note_ended(record, SendEnded(True, is_displaced=True), now_s)
+            target_states.note_sent(record, now_s)
+            target_states.note_ended(record, SendResult(False), now_s)
+            target_states.note_answer_begun("pool", "t0", 9.0, now_s)
+        target_states.note_ended(record, SendResult(True, is_displaced=True), now_s)
 
         def candidate():
-            records = list(beliefs.present("pool").values())
-            found = beliefs.candidates(records, read_clock(), True)
+            records = list(target_states.serving_or_draining("pool").values())
+            found = target_states.candidates(records, read_clock(), True)
             return next(item for item in found if item.target_id == "t0")
 
         self.assertTrue(candidate().is_doubtful)
@@ -51,7 +51,7 @@
         self.assertFalse(candidate().is_doubtful)
         self.assertFalse(candidate().is_slow)
         self.assertFalse(candidate().has_told_load)
-        self.assertEqual(beliefs.loads.own("t0"), 0)
+        self.assertEqual(target_states.loads.own("t0"), 0)
         self.assertLess(candidate().age_s, 1.0)
 
     @asyncio_test
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_service_paces.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_service_throttles.py
@@ -14,10 +14,10 @@
 ADMITTED = range(19, 46)
 
 
-class ServicePacesTest(ForwarderTestCase):
+class ServiceThrottlesTest(ForwarderTestCase):
     def tell(self, seen, routers=1):
         held = HeldSum((), routers, 0.5, (ServiceCount(target_digest("pool"), seen),))
-        for callback in self.view.on_held:
+        for callback in self.view.on_load_sum:
             callback("replica", held)
 
     async def press(self):
@@ -43,10 +43,10 @@
         # Cut off from the replicas, a router went on to turn away the part that it was last told.
         await self.call()
         self.tell(PRESSED)
-        pace = self.forwarder.paces._paces["pool"]
-        self.assertLess(self.forwarder.paces.part("pool"), 0.5)
+        pace = self.forwarder.throttles._throttles["pool"]
+        self.assertLess(self.forwarder.throttles.admitted_share("pool"), 0.5)
         pace._taken_s -= 30.0
-        self.assertEqual(self.forwarder.paces.part("pool"), 1.0)
+        self.assertEqual(self.forwarder.throttles.admitted_share("pool"), 1.0)
 
     @asyncio_test
     async def test_answers_that_are_late_while_places_are_free_turn_nobody_away(self):
@@ -55,7 +55,7 @@
         # four seconds after all faults were over.
         await self.call()
         self.tell(PRESSED._replace(turned_away=0, busy_ms=9_000))
-        self.assertEqual(self.forwarder.paces.part("pool"), 1.0)
+        self.assertEqual(self.forwarder.throttles.admitted_share("pool"), 1.0)
 
     @asyncio_test
     async def test_sum_of_few_routers_counts_for_nothing(self):
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
@@ -74,7 +74,7 @@
         link = self.view._links["127.0.0.1"]
         link.last_heard_s = read_clock()
         self.view.take_news("127.0.0.1", News("epoch", 1, 1, True, (), 1, (), ()))
-        self.assertEqual(self.view.replicas_heard(), 1)
+        self.assertEqual(self.view.count_reachable_replicas(), 1)
         silent = [one for one in ("t0", "t1") if self.view.is_silent(one, read_clock())]
         self.assertEqual(silent, [])
         phases = [self.view.targets.phase_of(one) for one in ("t0", "t1")]
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_target_words.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_target_signals.py
@@ -6,7 +6,7 @@
 from damaskwind.decisions.membership.target_record import TargetPhase
 from damaskwind.decisions.target_words.said import Said
 from damaskwind.model.evacuations import Evacuations
-from damaskwind.router.forwarding.target_losses import BrokenSend
+from damaskwind.router.forwarding.crash_detector import BrokenSend
 from damaskwind.router.forwarding.tests.bench import ForwarderTestCase, route
 from damaskwind.runtime.bridge import asyncio_test
 from damaskwind.runtime.clock import read_clock
@@ -22,7 +22,7 @@
 
 class TargetWordsTest(ForwarderTestCase):
     def note(self, index, said):
-        self.forwarder.beliefs.note_said(self.view.targets.record_of(f"t{index}"), said)
+        self.forwarder.target_states.note_signal(self.view.targets.record_of(f"t{index}"), said)
 
     def rest(self, *indexes, rest_s=3.0):
         for index in indexes:
@@ -54,17 +54,17 @@
 
     @asyncio_test
     async def test_rest_asked_for_while_a_connection_is_made_withholds_the_request(self):
-        take = self.connections.take
+        acquire = self.connections.acquire
         first_s = []
 
         async def slow_take(target_id, *rest):
-            connection = await take(target_id, *rest)
+            connection = await acquire(target_id, *rest)
             if not first_s:
                 first_s.append(read_clock())
                 self.rest(int(target_id[1:]))
             return connection
 
-        self.connections.take = slow_take
+        self.connections.acquire = slow_take
         answer = await self.call()
         self.assertEqual(answer.status, 200)
         (got,) = self.received()
@@ -74,25 +74,25 @@
 
     @asyncio_test
     async def test_a_withheld_request_is_refused_where_no_other_target_is_left(self):
-        take = self.connections.take
+        acquire = self.connections.acquire
 
         async def slow_take(target_id, *rest):
-            connection = await take(target_id, *rest)
+            connection = await acquire(target_id, *rest)
             self.rest(0, 1)
             return connection
 
-        self.connections.take = slow_take
+        self.connections.acquire = slow_take
         self.assertGreater(self.return_s(await self.call()), 2.0)
         self.assertEqual(self.received(), [])
 
     @asyncio_test
     async def test_those_in_line_are_told_when_all_targets_rest(self):
-        entries = self.forwarder.entries
-        pool = entries._pool("pool")
+        admissions = self.forwarder.admissions
+        pool = admissions._pool("pool")
         pool._whole.limit = 0.0
         calls = [asyncio.ensure_future(self.call(request_id=b"w%d" % n)) for n in range(3)]
         await asyncio.sleep(0.03)
-        waiting = entries.waiting()
+        waiting = admissions.queued()
         self.rest(0, 1)
         begun_s = read_clock()
         answers = await asyncio.gather(*calls)
@@ -106,7 +106,7 @@
     async def test_rest_is_no_lack_of_places_that_presses_the_service(self):
         self.share(RESTS)
         self.assertEqual((await self.call()).status, 200)
-        (count,) = self.forwarder.paces.tell()
+        (count,) = self.forwarder.throttles.recent_counts()
         self.assertEqual((count.seen.turned_away, count.seen.answered), (0, 1))
 
     @asyncio_test
@@ -160,14 +160,14 @@
         moved = plain(421, b"", (NOT_RUN, b"x-leaving: 1", b"retry-after: 9"))
         self.share(moved)
         self.assertEqual((await self.call()).status, 200)
-        self.assertEqual(len(self.forwarder.beliefs.words), 0)
+        self.assertEqual(len(self.forwarder.target_states.signals), 0)
 
     @asyncio_test
     async def test_load_of_another_target_at_its_address_is_not_its_own(self):
         moved = plain(421, b"", (NOT_RUN, b"x-target-load: 7,0,8"))
         self.targets[0].script = self.targets[1].script = [moved]
         await self.call()
-        loads = self.forwarder.beliefs.loads
+        loads = self.forwarder.target_states.loads
         sources = {loads.basis(f"t{n}", read_clock(), False).source for n in (0, 1)}
         self.assertEqual(sources, {LoadSource.GUESS})
 
@@ -175,7 +175,7 @@
     async def test_a_word_outlives_a_target_that_is_forgotten_and_heard_again(self):
         record = self.view.targets.record_of("t0")
         self.note(0, Said(is_leaving=True))
-        self.forwarder.beliefs.forget("t0")
+        self.forwarder.target_states.forget("t0")
         for number in range(4):
             await self.call(request_id=b"s%d" % number)
         self.assertEqual(self.targets[0].received, [])
@@ -191,6 +191,8 @@
         self.note(0, Said(is_leaving=True))
         await self.targets[0].stop()
         broken = []
-        self.forwarder.losses.on_ended.append(lambda *ended: broken.append(ended))
-        self.assertFalse(await self.forwarder.losses.look(target, BrokenSend(b"d", None, b"r")))
+        self.forwarder.crash_detector.on_crashed.append(lambda *ended: broken.append(ended))
+        self.assertFalse(
+            await self.forwarder.crash_detector.probe(target, BrokenSend(b"d", None, b"r"))
+        )
         self.assertEqual(broken, [])
