--- a/packages/router/src/damaskwind/router/forwarding/__init__.py
+++ b/packages/router/src/damaskwind/router/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forward requests by a published configuration: the lean path of a router."""
+"""Forward requests by a published configuration: the lean data path of a router."""
--- a/packages/router/src/damaskwind/router/forwarding/attempt.py
+++ b/packages/router/src/damaskwind/router/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""Send a request to one target once, and tell how that ended."""
+"""Send a request to one target once and classify the outcome."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,30 +30,31 @@
 
 __all__ = ["AttemptEnd", "AttemptOutcome", "AttemptSender", "Placement"]
 
-# A whole answer is gathered before any of it is passed on, so that a cut one
-# can be told apart; services answer with some KB.
+# A non-streaming answer is buffered completely before any of it is forwarded, so that a
+# truncated one is detected; services answer with a few KB.
 ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
-# Answers to earlier requests that may come first on a kept connection.
+# Late answers to earlier requests that are skipped on a reused connection.
 SKIPPED_ANSWERS = 3
-# A repeatable request is taken elsewhere after so many objectives if its target
+# A repeatable request is rerouted after this many latency objectives if its target
 # has been silent on all connections.
 UNRESPONSIVE_OBJECTIVES = 1.5
 UNRESPONSIVE_MIN_S = 0.8
 UNRESPONSIVE_POLL_S = 0.1
-# And after this many objectives when only this request is kept waiting.
+# And after this many objectives if only this request is kept waiting.
 STALL_OBJECTIVES = 4.0
 STALL_MIN_S = 1.2
-# The same between two events, by the pause that users accept.
+# The same between two events of a stream, in multiples of the route's gap objective, the
+# pause that users accept.
 STALL_GAPS = 4.0
 STALL_GAP_MIN_S = 0.8
 
 
-# The status by which a target says that it is not the one that was meant.
+# 421 Misdirected Request: another target answers at the address.
 MISDIRECTED = 421
 
 
 class AttemptEnd(StrEnum):
-    """How one send ended."""
+    """How one attempt ended."""
 
     DELIVERED = "delivered"
     WITHHELD = "withheld"
@@ -64,7 +65,7 @@
 
 
 class Placement(NamedTuple):
-    """Where a request goes: the target, why, and the engine it may copy from."""
+    """The target chosen for a request, the choice, and the engine to copy prompt parts from."""
 
     target: TargetRecord
     choice: Choice
@@ -72,12 +73,13 @@
 
 
 class AttemptOutcome(NamedTuple):
-    """How a send ended, why, and the whole answer if the target gave a failure.
+    """How an attempt ended, why, and the complete answer if the target answered with a failure.
 
-    `was_reached` tells whether a connection to the target stood, `first_s`
-    how long the head of its answer took, `is_displaced` that another target
-    answered at its address, `is_connection_lost` that its connection ended within the answer,
-    `asks_for_pause` that it asked for rest. What was withheld was not sent.
+    `was_reached` tells whether a connection to the target was established, `first_s` is the
+    time from the send to the head of the answer, in seconds. `is_displaced` means that another
+    target answered at the address, `is_connection_lost` that the target closed the connection
+    before the answer was complete, `asks_for_pause` that it asked for a pause (Retry-After).
+    A request that was withheld was not sent.
     """
 
     end: AttemptEnd
@@ -90,30 +92,31 @@
     asks_for_pause: bool = False
 
 
-def _ignore_answer_begun(call: Call, target_id: str, first_s: float) -> None:
-    """Take how long a target's answer took to begin, and do nothing with it."""
+def _ignore_answer_started(call: Call, target_id: str, first_s: float) -> None:
+    """Ignore the start of an answer; the default of `AttemptSender.on_answer_started`."""
 
 
 def _is_connection_lost(connection: ClientConnection) -> bool:
-    """Tell whether a target lost a connection that it had taken.
+    """Tell whether a connection that the target had accepted was closed by its side.
 
-    One that is reset as soon as it stands leads to no target: what stands before
-    a target that has ended, or that can't be reached, takes and resets it.
+    A connection that is reset right after it was established did not reach the target: a proxy
+    in front of a target that has exited, or is unreachable, accepts and then resets it.
     """
-    has_stood = read_clock() - connection.made_s >= SETTLE_S
-    return has_stood and not connection.is_open and not connection.is_timed_out
+    was_accepted = read_clock() - connection.made_s >= SETTLE_S
+    return was_accepted and not connection.is_open and not connection.is_timed_out
 
 
 class AttemptSender:
-    """Send to targets over kept connections.
+    """Send requests to targets over pooled connections.
 
-    `on_answer_begun` is told how long each answer took to begin.
+    `on_answer_started` is called with the call, the target id and the seconds from the send to
+    the head of the answer.
     """
 
     def __init__(self, target_states: TargetStates, names: HeaderNames) -> None:
         self.connections = target_states.connections
         self.activity = target_states.activity
-        self.on_answer_begun: Callable[[Call, str, float], None] = _ignore_answer_begun
+        self.on_answer_started: Callable[[Call, str, float], None] = _ignore_answer_started
         self._target_states = target_states
         self._loads = target_states.loads
         self._names = names
@@ -126,9 +129,9 @@
         delivery: Delivery,
         may_reroute: bool,
     ) -> AttemptOutcome:
-        """Send and pass the answer on; with `may_reroute` give up a target that is silent.
+        """Send the request and forward the answer; with `may_reroute` give up on a silent target.
 
-        Raise `TimeoutError` before anything is sent when the caller's time is up.
+        Raise `TimeoutError` before anything is sent if the caller's deadline has passed.
         """
         target = placement.target
         try:
@@ -140,10 +143,10 @@
             return AttemptOutcome(AttemptEnd.NOT_RUN, why, was_reached=False)
         if call.left_s() <= 0:
             self.connections.return_unused(target.target_id, connection)
-            raise TimeoutError("the caller's time is up")
+            raise TimeoutError("the caller's deadline has passed")
         if not self._target_states.still_takes_work(target):
             self.connections.return_unused(target.target_id, connection)
-            return AttemptOutcome(AttemptEnd.WITHHELD, "the target takes no work any more")
+            return AttemptOutcome(AttemptEnd.WITHHELD, "the target no longer accepts work")
         is_engine = call.key is not None
         self._loads.sent(target.target_id, is_engine)
         wait_number = self.activity.begin_wait(target.target_id, read_clock())
@@ -172,7 +175,7 @@
         delivery: Delivery,
         may_reroute: bool,
     ) -> AttemptOutcome:
-        """Write the request and read the answer that is its own."""
+        """Write the request, then read and forward the answer to it."""
         resume_after = delivery.resume_after(call.facts.resume_after)
         target = placement.target
         headers = target_headers(
@@ -183,7 +186,7 @@
         head = await self._read_head_in_time(connection, call, target.target_id, may_reroute)
         first_s = read_clock() - sent_s
         self.activity.note_received(target.target_id, read_clock())
-        self.on_answer_begun(call, target.target_id, first_s)
+        self.on_answer_started(call, target.target_id, first_s)
         signal = self._read_signal(head, target)
         if head.status == MISDIRECTED or header(head.headers, self._names.not_run) is not None:
             outcome = await self._read_refusal(connection, head, target)
@@ -209,7 +212,7 @@
     async def _read_head_in_time(
         self, connection: ClientConnection, call: Call, target_id: str, may_reroute: bool
     ) -> AnswerHead:
-        """Wait for the head; with `may_reroute` raise `TimeoutError` for a target that is stuck."""
+        """Wait for the head; with `may_reroute` raise `TimeoutError` if the target has stalled."""
         if not may_reroute:
             return await self._read_own_head(connection, call)
         objective_s = call.route.objective_s
@@ -233,7 +236,7 @@
             reading.cancel()
 
     async def _read_own_head(self, connection: ClientConnection, call: Call) -> AnswerHead:
-        """Return the head of the answer to this request, past late ones to earlier requests."""
+        """Return the head of the answer to this request, skipping late ones to earlier requests."""
         for _ in range(SKIPPED_ANSWERS):
             head = await connection.read_head()
             answered_id = header(head.headers, self._names.request_id)
@@ -243,7 +246,7 @@
                 return head
             await connection.read_body(ANSWER_LIMIT_BYTES)
             logger.warning(
-                "answer to another request dropped",
+                "answer to another request skipped",
                 request=call.facts.request_id.decode("latin-1"),
                 answered=(answered_id or b"").decode("latin-1"),
             )
@@ -253,10 +256,10 @@
     async def _read_refusal(
         self, connection: ClientConnection, head: AnswerHead, target: TargetRecord
     ) -> AttemptOutcome:
-        """Take the target's word that it did not run the request."""
+        """Read a target's answer that it did not run the request."""
         await connection.read_body(ANSWER_LIMIT_BYTES)
         self.connections.release(target.target_id, connection, head.headers)
-        why = f"target said so: status {head.status}"
+        why = f"refused by the target: status {head.status}"
         return AttemptOutcome(AttemptEnd.NOT_RUN, why, is_displaced=head.status == MISDIRECTED)
 
     async def _relay_stream(
@@ -268,7 +271,7 @@
         delivery: Delivery,
         may_reroute: bool,
     ) -> AttemptOutcome:
-        """Pass a stream on, event by event."""
+        """Forward a stream to the caller as it arrives."""
         delivery.begin_stream(head)
         gap_s = max(STALL_GAPS * call.route.gap_objective_s, STALL_GAP_MIN_S)
         while True:
@@ -286,9 +289,10 @@
     async def _read_data_in_time(
         self, connection: ClientConnection, gap_s: float | None
     ) -> bytes | None:
-        """Return the next piece; raise `TimeoutError` when none comes in time.
+        """Return the next chunk; raise `TimeoutError` if none arrives in time.
 
-        After this process was away, what came meanwhile is read first.
+        After this process was suspended, data that arrived meanwhile is read before the target
+        is given up on.
         """
         while True:
             begun_s = read_clock()
@@ -300,9 +304,9 @@
                     raise
 
     def _read_signal(self, head: AnswerHead, target: TargetRecord) -> Said:
-        """Take a target's word on its load and its wishes; return these.
+        """Record the load and the signals in the head of an answer; return the signals.
 
-        Who answers in another's place speaks for itself.
+        A misdirected answer (421) comes from another target, so its headers are ignored.
         """
         if head.status == MISDIRECTED:
             return SAID_NOTHING
--- a/packages/router/src/damaskwind/router/forwarding/call.py
+++ b/packages/router/src/damaskwind/router/forwarding/call.py
@@ -1,4 +1,4 @@
-"""One request on its way: what it says, what is in force for it, what became of it."""
+"""The state of one request in progress, and the headers that it is sent with."""
 
 import asyncio
 from itertools import count
@@ -23,14 +23,18 @@
     "target_headers",
 ]
 
-# Without a word of the caller, only the route's timeout bounds a request.
+# Without a deadline from the caller, only the route's timeout bounds a request.
 NO_DEADLINE_S = 3600.0
 
 _NUMBERS = count(1)
 
 
 class CallFacts(NamedTuple):
-    """What a request says of itself; `resume_after` is the last event the caller has."""
+    """What a request's headers state.
+
+    `wait_s` is the time that the caller still waits, `resume_after` the id of the last event
+    that it has.
+    """
 
     request_id: bytes
     wait_s: float
@@ -40,11 +44,11 @@
 
 
 class AttemptNote(NamedTuple):
-    """One send, for the log: the target, why it was chosen, and how it ended.
+    """One attempt, for the log: the target, why it was chosen, and the outcome.
 
     `at_ms` counts from the request's start, `first_ms` from the send to the
-    head of the answer. `load_from` says what the believed load rested on, and
-    `load_age_s` how old that was.
+    head of the answer. `load_from` names the source of the load estimate, and
+    `load_age_s` is its age.
     """
 
     target: str
@@ -61,10 +65,11 @@
 
 
 class EntryNote(NamedTuple):
-    """How a request came into its pool, for the log: what was expected and what came.
+    """How a request was admitted to its pool, for the log: the expected and the actual wait.
 
-    `room` is how many more its target could take, `begun_part` the part of the
-    objective that the pool's answers took lately to begin.
+    `room` is the headroom of its target in requests, `begun_part` the fraction of the
+    objective that the pool's recent answers took to begin, `came_back` whether the request
+    counted as a retry of the caller.
     """
 
     step: str
@@ -76,16 +81,18 @@
 
 
 class Call:
-    """One request in hand. Times are monotonic.
-
-    `number` tells it apart in this process, `entry` notes how it came into its
-    pool, `retry_after_s` is when its caller should come back if it is refused.
-    `sends` counts targets that it was sent to, `unreached` those to which no
-    connection came about, `silent_domains` the failure domains of targets that
-    were unreachable or silent for it. `digest` knows the request again when it comes
-    under another id. It stays in `regions`, if there are any. `exit_probe` finds out whether
-    the target has ended under the last send. With `is_suspected`, targets have ended
-    under it.
+    """One request in progress. Times are monotonic.
+
+    `number` is unique in this process. `entry` records how the request was admitted to its
+    pool, `retry_after_s` is the delay after which its caller should retry if it is refused.
+
+    `sends` counts the targets that it was sent to, `reached` the attempts that reached their
+    target, and `unreached` those for which no connection could be established. `silent_domains`
+    are the failure domains of targets that were unreachable or silent for this request.
+
+    `digest` identifies the request's content, also under another request id. `is_suspected`
+    means that targets have crashed while running it, and `exit_probe` finds out whether the
+    target of the last attempt has. If `regions` are given, the request stays in them.
     """
 
     def __init__(
@@ -123,19 +130,19 @@
 
     @property
     def priority(self) -> int:
-        """Return the rank that counts: the account's goes before the route's."""
+        """Return the account's priority if it has one, otherwise the route's."""
         account = self.account
         if account is not None and account.priority is not None:
             return account.priority
         return self.route.priority
 
     def left_s(self) -> float:
-        """Return the time until the deadline or the route's timeout."""
+        """Return the seconds until the deadline or the route's timeout, whichever is earlier."""
         return self.deadline_s - read_clock()
 
 
 def read_facts(headers: Headers, names: HeaderNames) -> CallFacts:
-    """Read what a request says; what can't be read counts as not said."""
+    """Parse the headers of a request; malformed values count as absent."""
     wait_ms = _number(header(headers, names.deadline_ms))
     parts = header(headers, names.prompt_parts) or b""
     part_ids = tuple(item.strip().partition(b":")[0] for item in parts.split(b",") if item.strip())
@@ -160,7 +167,7 @@
 
 
 def read_key(headers: Headers, names: HeaderNames) -> str | None:
-    """Return the API key of a request, if it carries one."""
+    """Return the API key of a request, or `None`."""
     scheme, _, key = (header(headers, names.authorization) or b"").partition(b" ")
     if scheme.lower() != names.key_scheme.lower():
         return None
@@ -168,7 +175,7 @@
 
 
 def system_headers(names: HeaderNames) -> frozenset[bytes]:
-    """Return the headers that the system sets, whatever the caller sent."""
+    """Return the names of headers that the router sets itself, replacing the caller's."""
     own = (
         names.authorization,
         names.deadline_ms,
@@ -189,7 +196,7 @@
     resume_after: int | None,
     donor: Address | None,
 ) -> Headers:
-    """Return the headers of a request as a target gets them."""
+    """Return the headers with which a request is sent to a target."""
     headers = without(request.headers, system_headers(names))
     left_ms = max(int(call.left_s() * 1000), 1)
     headers.append((names.deadline_ms, b"%d" % left_ms))
@@ -206,7 +213,7 @@
 
 
 def urgency(priority: int) -> int:
-    """Return a priority on the targets' scale, where 0 is first and 9 last.
+    """Map a priority to the targets' scale, where 0 is the most urgent and 9 the least.
 
     >>> urgency(0), urgency(2), urgency(7)
     (2, 6, 9)
--- a/packages/router/src/damaskwind/router/forwarding/connections.py
+++ b/packages/router/src/damaskwind/router/forwarding/connections.py
@@ -1,4 +1,4 @@
-"""Keep connections to targets, and hand out only those that are provably clean."""
+"""Pool connections to targets, and hand out only those that are provably clean."""
 
 import asyncio
 from weakref import WeakSet
@@ -12,24 +12,25 @@
 
 __all__ = ["SETTLE_S", "TargetConnections"]
 
-# A new connection inside a region stands within some ms; a lost opening packet
-# is sent again after a second, and by then another target has answered.
+# A connection inside a region is established within some ms. A lost SYN packet is
+# retransmitted after a second, by which time another target has answered.
 CONNECT_TIMEOUT_S = 0.3
-# Idle time without the target's word on it; targets close idle connections.
+# Idle time if the target's answer states none; targets close idle connections.
 DEFAULT_IDLE_S = 2.0
-# So long a connection has to stand to count.
+# A connection counts as accepted by the target if it is still open after this time.
 SETTLE_S = 0.02
-# A target that could not be reached is tried again this often, without a request:
-# whoever waits for a lost opening packet comes too late.
+# An unreachable target is probed at this interval, without a request: a request that waits
+# for a lost SYN packet misses its deadline.
 WATCH_INTERVAL_S = 0.4
-# After so many tries somebody else has to know better: a heartbeat, or a leave.
+# After this many probes the target is tried with requests again; that it is gone has to come
+# from its heartbeats or its leave.
 WATCH_TRIES = 60
-# Distance kept from the idle time that the target names.
+# Safety margin below the idle time that the target states.
 IDLE_MARGIN_S = 0.5
 
 
 class TargetConnections:
-    """Idle connections by target id, and those in use while they last."""
+    """The idle connections by target id, and weak references to all that are open."""
 
     def __init__(self) -> None:
         self.opened = 0
@@ -40,9 +41,10 @@
     async def acquire(
         self, target_id: str, address: Address, timeout_s: float, must_stay_open: bool = False
     ) -> ClientConnection:
-        """Return a clean connection, kept or new, with `must_stay_open` one that stood for a while.
+        """Return a clean connection, pooled or new.
 
-        Raises `ConnectFailedError` when none stands in time: nothing was sent.
+        With `must_stay_open` a new one is returned only after it has stayed open for `SETTLE_S`.
+        Raise `ConnectFailedError` if none is established in time: nothing was sent.
         """
         idle = self._idle.get(target_id, [])
         now_s = read_clock()
@@ -59,7 +61,7 @@
         return connection
 
     def release(self, target_id: str, connection: ClientConnection, headers: Headers) -> None:
-        """Keep a connection whose answer was read to its end, if it may be kept."""
+        """Return a connection to the pool after a complete answer, if it may be reused."""
         if not connection.release():
             return
         idle_s = _idle_s(headers)
@@ -70,13 +72,13 @@
         self._idle.setdefault(target_id, []).append(connection)
 
     def is_unreachable(self, target_id: str) -> bool:
-        """Tell whether no connection to a target came about lately."""
+        """Tell whether the last connection attempt to a target failed and it is being probed."""
         return target_id in self._watches
 
     async def probe(self, target_id: str, address: Address) -> bool:
-        """Tell whether a target takes a connection and keeps it; one that stands is kept here.
+        """Tell whether a target accepts a connection and keeps it open; pool that connection.
 
-        What stands before targets may take a connection for one that has ended, and reset it.
+        A proxy in front of a target that has exited may accept a connection and then reset it.
         """
         try:
             connection = await connect(address, CONNECT_TIMEOUT_S)
@@ -88,7 +90,7 @@
         return stays_open
 
     async def _stays_open(self, connection: ClientConnection) -> bool:
-        """Tell whether a new connection is still there after a while."""
+        """Tell whether a new connection is still open after `SETTLE_S`."""
         lost = asyncio.Event()
         connection.on_lost = lambda _: lost.set()
         try:
@@ -104,19 +106,19 @@
         return False
 
     def return_unused(self, target_id: str, connection: ClientConnection) -> None:
-        """Keep a connection on which nothing was sent."""
+        """Return a connection on which nothing was sent to the pool."""
         connection.usable_until_s = read_clock() + DEFAULT_IDLE_S
         self._idle.setdefault(target_id, []).append(connection)
 
     def watch(self, target_id: str, address: Address) -> None:
-        """Try to reach a target until it can be reached again."""
+        """Start to probe a target until it is reachable again."""
         if target_id not in self._watches:
             logger.warning("target unreachable", target=target_id, address=str(address))
             watching = self._watch(target_id, address)
             self._watches[target_id] = asyncio.ensure_future(watching)
 
     async def _watch(self, target_id: str, address: Address) -> None:
-        """Connect without a request; keep the connection that stands for the next one."""
+        """Probe without a request; a connection that stays open is pooled for the next one."""
         begun_s = read_clock()
         try:
             for _ in range(WATCH_TRIES):
@@ -129,7 +131,7 @@
             self._watches.pop(target_id, None)
 
     def forget(self, target_id: str) -> None:
-        """Close the idle connections to a target and stop trying to reach it."""
+        """Close the idle connections to a target and stop probing it."""
         if target_id in self._watches:
             self._watches[target_id].cancel()
         for connection in self._idle.pop(target_id, []):
@@ -138,7 +140,7 @@
             self._established.pop(target_id, None)
 
     def abort_older(self, target_id: str, before_s: float) -> None:
-        """Reset the connections in use that were made before a monotonic time."""
+        """Abort the connections that were established before `before_s`, a monotonic time."""
         for connection in list(self._established.get(target_id, ())):
             if connection.made_s < before_s:
                 connection.abort()
@@ -150,7 +152,7 @@
 
 
 def _idle_s(headers: Headers) -> float:
-    """Return how long a connection may be kept idle by an answer's headers.
+    """Return the seconds for which a connection may stay idle, from an answer's headers.
 
     >>> _idle_s([(b"keep-alive", b"timeout=5")]), _idle_s([(b"connection", b"close")])
     (4.5, 0.0)
--- a/packages/router/src/damaskwind/router/forwarding/crash_detector.py
+++ b/packages/router/src/damaskwind/router/forwarding/crash_detector.py
@@ -1,7 +1,7 @@
-"""Find out whether a target has ended when sends to it break.
+"""Find out whether a target has crashed when attempts at it break.
 
-A connection that is reset, or an answer that is cut, looks the same whether the
-target has ended or goes on. One try to connect tells: an ended process refuses.
+A reset connection or a truncated answer looks the same whether the target has exited or
+still runs. A new connection tells them apart: the port of an exited process refuses it.
 """
 
 import asyncio
@@ -16,15 +16,19 @@
 
 __all__ = ["BrokenSend", "CrashDetector"]
 
-# A line tells this many of the requests that were in hand at a target that ended.
+# Limit on the requests in flight that a log line lists for one target.
 LISTED_REQUESTS = 16
 
 
 class BrokenSend(NamedTuple):
-    """A send that broke: the request, what was known of it when it was sent, its id for the log."""
+    """An attempt that broke.
+
+    `digest` identifies the request, `level` is its suspicion level when it was sent, and
+    `request_id` is for the log.
+    """
 
     digest: bytes
-    known: Known
+    level: Known
     request_id: bytes
 
 
@@ -32,10 +36,10 @@
 
 
 class CrashDetector:
-    """The targets of one router that are being looked at.
+    """Probes the targets of one router whose sends broke.
 
-    `on_crashed` is told of each target that ended by itself, with the sends that
-    broke at this router; one that was leaving is not among them.
+    The `on_crashed` callbacks get each target that has exited unexpectedly, with the sends that
+    broke at this router. The exit of a leaving target is expected and not reported.
     """
 
     def __init__(self, target_states: TargetStates) -> None:
@@ -46,9 +50,9 @@
         self._broken: dict[str, list[BrokenSend]] = {}
 
     def probe(self, target: TargetRecord, broken: BrokenSend) -> asyncio.Task[bool]:
-        """Note a send that broke; the task tells whether its target has ended by itself.
+        """Record a broken send; the returned task tells whether its target has crashed.
 
-        Sends that break together are told by one look.
+        Sends to a target that break together share one probe.
         """
         target_id = target.target_id
         self._broken.setdefault(target_id, []).append(broken)
@@ -81,7 +85,7 @@
             ],
         )
         if phase in (None, TargetPhase.GONE):
-            # Its address may be another target's by now.
+            # Another target may have its address by now, so it is not probed again.
             self._connections.forget(target_id)
         elif not answers:
             self._connections.watch(target_id, target.address)
--- a/packages/router/src/damaskwind/router/forwarding/delivery.py
+++ b/packages/router/src/damaskwind/router/forwarding/delivery.py
@@ -1,8 +1,8 @@
-"""Give a caller one answer, though it may come from several runs in turn.
+"""Deliver one answer to a caller, which may be assembled from several attempts.
 
-A resumable stream is passed on in whole events only, so that another target
-can go on after the last of them inside the same answer; events that were
-already passed on are left out. Any other stream is passed on as it comes.
+A resumable stream is forwarded in complete events only, so that another target can continue
+the same answer after the last of them; events that were already forwarded are skipped. Any
+other stream is forwarded as it arrives.
 """
 
 from damaskwind.router.forwarding.events import EventSplitter, event_id
@@ -14,7 +14,7 @@
 
 
 class Delivery:
-    """What one caller has got so far."""
+    """The answer to one caller, as far as it was delivered."""
 
     def __init__(self, exchange: Exchange, is_resumable: bool) -> None:
         self._exchange = exchange
@@ -26,27 +26,27 @@
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether the caller has the head of an answer."""
+        """Tell whether the head of an answer was sent to the caller."""
         return self._exchange.has_begun
 
     def resume_after(self, asked: int | None) -> int | None:
-        """Return the event after which a run has to go on; `asked` is the caller's own."""
+        """Return the id of the event to resume after; `asked` is what the caller requested."""
         return asked if self.last_event is None else self.last_event
 
     def send_whole(self, answer: Answer) -> None:
-        """Pass on a whole answer."""
+        """Send a complete answer."""
         headers = without(answer.headers, frozenset())
         self.bytes += len(answer.body)
         self._exchange.respond(Answer(answer.status, headers, answer.body))
 
     def begin_stream(self, head: AnswerHead) -> None:
-        """Pass on the head of the first run; those of later runs are left out."""
+        """Send the head of the first attempt's stream; those of later attempts are dropped."""
         self._splitter = EventSplitter()
         if not self.has_begun:
             self._exchange.begin(head.status, without(head.headers, frozenset()))
 
     def write_stream(self, data: bytes) -> None:
-        """Pass on a piece of a stream."""
+        """Forward a chunk of a stream."""
         if not self._is_resumable:
             self.bytes += len(data)
             self._exchange.write(data)
@@ -55,7 +55,7 @@
             self._write_event(event)
 
     def _write_event(self, event: bytes) -> None:
-        """Pass on an event that the caller does not have."""
+        """Send an event, unless the caller already has it."""
         number = event_id(event)
         if number is not None:
             if self.last_event is not None and number <= self.last_event:
@@ -66,12 +66,12 @@
         self._exchange.write(event)
 
     def end_stream(self) -> bool:
-        """End the answer as complete, unless the run ended inside an event."""
+        """Finish the answer; return `False` instead if the stream ended inside an event."""
         if self._is_resumable and self._splitter.rest:
             return False
         self._exchange.finish()
         return True
 
     async def drained(self) -> None:
-        """Wait until the caller has taken most of it."""
+        """Wait until the caller has read most of what was written."""
         await self._exchange.drained()
--- a/packages/router/src/damaskwind/router/forwarding/document_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/document_relay.py
@@ -1,4 +1,4 @@
-"""Pass the configuration in force on to other routers, at a part of this VM's link."""
+"""Serve the configuration in force to other routers, at a share of this VM's link."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -24,28 +24,30 @@
 
 __all__ = ["DocumentRelay", "WholeDocument"]
 
-# A replica names a router that will have the document, in this time at the latest.
+# A replica may refer to a router that is still fetching the document; it has it within this
+# time at the latest.
 WAIT_S = LONGEST_S
 POLL_S = 0.02
 
 
 async def _refuse_unknown(exchange: Exchange) -> None:
-    """Answer a call that nobody here knows."""
+    """Answer a request for an unknown path."""
     exchange.respond(Answer(404, []))
 
 
 class WholeDocument(NamedTuple):
-    """A configuration as it was published; version 0 while there is none."""
+    """A configuration as it was published; version 0 means none."""
 
     version: int
     content: bytes
 
 
 class DocumentRelay:
-    """The handler behind a router's internal address.
+    """The request handler of a router's internal address.
 
-    `newest_for` gives the newest document for one that holds a version; its own
-    version is 0 while there is none. `whole` gives the same one as it was published.
+    `newest_for` returns the newest document for a reader that holds the given version; the
+    document's version is 0 while there is none. `whole` returns the same configuration as it
+    was published.
     """
 
     def __init__(
@@ -59,16 +61,16 @@
         self._pacer = BulkPace(link_bytes_per_s * PASSING_PART, read_clock())
         self._server = HttpServer(self._handle, ServerLimits())
         self.documents_served = 0
-        # What else comes to this address, by its path, and heartbeats in the platform's words.
+        # Handlers of other paths, and the fallback, which takes the platform's heartbeats.
         self.handlers: dict[bytes, Callable[[Exchange], Awaitable[None]]] = {}
         self.fallback_handler: Callable[[Exchange], Awaitable[None]] = _refuse_unknown
 
     def listen(self, host: str, port: int) -> None:
-        """Open the socket; without it, others fetch from the replicas alone."""
+        """Open the socket; if that fails, other routers fetch from the replicas alone."""
         try:
             self._server.listen(host, port)
         except OSError as error:
-            logger.warning("documents not passed on", host=host, port=port, why=str(error))
+            logger.warning("documents not served", host=host, port=port, why=str(error))
 
     async def stop(self) -> None:
         """Close the socket and its connections."""
@@ -76,7 +78,7 @@
         self._server.abort()
 
     async def _handle(self, exchange: Exchange) -> None:
-        """Answer one request for a document."""
+        """Answer one request on the internal address."""
         path, _, query = exchange.request.target.partition(b"?")
         if (exchange.request.method, path) == (b"GET", READ_PATH):
             await self._serve_read(exchange, query)
@@ -98,7 +100,7 @@
         self.documents_served += 1
 
     async def _serve_read(self, exchange: Exchange, query: bytes) -> None:
-        """Give an operator the configuration, to whom a replica named this router."""
+        """Serve the configuration to an operator whom a replica referred to this router."""
         asked_s = read_clock()
         version = read_version(query)
         if version is None:
@@ -116,7 +118,7 @@
         await exchange.deliver(answer, partial(log_read, read))
 
     async def _wait_for_version(self, version: int) -> bool:
-        """Wait a little until a version is here; tell whether it is."""
+        """Wait up to `WAIT_S` for a version to be in force here; tell whether it is."""
         limit_s = read_clock() + WAIT_S
         while self._newest_for(0).version < max(version, 1):
             if read_clock() > limit_s:
--- a/packages/router/src/damaskwind/router/forwarding/events.py
+++ b/packages/router/src/damaskwind/router/forwarding/events.py
@@ -1,7 +1,7 @@
-"""Cut a stream of server-sent events into whole events and know their ids.
+"""Split a stream of server-sent events into complete events, and read their ids.
 
-After the WHATWG HTML standard, section 9.2: an event ends with an empty line,
-and the field `id` names it. Line ends are LF or CRLF.
+Following the WHATWG HTML standard, section 9.2, an event ends with an empty line, and its
+field `id` identifies it. Line ends may be LF or CRLF.
 """
 
 import re
@@ -13,7 +13,7 @@
 
 
 def event_id(event: bytes) -> int | None:
-    r"""Return the id of an event, if it has one.
+    r"""Return the numeric id of an event, or `None`.
 
     >>> event_id(b"id: 12\ndata: x\n\n"), event_id(b"data: x\n\n")
     (12, None)
@@ -23,7 +23,9 @@
 
 
 class EventSplitter:
-    r"""Gather pieces and return whole events.
+    r"""Buffers chunks of a stream and returns complete events.
+
+    `rest` is the start of an event that is still incomplete.
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\n\nid: 2\n")
@@ -36,7 +38,7 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take a piece and return the events that are whole now."""
+        """Add a chunk and return the events that are complete now."""
         buffer = self.rest + data
         events = []
         start = 0
--- a/packages/router/src/damaskwind/router/forwarding/final_answers.py
+++ b/packages/router/src/damaskwind/router/forwarding/final_answers.py
@@ -1,4 +1,4 @@
-"""Give a request its final answer, and write the one line that tells its story."""
+"""Give a request its final answer, and log its summary line."""
 
 from loguru import logger
 
@@ -13,15 +13,15 @@
 
 __all__ = ["FinalAnswers"]
 
-# A router that has just started knows a configuration after some 0.5 s, when replicas
-# on a quarter of a core have started too; who comes back sooner is refused once more,
-# and who comes back much later is late.
+# A router that has just started gets a configuration after some 0.5 s if the replicas, on a
+# quarter of a core each, have just started too. A caller that retries sooner is refused again,
+# and one that retries much later loses time.
 STARTUP_S = 0.8
 NOT_READY_RETRY_S = 0.3
 
 
 class FinalAnswers:
-    """The ends of one router's requests; `started_s` is when its process began to serve."""
+    """Final answers of one router; `started_s` is when its process began to serve."""
 
     def __init__(self, admissions: PoolAdmissions, started_s: float) -> None:
         self.tallies = Tallies()
@@ -31,7 +31,7 @@
     def finish(
         self, exchange: Exchange, call: Call, delivery: Delivery, outcome: AttemptOutcome
     ) -> None:
-        """Give the final answer, if the caller has none yet."""
+        """Send the final answer, or abort an answer that has begun and can't be completed."""
         if outcome.end is AttemptEnd.DELIVERED:
             self.log(call, delivery, "delivered", outcome.why)
             return
@@ -58,14 +58,14 @@
         self.log(call, delivery, "failed, may have run", outcome.why)
 
     def refuse_fatal(self, exchange: Exchange, call: Call, delivery: Delivery, ends: int) -> None:
-        """Refuse a request under which so many targets ended; coming back would not help."""
+        """Refuse a request that crashed `ends` targets, without Retry-After: no retry helps."""
         exchange.respond(Answer(503, []))
         self.log(call, delivery, "refused as fatal", f"{ends} targets ended under it")
 
     def refuse(
         self, exchange: Exchange, request_id: bytes, status: int, why: str, version: int = 0
     ) -> None:
-        """Answer a request that reached no route."""
+        """Answer a request for which no route was resolved."""
         headers = []
         if status == 503:
             left_s = self._started_s + STARTUP_S - read_clock()
@@ -82,7 +82,7 @@
         )
 
     def log(self, call: Call, delivery: Delivery, outcome: str, why: str) -> None:
-        """Count a request and write the one line that tells its story."""
+        """Count a request and log its summary line."""
         kind = call.route.kind.value
         self.tallies.count("requests", outcome=outcome, kind=kind)
         self.tallies.observe("request_duration", read_clock() - call.started_s, kind=kind)
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -1,9 +1,9 @@
-"""What a router believes of the fleet: its targets, its configuration, its replicas.
+"""A router's view of the fleet: its targets, its configuration and its replicas.
 
-The view merges what every reachable replica tells. A configuration never goes
-back within a process's life, and the first one is taken only from a replica
-that is sure to be current, or, after a while without any such, from another:
-a failure domain that is cut off serves what it can.
+The view merges the updates of all reachable replicas. The configuration version never
+decreases while the process runs. The first configuration is taken only from a replica
+that is certain to be current or, if there has been none for a while, from any other, so
+that a partitioned failure domain serves what it can.
 """
 
 import asyncio
@@ -50,29 +50,30 @@
 
 __all__ = ["FleetView"]
 
-# The leader becomes a source, and one that failed again, without a word of news.
+# Polling interval of the document sources: the leader becomes a source, and a failed source
+# becomes one again, without an update arriving.
 SOURCE_RECHECK_S = 0.05
-# Between fetches that brought nothing: replicas that refuse all calls, or a document
-# that can't be read here, must not be asked for over and over.
+# Pause after a fetch that brought nothing: replicas that refuse all calls, or an unreadable
+# document, must not cause a busy loop.
 FETCH_PAUSE_S = 0.1
-# The first replica that a router asks tells it the table within some ms; the next ones
-# need not tell it again.
+# Delay between the first calls to the replicas: the first one answers with the target table
+# within some ms, and the others then need not send it again.
 STAGGER_S = 0.06
-# Heartbeats come every 1.2 s: three missed ones, and the way of the news.
+# Heartbeats come every 1.2 s: three missed ones, plus the delay of the updates.
 SILENT_S = 4.6
-# A target that says that it is gone serves on for as long as one that drains.
+# A target that announces that it is gone still serves for as long as a draining one.
 LINGER_S = 2.0
-# News come every second from each replica that can be reached.
+# A reachable replica sends an update every second.
 REACHABLE_S = 2.2
 
 
 def _no_held_counts(host: str) -> tuple[HeldCount, ...]:
-    """Stand for a router that sends nothing yet."""
+    """Return no counts; the default while nothing is sent to targets."""
     return ()
 
 
 class FleetView:
-    """The beliefs of one router; `table` is `None` until a configuration is known."""
+    """One router's view of the fleet; `table` is `None` until a configuration is in force."""
 
     def __init__(
         self,
@@ -122,14 +123,14 @@
         self._router_counts: dict[str, int] = {}
 
     def start(self) -> None:
-        """Begin to follow the seeds, and to pass documents on."""
+        """Subscribe to the seeds and start to relay documents."""
         if self._own_host:
             self.relay.listen(self._own_host, self._news_port)
         self.follow(rendezvous_order(self._node_id, self._seed_hosts), STAGGER_S)
         self._fetching = asyncio.ensure_future(self._fetch_documents())
 
     async def stop(self) -> None:
-        """End all subscriptions."""
+        """End all subscriptions and background tasks."""
         if self._fetching is not None:
             self._fetching.cancel()
             await asyncio.gather(self._fetching, return_exceptions=True)
@@ -141,7 +142,7 @@
             await link.stop()
 
     def follow(self, hosts: Iterable[str], stagger_s: float = 0.0) -> None:
-        """Follow every host that is not followed yet, one after the other."""
+        """Subscribe to each host without a subscription yet, at intervals of `stagger_s`."""
         fresh = [host for host in hosts if host not in self._links]
         for index, host in enumerate(fresh):
             link = NewsLink(
@@ -157,33 +158,33 @@
             link.start(index * stagger_s)
 
     def count_reachable_replicas(self) -> int:
-        """Return how many replicas were heard lately."""
+        """Return the number of replicas that were reached recently."""
         return len(self._reachable_hosts())
 
     def _reachable_hosts(self) -> list[str]:
-        """Return the replicas that were heard lately."""
+        """Return the hosts of the replicas that were reached recently."""
         oldest_s = read_clock() - REACHABLE_S
         return [host for host, link in self._links.items() if link.last_heard_s > oldest_s]
 
     def _reaches_majority(self) -> bool:
-        """Tell whether most replicas were heard lately."""
+        """Tell whether a majority of the replicas was reached recently."""
         return 2 * self.count_reachable_replicas() > len(self._links)
 
     def heard_targets(self) -> tuple[Heard, ...]:
-        """Return the targets that reported here lately."""
+        """Return the targets that reported to this router recently."""
         return self.heartbeats.recent_reports()
 
     def new_records(self) -> tuple[TargetRecord, ...]:
-        """Return what targets reported here that replicas may not know."""
+        """Return records reported to this router that replicas may not know yet."""
         return self.heartbeats.new_records()
 
     def is_first(self, host: str) -> bool:
-        """Tell whether a replica is the first by rendezvous of those heard lately."""
+        """Tell whether a replica ranks first by rendezvous hashing among the reachable ones."""
         hosts = self._reachable_hosts() or list(self._links)
         return host == next(iter(rendezvous_order(self._node_id, hosts)))
 
     def takes_work(self, record: TargetRecord) -> bool:
-        """Tell whether a target may be sent to: it serves, and nobody has it emptied."""
+        """Tell whether a target may be sent to: it serves and its domain is not evacuated."""
         if record.phase is not TargetPhase.SERVING:
             return False
         return record.failure_domain not in self.evacuations.failure_domains
@@ -198,35 +199,35 @@
         ]
 
     def serving_or_draining(self, service: str) -> list[TargetRecord]:
-        """Return the targets of a service that take work or still finish theirs."""
+        """Return the targets of a service that take work or still finish their requests."""
         departed = self.targets.departed(read_clock(), LINGER_S)
         records = [*self.targets.living(), *departed]
         return [record for record in records if record.service == service]
 
     def is_silent(self, target_id: str, now_s: float) -> bool:
-        """Tell whether a target has missed its heartbeats, as far as this router can know."""
-        # Who was away itself has heard nobody meanwhile.
+        """Tell whether a target has missed its heartbeats, as far as this router can tell."""
+        # While this process was suspended, it received no heartbeats at all.
         heard_s = max(self.targets.heard_s(target_id), last_woken_s())
         return now_s - heard_s > SILENT_S and self.count_reachable_replicas() > 0
 
     def table_digest(self) -> int:
-        """Return which targets are known here."""
+        """Return a digest of the targets known here."""
         return self.targets.digest
 
     def held_counts(self, host: str) -> tuple[HeldCount, ...]:
-        """Return what this router holds at targets now, to be told to a replica."""
+        """Return this router's requests in flight by target, as reported to a replica."""
         return self.count_held(host)
 
     def service_counts(self) -> tuple[ServiceCount, ...]:
-        """Return what this router saw lately of services, to be told to a replica."""
+        """Return this router's recent counts by service, as reported to a replica."""
         return self.count_services()
 
     def known_version(self) -> int:
-        """Return the version in force here."""
+        """Return the configuration version in force here; 0 for none."""
         return self.table.version if self.table else 0
 
     async def _fetch_documents(self) -> None:
-        """Fetch each newer configuration, over and over."""
+        """Fetch each newer configuration until canceled."""
         while True:
             host = self.sources.choose(self.known_version(), len(self._links), read_clock())
             if host is not None:
@@ -240,7 +241,7 @@
                     await self._has_update.wait()
 
     async def _fetch_from(self, host: str) -> bool:
-        """Fetch from one replica; tell whether that brought a newer configuration."""
+        """Fetch from one replica; tell whether a newer configuration came into force."""
         asked_s = read_clock()
         try:
             held_version = 0 if self._needs_whole else self.known_version()
@@ -262,7 +263,7 @@
         return False
 
     def take_news(self, host: str, news: News) -> None:
-        """Merge what a replica knows."""
+        """Merge an update from a replica."""
         now_s = read_clock()
         self.sources.hear(host, news.version, news.is_current, news.leads, now_s)
         self.sources.place = news.place
@@ -291,7 +292,7 @@
         self.follow(news.hosts)
 
     def _apply_evacuations(self, host: str, evacuations: Evacuations) -> None:
-        """Put newer evacuations in force; older ones are ignored."""
+        """Apply evacuations of a newer revision; older ones are ignored."""
         if evacuations.revision <= self.evacuations.revision:
             return
         taken_back = frozenset(self.evacuations.failure_domains) - set(evacuations.failure_domains)
@@ -306,11 +307,11 @@
         )
 
     def _seen(self) -> tuple[Seen, ...]:
-        """Return what was seen of each replica."""
+        """Return the epoch and revision seen of each replica."""
         return tuple(link.seen for link in self._links.values())
 
     def _merge_table(self, host: str, copy: TableCopy) -> None:
-        """Merge what another router knows."""
+        """Merge the target table fetched from another router."""
         self._merge_records(host, copy.records, read_clock())
         for seen in copy.seen:
             for link in self._links.values():
@@ -340,18 +341,18 @@
                     self._note_gone(record.target_id)
 
     def _note_restarted(self, record: TargetRecord) -> None:
-        """Have everything forgotten that was believed of a target's former life."""
+        """Run the callbacks that drop the state of a target's former incarnation."""
         logger.info("target restarted", target=record.target_id, born_ms=record.born_ms)
         for callback in self.on_restarted:
             callback(record)
 
     def _note_cold(self, record: TargetRecord) -> None:
-        """Have everyone know that a target is cold."""
+        """Run the callbacks for a target that reports to be cold."""
         for callback in self.on_cold:
             callback(record)
 
     def cold_terms(self, service: str) -> ColdTerms:
-        """Return what cold targets of a service bear."""
+        """Return the terms for cold targets of a service: how long, and at which rate."""
         return self.table.cold_terms(service) if self.table else ColdTerms()
 
     def _note_gone(self, target_id: str) -> None:
@@ -359,7 +360,7 @@
             callback(target_id)
 
     def _newest_for(self, held_version: int) -> Document:
-        """Return the configuration in force as it was received, or whole for one that needs it."""
+        """Return the document in force as received, or whole if its base is not `held_version`."""
         received = self._received
         if not self.table or received.version != self.known_version():
             return Document(0, b"")
@@ -372,15 +373,17 @@
         return WholeDocument(self.known_version(), self._document)
 
     def _unpack(self, document: Document) -> bytes:
-        """Return the whole document; raise `MessageError` when it does not come out."""
+        """Return the whole content of a document; raise `MessageError` if it can't be restored."""
         if not document.base_version:
             return unpack_document(document.packed)
         if document.base_version != self.known_version():
-            raise MessageError(f"difference from version {document.base_version}")
+            raise MessageError(
+                f"difference from version {document.base_version}, which is not in force here"
+            )
         return apply_difference(self._document, document.packed)
 
     def apply_document(self, host: str, document: bytes, took_s: float, packed_bytes: int) -> None:
-        """Put a newer configuration in force; an older one is ignored."""
+        """Apply a configuration of a newer version; an older one is ignored."""
         try:
             configuration = self._decode(document)
         except ConfigurationError as error:
@@ -404,6 +407,6 @@
         )
 
     def lost(self, host: str) -> None:
-        """Wait no longer for its version; what it told of targets stays believed."""
+        """Drop a lost replica as a document source; the targets learned from it stay known."""
         self.sources.lose(host)
         self._has_update.set()
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Take a request from its caller to a target and back, within its time."""
+"""Forward a request from its caller to a target and relay the answer, within its deadline."""
 
 import asyncio
 from collections.abc import Mapping
@@ -36,29 +36,29 @@
 
 __all__ = ["Forwarder"]
 
-# Sends beyond a route's attempts, where all earlier ones certainly did not run.
+# Sends allowed beyond a route's attempts when all earlier ones certainly did not run.
 EXTRA_SENDS = 1
-# Targets that a request may find unreachable, at 0.3 s each, before it is refused.
+# Unreachable targets that a request may try, at 0.3 s each, before it is refused.
 MAX_UNREACHED = 3
 
 
-# A target's own status for a request whose deadline has passed.
+# The status with which a target itself answers a request whose deadline has passed.
 DEADLINE_PASSED = 504
 
 _ROUTING_STATUS = {RoutingReason.NO_ROUTE: 404, RoutingReason.UNKNOWN_KEY: 401}
 
 
 def _send_result(outcome: AttemptOutcome) -> SendResult:
-    """Return what an outcome says of the target."""
+    """Return what the outcome of an attempt implies for the state of its target."""
     was_refused = outcome.end is AttemptEnd.NOT_RUN and outcome.was_reached
     is_good = outcome.end is AttemptEnd.DELIVERED
     return SendResult(is_good, outcome.was_reached, was_refused, outcome.is_displaced)
 
 
 def _ran_to_end(outcome: AttemptOutcome) -> bool:
-    """Tell whether the target ran the request to its end.
+    """Tell whether the target ran the request to completion.
 
-    A request that waited at a target until its deadline may not have begun.
+    A request that waited at a target until its deadline may never have started.
     """
     if outcome.end is AttemptEnd.TARGET_ERROR:
         return outcome.answer.status != DEADLINE_PASSED
@@ -66,10 +66,10 @@
 
 
 class Forwarder:
-    """The handler behind a router's address for callers.
+    """The request handler of a router's caller-facing address.
 
-    `started_s` is when the process began to serve, in monotonic seconds; by
-    default now. `region_of` names the region of each failure domain.
+    `started_s` is when the process began to serve, in monotonic seconds, by
+    default now. `region_of` maps each failure domain to its region.
     """
 
     def __init__(
@@ -97,13 +97,13 @@
         self.crash_detector = CrashDetector(self.target_states)
         self.crash_detector.on_crashed.append(self._note_target_crashed)
         self._sender = AttemptSender(self.target_states, names)
-        self._sender.on_answer_begun = self._note_answer_begun
+        self._sender.on_answer_started = self._note_answer_started
         self._budgets: dict[str, SharedRetryBudget] = {}
         self._started_s = read_clock() if started_s is None else started_s
         self.answers = FinalAnswers(self.admissions, self._started_s)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Handle one request to its final answer."""
         call = self._admit(exchange)
         if call is None:
             return
@@ -116,7 +116,7 @@
             async with asyncio.timeout(max(call.left_s(), 0.0)):
                 outcome = await self._serve(exchange, call, delivery)
         except TimeoutError:
-            outcome = AttemptOutcome(AttemptEnd.STALLED, "time is up")
+            outcome = AttemptOutcome(AttemptEnd.STALLED, "deadline exceeded")
         except asyncio.CancelledError:
             self.answers.log(call, delivery, "caller left", "the caller closed its connection")
             raise
@@ -125,7 +125,7 @@
         self.answers.finish(exchange, call, delivery, outcome)
 
     def _admit(self, exchange: Exchange) -> Call | None:
-        """Find the request's route and account, or answer that there is none."""
+        """Resolve the request's route and account; answer it and return `None` if either fails."""
         request = exchange.request
         facts = read_facts(request.headers, self._names)
         table = self.view.table
@@ -153,7 +153,7 @@
         return call
 
     async def _serve(self, exchange: Exchange, call: Call, delivery: Delivery) -> AttemptOutcome:
-        """Send until an answer is delivered or nothing more may be tried."""
+        """Send until an answer is delivered or no further attempt is allowed."""
         outcome = AttemptOutcome(AttemptEnd.NOT_RUN, "no target")
         failure: AttemptOutcome | None = None
         placement = self._choose_target(call)
@@ -162,13 +162,13 @@
             return outcome
         if call.key is None and not self.throttles.admits(call.service):
             call.retry_after_s = self.throttles.retry_after_s(call)
-            return outcome._replace(why="service pressed", was_reached=False)
+            return outcome._replace(why="service overloaded", was_reached=False)
         home = placement.choice.candidate if call.key else None
-        turned_away = await self.admissions.admit(call, home)
+        rejection = await self.admissions.admit(call, home)
         self.tallies.count("entries", step=call.entry.step)
-        if turned_away is not None:
-            call.retry_after_s = turned_away.return_s
-            return AttemptOutcome(AttemptEnd.NOT_RUN, turned_away.why, was_reached=False)
+        if rejection is not None:
+            call.retry_after_s = rejection.return_s
+            return AttemptOutcome(AttemptEnd.NOT_RUN, rejection.why, was_reached=False)
         if call.entry.waited_ms:
             placement = self._choose_target(call)
         while True:
@@ -189,7 +189,7 @@
             placement = self._choose_target(call)
 
     def _may_retry(self, call: Call, outcome: AttemptOutcome) -> bool:
-        """Tell whether another target may get the request."""
+        """Tell whether the request may be sent to another target."""
         if outcome.end is AttemptEnd.WITHHELD:
             return True
         if not outcome.was_reached:
@@ -199,12 +199,12 @@
         return call.route.may_repeat and call.sends < call.route.max_attempts
 
     async def _may_retry_after_loss(self, call: Call) -> bool:
-        """Tell whether another target may get a request whose last send broke.
+        """Tell whether a request whose last send broke may be sent to another target.
 
-        The request may be what ended the last one: once it is taken elsewhere, not twice.
+        The request itself may have crashed the target, so it is retried elsewhere once, not twice.
         """
         if call.exit_probe is not None:
-            # The look goes on for others when this caller leaves.
+            # Other requests share the probe, so it continues when this caller leaves.
             await asyncio.shield(call.exit_probe)
         return self.view.suspicions.table.may_repeat(call.digest)
 
@@ -215,7 +215,7 @@
         delivery: Delivery,
         placement: Placement,
     ) -> AttemptOutcome:
-        """Send to one target and note how it went."""
+        """Make one attempt at a target and record its outcome."""
         target, choice = placement.target, placement.choice
         begun_s = read_clock()
         basis = self.target_states.loads.basis(target.target_id, begun_s, call.key is not None)
@@ -229,9 +229,9 @@
         may_reroute = call.route.may_repeat and call.sends < call.route.max_attempts
         # Until the outcome is known, the request may be running.
         could_have_run, call.may_have_run = call.may_have_run, True
-        call.exit_probe, known = None, self.view.suspicions.table.known(call.digest)
-        call.is_suspected = known.ends > 0
-        outcome = AttemptOutcome(AttemptEnd.BROKEN, "given up")
+        call.exit_probe, level = None, self.view.suspicions.table.known(call.digest)
+        call.is_suspected = level.ends > 0
+        outcome = AttemptOutcome(AttemptEnd.BROKEN, "canceled")
         try:
             outcome = await self._sender.send(
                 exchange.request, call, placement, delivery, may_reroute
@@ -270,36 +270,38 @@
         if outcome.end is AttemptEnd.NOT_RUN:
             call.may_have_run = could_have_run
             if outcome.was_reached and not outcome.is_displaced:
-                self.admissions.turned_away_by_target(call, target.target_id)
+                self.admissions.rejected_by_target(call, target.target_id)
         self.target_states.note_ended(target, _send_result(outcome), now_s)
         if outcome.is_connection_lost:
-            broken = BrokenSend(call.digest, known, call.facts.request_id)
+            broken = BrokenSend(call.digest, level, call.facts.request_id)
             call.exit_probe = self.crash_detector.probe(target, broken)
         elif _ran_to_end(outcome):
-            self.view.suspicions.note_survived(call.digest)
+            self.view.suspicions.record_completion(call.digest)
         return outcome
 
     def _note_service_result(self, call: Call, outcome: AttemptOutcome, took_s: float) -> None:
-        """Note how fast a service that tells no load answered, or that it had no place."""
+        """Record the answer time or the refusal of a service that reports no load."""
         result = _send_result(outcome)
         if outcome.answer is not None or result.is_good:
             self.throttles.answered(call, took_s)
         elif result.was_refused and not result.is_displaced and not outcome.asks_for_pause:
-            self.throttles.turned_away(call)
+            self.throttles.rejected(call)
 
     def _note_target_crashed(self, target: TargetRecord, sends: list[BrokenSend]) -> None:
-        """Suspect what was in hand at a target that ended."""
-        self.view.suspicions.note_end((item.digest, item.known) for item in sends)
+        """Put the requests in flight at a target that crashed under suspicion."""
+        self.view.suspicions.record_target_end((item.digest, item.level) for item in sends)
 
-    def _note_answer_begun(self, call: Call, target_id: str, first_s: float) -> None:
-        """Take how long a target's answer took to begin."""
+    def _note_answer_started(self, call: Call, target_id: str, first_s: float) -> None:
+        """Record how long a target took to begin its answer."""
         self.tallies.observe("first_piece", first_s, kind=call.route.kind.value)
         objective_share = first_s / call.route.objective_s
-        self.target_states.note_answer_begun(call.service, target_id, objective_share, read_clock())
-        self.admissions.begun(call)
+        self.target_states.note_answer_started(
+            call.service, target_id, objective_share, read_clock()
+        )
+        self.admissions.answer_started(call)
 
     def _choose_target(self, call: Call) -> Placement | None:
-        """Choose the next target for a request."""
+        """Choose the next target for a request, `None` if there is none to try."""
         now_s = read_clock()
         records = self._allowed_targets(call)
         for target_id in call.tried:
@@ -308,7 +310,7 @@
             return None
         is_engine = call.key is not None
         candidates = self.target_states.candidates(records.values(), now_s, is_engine)
-        # What hid one target of another failure domain from it hides the rest.
+        # A partition that hides one target of another failure domain hides the rest as well.
         cut_off = call.silent_domains - {self._failure_domain}
         if cut_off:
             candidates = [
@@ -330,7 +332,7 @@
         return Placement(target, choice, donor.address if donor else None)
 
     def _allowed_targets(self, call: Call) -> dict[str, TargetRecord]:
-        """Return the targets to which a request may go, or from which it may copy, by id."""
+        """Return, by id, the targets that a request may be sent to or copy prompt parts from."""
         return {
             target_id: record
             for target_id, record in self.target_states.serving_or_draining(call.service).items()
@@ -338,7 +340,7 @@
         }
 
     def _note_pause(self, call: Call) -> None:
-        """Have a caller for whom all targets rest come back when one of them has rested."""
+        """Set when to retry, if all targets asked for a pause, to the end of the first pause."""
         rest_s = self.target_states.rest_left_s(self._allowed_targets(call).values(), read_clock())
         if rest_s is not None:
             call.retry_after_s = return_after_rest_s(rest_s, call.route.objective_s, self._random)
--- a/packages/router/src/damaskwind/router/forwarding/heartbeat_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/heartbeat_relay.py
@@ -1,7 +1,7 @@
-"""Take the reports of targets that a replica sent to this router, and tell the replicas.
+"""Accept reports of targets that a replica redirected to this router, and relay them to replicas.
 
-A report that a target serves needs nobody's agreement: the next one comes 1.2 s later. One that
-it leaves is for a replica, which makes sure that all others know before it acknowledges that.
+A report that a target serves needs no agreement: the next one comes 1.2 s later. A report that
+it is leaving has to go to a replica, which acknowledges it only when all others know it.
 """
 
 from collections.abc import Callable
@@ -14,12 +14,13 @@
 
 __all__ = ["HeartbeatRelay"]
 
-# Reports are told in so many seconds' calls: two of each replica, as replicas tell each other.
+# Reports are relayed in the calls of this many seconds, two calls to each replica: replicas
+# exchange reports among themselves.
 RELAY_WINDOW_S = 2.5
 
 
 class _Report(NamedTuple):
-    """The newest report of a target, and when one last said something new."""
+    """When a target last reported, when a report last changed its record, and when it started."""
 
     at_s: float
     new_at_s: float
@@ -27,9 +28,9 @@
 
 
 class HeartbeatRelay:
-    """The reports that one router hears.
+    """The reports that one router receives.
 
-    `reaches_majority` tells whether what is heard here reaches the replicas.
+    `reaches_majority` tells whether this router is in contact with a majority of the replicas.
     """
 
     def __init__(self, table: TargetTable, reaches_majority: Callable[[], bool]) -> None:
@@ -38,11 +39,11 @@
         self._reports: dict[str, _Report] = {}
 
     def accept(self, record: TargetRecord) -> bool:
-        """Take a report; tell whether it may be acknowledged here."""
+        """Record a report; tell whether it may be acknowledged here."""
         if record.phase is not TargetPhase.SERVING or not self._reaches_majority():
             return False
-        held = self._table.record_of(record.target_id)
-        if held is not None and held.service not in ("", record.service):
+        stored = self._table.record_of(record.target_id)
+        if stored is not None and stored.service not in ("", record.service):
             return False
         now_s = read_clock()
         is_new = self._table.report(record, now_s)
@@ -56,7 +57,7 @@
         return True
 
     def recent_reports(self) -> tuple[Heard, ...]:
-        """Return which targets were heard here lately."""
+        """Return the targets that reported to this router recently."""
         self._drop_old_reports()
         now_s = read_clock()
         return tuple(
@@ -65,7 +66,7 @@
         )
 
     def new_records(self) -> tuple[TargetRecord, ...]:
-        """Return what was said lately that replicas may not know."""
+        """Return the records that changed here recently, which replicas may not know yet."""
         oldest_s = read_clock() - RELAY_WINDOW_S
         new = [key for key, report in self._reports.items() if report.new_at_s > oldest_s]
         records = [self._table.record_of(target_id) for target_id in new]
--- a/packages/router/src/damaskwind/router/forwarding/process.py
+++ b/packages/router/src/damaskwind/router/forwarding/process.py
@@ -1,4 +1,4 @@
-"""Start and stop a router that forwards by a published configuration."""
+"""Start and stop a router that forwards requests by a published configuration."""
 
 import asyncio
 import secrets
@@ -26,10 +26,10 @@
 
 __all__ = ["ForwardingRouter"]
 
-# The balancer asks once a second and stops after two misses; a request that it
-# still sends within this time is served.
+# Time for which a draining router still serves new connections: the load balancer checks its
+# health once a second and stops sending after two failed checks.
 LAME_DUCK_S = 2.6
-# Part of the grace that is left for the process's own end.
+# Part of the grace period that is reserved for the exit of the process.
 EXIT_MARGIN_S = 0.6
 READY_LIMITS = ServerLimits(idle_timeout_s=60.0)
 
@@ -38,7 +38,7 @@
 
 
 class ForwardingRouter:
-    """One running router. `handle_report` answers a target that reports to it."""
+    """One running router. `handle_report` answers reports of targets on the internal address."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         self._was_ready = False
 
     async def start(self) -> None:
-        """Open the sockets and follow the replicas."""
+        """Open the sockets and subscribe to the replicas."""
         settings = self.settings
         self._callers.listen(*settings.caller_address)
         self._ready.listen(*settings.ready_address)
@@ -91,7 +91,7 @@
         self.view.start()
 
     def _register_gauges(self) -> None:
-        """Show what this router believes now."""
+        """Register the gauges of this router's current state."""
         show, view = self.tallies.gauge, self.view
         show("requests_in_progress", "requests being answered", lambda: self._callers.active)
         show("configuration_version", "version in force", view.known_version)
@@ -111,8 +111,8 @@
         show("failure_domains_evacuated", "emptied by operators", self._evacuated)
         show("ready", "1 while callers should come", lambda: float(self.is_ready))
 
-    def _count_signals(self, wish: Wish) -> float:
-        return self.forwarder.target_states.signals.count(wish, read_clock())
+    def _count_signals(self, signal: Wish) -> float:
+        return self.forwarder.target_states.signals.count(signal, read_clock())
 
     def _evacuated(self) -> float:
         return float(len(self.view.evacuations.failure_domains))
@@ -125,12 +125,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Tell whether the load balancer should send callers to this router."""
         has_targets = any(True for _ in self.view.targets.serving())
         return not self.is_draining and self.view.table is not None and has_targets
 
     async def stop(self) -> None:
-        """Finish what is in hand; new connections are served until the balancer knows."""
+        """Drain: finish requests in progress, serving new ones until the load balancer reacts."""
         started_s = read_clock()
         limit_s = started_s + self.settings.grace_s - EXIT_MARGIN_S
         self.is_draining = True
@@ -150,15 +150,15 @@
         self.connections.close()
 
     def follow(self, seed_hosts: tuple[str, ...]) -> None:
-        """Follow seeds that the settings name now."""
+        """Subscribe to seeds that changed settings name."""
         self.view.follow(seed_hosts)
 
     def _apply_limits(self, configuration: TrafficConfiguration) -> None:
-        """Hold callers to the published limits."""
+        """Apply the published limits to callers' connections."""
         self._callers.limits = ServerLimits(*configuration.limits)
 
     async def _answer_ready(self, exchange: Exchange) -> None:
-        """Say whether this router takes callers."""
+        """Answer a readiness check: 200 if callers should be sent here, otherwise 503."""
         is_ready = self.is_ready
         if is_ready != self._was_ready:
             self._was_ready = is_ready
--- a/packages/router/src/damaskwind/router/forwarding/service_throttles.py
+++ b/packages/router/src/damaskwind/router/forwarding/service_throttles.py
@@ -1,4 +1,4 @@
-"""Admit requests to services that tell no load by what all routers see of them."""
+"""Throttle requests to services that report no load, by what all routers observe of them."""
 
 from random import Random
 
@@ -14,19 +14,19 @@
 
 __all__ = ["ServiceThrottles"]
 
-# An answer is late for a router when it took more than this part of its objective.
+# An answer counts as late if it took more than this fraction of its objective.
 LATE_SHARE = 0.8
-# Who is turned away comes back after a part of the objective between these: there is room for
-# the same part of requests then, and the answer may still be in time.
+# A rejected caller retries after a fraction of the objective between these: the same share of
+# requests is admitted then, and the answer may still be in time.
 RETRY_AFTER_SHARES = (0.2, 0.5)
-# A sum that covers fewer of the routers says nothing of the whole.
+# A sum over a smaller fraction of the routers does not represent the fleet and is ignored.
 COVERED_SHARE = 0.9
-# A part that is admitted is told in a log line when it has changed by so much.
+# The admitted share is logged when it has changed by at least this much.
 LOGGED_CHANGE = 0.1
 
 
 class ServiceThrottles:
-    """What one router saw of each service, and the part of requests that it admits."""
+    """One router's recent counts of each service, and the share of requests that it admits."""
 
     def __init__(self, target_states: TargetStates, random: Random) -> None:
         self._target_states = target_states
@@ -39,56 +39,56 @@
         view.count_services = self.recent_counts
 
     def admits(self, service: str) -> bool:
-        """Count a request that comes for a service, and tell whether it may go on."""
+        """Count a request for a service, and tell whether it is admitted."""
         self._count(service, ServiceSeen(asked=1))
         return self._random.random() < self.admitted_share(service)
 
     def admitted_share(self, service: str) -> float:
-        """Return the part of a service's requests that is admitted now."""
+        """Return the share of a service's requests that is admitted now."""
         throttle = self._throttles.get(service)
         return throttle.part_at(read_clock()) if throttle else 1.0
 
     def retry_after_s(self, call: Call) -> float:
-        """Return when a caller that is turned away here should come back."""
+        """Return the seconds after which a caller that is rejected here should retry."""
         return round(self._random.uniform(*RETRY_AFTER_SHARES) * call.route.objective_s, 3)
 
     def answered(self, call: Call, took_s: float) -> None:
-        """Note that a target answered after some time."""
+        """Record that a target answered after `took_s`."""
         is_late = took_s > LATE_SHARE * call.route.objective_s
-        seen = ServiceSeen(answered=1, late=int(is_late), busy_ms=round(took_s * 1000))
-        self._count(call.service, seen)
+        stats = ServiceSeen(answered=1, late=int(is_late), busy_ms=round(took_s * 1000))
+        self._count(call.service, stats)
 
-    def turned_away(self, call: Call) -> None:
-        """Note that a target had no place."""
+    def rejected(self, call: Call) -> None:
+        """Record that a target refused a request because it had no free slot."""
         self._count(call.service, ServiceSeen(turned_away=1))
 
     def recent_counts(self) -> tuple[ServiceCount, ...]:
-        """Return what was seen here in the last second."""
+        """Return this router's counts of the last second."""
         now_s = read_clock()
-        seen = {service: tally.recent(now_s) for service, tally in self._tallies.items()}
+        stats = {service: tally.recent(now_s) for service, tally in self._tallies.items()}
         return tuple(
             ServiceCount(target_digest(service), item)
-            for service, item in seen.items()
+            for service, item in stats.items()
             if any(item)
         )
 
-    def _count(self, service: str, seen: ServiceSeen) -> None:
-        self._tallies.setdefault(service, ServiceTally()).add(seen, read_clock())
+    def _count(self, service: str, stats: ServiceSeen) -> None:
+        self._tallies.setdefault(service, ServiceTally()).add(stats, read_clock())
 
-    def _update(self, host: str, held: HeldSum) -> None:
-        """Take what all routers saw."""
-        if held.routers < COVERED_SHARE * self._view.routers:
+    def _update(self, host: str, load_sum: HeldSum) -> None:
+        """Update the admitted shares from the counts of all routers."""
+        if load_sum.routers < COVERED_SHARE * self._view.routers:
             return
         now_s = read_clock()
-        totals = dict(held.services)
+        totals = dict(load_sum.services)
         for service in self._tallies:
             throttle = self._throttles.setdefault(service, ServicePace())
-            seen = totals.get(target_digest(service), ServiceSeen())
+            stats = totals.get(target_digest(service), ServiceSeen())
             slots = sum(record.slots for record in self._target_states.serving(service))
-            throttle.take(seen, slots, now_s)
-            self._log(service, throttle.part, seen, host)
+            throttle.take(stats, slots, now_s)
+            self._log(service, throttle.part, stats, host)
 
-    def _log(self, service: str, share: float, seen: ServiceSeen, host: str) -> None:
+    def _log(self, service: str, share: float, stats: ServiceSeen, host: str) -> None:
         if abs(share - self._logged_shares.get(service, 1.0)) < LOGGED_CHANGE:
             return
         self._logged_shares[service] = share
@@ -96,10 +96,10 @@
             "service pace changed",
             service=service,
             part=round(share, 2),
-            asked=seen.asked,
-            answered=seen.answered,
-            late=seen.late,
-            turned_away=seen.turned_away,
-            busy_ms=seen.busy_ms,
+            asked=stats.asked,
+            answered=stats.answered,
+            late=stats.late,
+            turned_away=stats.turned_away,
+            busy_ms=stats.busy_ms,
             told_by=host,
         )
--- a/packages/router/src/damaskwind/router/forwarding/settings.py
+++ b/packages/router/src/damaskwind/router/forwarding/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a router that forwards by a published configuration."""
+"""The settings of a router that forwards requests by a published configuration."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -11,11 +11,11 @@
 
 
 class ForwardingSettings(NamedTuple):
-    """Where a router listens and what it is told at its start.
+    """The addresses of a router and its parameters at startup.
 
-    Targets report every `heartbeat_s`. Without a `metrics_port` no metrics are
-    served, without an `internal_host` no documents are passed on to other routers,
-    at `news_port`. `region_of` names the region of each failure domain.
+    Targets report every `heartbeat_s` seconds. Without a `metrics_port` no metrics are
+    served. Without an `internal_host` no documents are served to other routers, which is done
+    at `news_port`. `region_of` maps each failure domain to its region.
     """
 
     node_id: str
--- a/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
@@ -1,7 +1,8 @@
-"""Share with all routers what requests did to targets, by way of the replicas.
+"""Share suspicions of fatal requests with all routers, through the control replicas.
 
-What is new here goes to every replica at once; each wakes the routers that have it first.
-A replica that can't be reached, or has started anew, is told when it is heard again.
+A change is sent to every replica at once, and each replica wakes the routers that rank it
+first. A replica that is unreachable, or has restarted, is sent all it lacks when its next
+update arrives.
 """
 
 import asyncio
@@ -28,57 +29,60 @@
 CONNECT_TIMEOUT_S = 0.5
 ANSWER_TIMEOUT_S = 0.8
 ANSWER_LIMIT_BYTES = 4096
-# A call with so many is 6 KB.
+# A call with this many suspicions is 6 KB.
 MAX_BATCH = 256
 EXPIRY_INTERVAL_S = 30.0
 
 
 class SuspicionRelay:
-    """What one router knows of fatal requests, and what it still owes each replica."""
+    """One router's table of suspicions, and the digests that each replica has yet to receive."""
 
     def __init__(self, news_port: int, spread: float = 0.0) -> None:
         self.table = SuspicionTable(spread)
-        self._good_ends = GoodEnds()
+        self._completions = GoodEnds()
         self._news_port = news_port
         self._expired_at_s = 0.0
         self._epochs: dict[str, str] = {}
-        # In the order in which they came.
+        # Digests not yet sent, by replica; dicts serve as ordered sets.
         self._pending: dict[str, dict[bytes, None]] = {}
         self._sending: dict[str, asyncio.Task] = {}
 
     async def stop(self) -> None:
-        """Tell no more."""
+        """Stop sending."""
         for task in self._sending.values():
             task.cancel()
         await asyncio.gather(*self._sending.values(), return_exceptions=True)
 
     def follow(self, host: str) -> None:
-        """Tell a replica too."""
+        """Send suspicions to a replica too, beginning with all that are known."""
         self._pending.setdefault(host, dict.fromkeys(self.table.digests()))
 
     def standing(self, digest: bytes) -> Standing:
         """Return what may be done with a request now."""
         return self.table.standing(digest, read_clock())
 
-    def note_end(self, sends: Iterable[tuple[bytes, Known]]) -> None:
-        """Take that a target ended under these requests, sent with this known of them."""
+    def record_target_end(self, sends: Iterable[tuple[bytes, Known]]) -> None:
+        """Record that a target crashed with these requests in flight.
+
+        Each is given with its suspicion level when it was sent.
+        """
         now_s = read_clock()
         self._queue_for_all(
-            [digest for digest, known in sends if self._note_end(digest, known, now_s)]
+            [digest for digest, level in sends if self._record_target_end(digest, level, now_s)]
         )
 
-    def _note_end(self, digest: bytes, known: Known, now_s: float) -> bool:
-        if self._good_ends.has(digest, now_s):
+    def _record_target_end(self, digest: bytes, level: Known, now_s: float) -> bool:
+        if self._completions.has(digest, now_s):
             return False
-        is_news = self.table.note_end(digest, known, now_s)
-        if is_news:
+        is_new = self.table.note_end(digest, level, now_s)
+        if is_new:
             self._log_fatal(digest, "here")
-        return is_news
+        return is_new
 
-    def note_survived(self, digest: bytes) -> None:
-        """Take that a target has run a request to its end."""
+    def record_completion(self, digest: bytes) -> None:
+        """Record that a target has run a request to completion."""
         now_s = read_clock()
-        self._good_ends.note(digest, now_s)
+        self._completions.note(digest, now_s)
         self._clear(digest, now_s)
 
     def _clear(self, digest: bytes, now_s: float) -> None:
@@ -88,10 +92,10 @@
             self._queue_for_all([digest])
 
     def take_news(self, host: str, news: News) -> None:
-        """Merge what a replica knows, and tell it what it may lack."""
+        """Merge the suspicions of a replica, and send it those that it may lack."""
         now_s = read_clock()
         for digest in self.table.merge(news.suspicions, now_s):
-            if self._good_ends.has(digest, now_s):
+            if self._completions.has(digest, now_s):
                 self._clear(digest, now_s)
             else:
                 self._log_fatal(digest, host)
@@ -107,11 +111,11 @@
         """Return how many requests have this standing now."""
         return self.table.count(standing, read_clock())
 
-    def _log_fatal(self, digest: bytes, told_by: str) -> None:
-        """Write a line for a request that is sent no more from now on."""
+    def _log_fatal(self, digest: bytes, source: str) -> None:
+        """Log a request that is now held fatal, so that it is not sent any more."""
         if self.standing(digest) is Standing.FATAL:
             ends = self.table.known(digest).ends
-            logger.warning("request held fatal", digest=digest.hex(), ends=ends, told_by=told_by)
+            logger.warning("request held fatal", digest=digest.hex(), ends=ends, told_by=source)
 
     def _queue_for_all(self, digests: list[bytes]) -> None:
         for host, pending in self._pending.items():
@@ -124,18 +128,18 @@
             task.add_done_callback(lambda _: self._sending.pop(host, None))
 
     async def _send_pending(self, host: str) -> None:
-        """Tell a replica what it is owed; what fails is told when it is heard again."""
+        """Send a replica its pending suspicions; on failure they wait for its next update."""
         pending = self._pending[host]
         while pending:
-            part = list(islice(pending, MAX_BATCH))
-            for digest in part:
+            batch = list(islice(pending, MAX_BATCH))
+            for digest in batch:
                 del pending[digest]
             try:
-                await self._call(host, part)
+                await self._call(host, batch)
             except (ConnectFailedError, AnswerBrokenError, TimeoutError) as error:
-                pending.update(dict.fromkeys(part))
+                pending.update(dict.fromkeys(batch))
                 logger.info(
-                    "suspicions not told", host=host, requests=len(pending), why=repr(error)
+                    "suspicions not sent", host=host, requests=len(pending), why=repr(error)
                 )
                 return
 
--- a/packages/router/src/damaskwind/router/forwarding/table_exchange.py
+++ b/packages/router/src/damaskwind/router/forwarding/table_exchange.py
@@ -1,8 +1,8 @@
-"""Give all targets known here to another router, and fetch them from one.
+"""Exchange target tables between routers.
 
-The pattern: all routers start, or a thousand targets do, and each router needs tables of some
-30 KB a thousand targets from replicas whose links carry 131 KB of news a second. The first
-that have them have links of their own.
+When all routers, or a thousand targets, start at once, each router needs a table of some 30 KB
+per thousand targets, but the replicas' links carry only 131 KB of updates a second. Routers
+that already have the table serve it over their own links.
 """
 
 import asyncio
@@ -35,22 +35,23 @@
 
 __all__ = ["TableExchange"]
 
-# What tables may take of a router's link: at 5 Mbit/s one of 3,000 targets, 97 KB, takes half
-# a second. The rest is for answers, and for documents.
+# Share of a router's link for tables: at 5 Mbit/s one of 3,000 targets, 97 KB, takes half
+# a second. The rest is for answers and documents.
 TABLE_LINK_SHARE = 0.3
-# Who would wait longer is sent away, to another router or to a replica.
+# A router that would wait longer is refused, and asks another router or a replica.
 MAX_QUEUE_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
 ANSWER_TIMEOUT_S = 2.5
 ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
-# A copy is as good for so long: packing 3,000 targets takes some 10 ms.
+# A packed copy is reused for this time: packing 3,000 targets takes some 10 ms.
 COPY_S = 0.25
 
 
 class TableExchange:
-    """The copies of one router. `seen` gives what it has seen of each replica.
+    """Serves and fetches the target tables of one router.
 
-    `take` gets what was fetched, and from where.
+    `seen` returns the epoch and revision that this router has seen of each replica. `take` is
+    called with the host and the table when one was fetched.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self._fetching: asyncio.Task | None = None
 
     async def handle(self, exchange: Exchange) -> None:
-        """Give a copy, unless many wait for one already."""
+        """Answer with a copy of the table, or 503 if the queue is too long."""
         if self._pacer.line_s(read_clock()) > MAX_QUEUE_S:
             exchange.respond(Answer(503, []))
             return
@@ -81,7 +82,7 @@
     def _newest_copy(self) -> Answer:
         now_s = read_clock()
         if now_s - self._copied_s > COPY_S:
-            # What was seen is read first: all of it is in the records read after it.
+            # The seen revisions are read before the records, so that the records include them.
             seen = self._seen()
             records = self._table.as_of(self._table.changed_since(0).records, now_s)
             self._copy = pack_answer(encode(TableCopy(records, seen)))
@@ -89,7 +90,7 @@
         return self._copy
 
     def fetch(self, hosts: tuple[str, ...]) -> None:
-        """Begin to fetch from one router or the next, unless that is under way."""
+        """Start to fetch from the first host that answers, unless a fetch is in progress."""
         if self._fetching is None or self._fetching.done():
             self._fetching = asyncio.ensure_future(self._fetch(hosts))
 
--- a/packages/router/src/damaskwind/router/forwarding/target_activity.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_activity.py
@@ -1,21 +1,21 @@
-"""Notice targets that say nothing while requests wait for them.
+"""Detect unresponsive targets: those that send nothing while requests wait for them.
 
-A target that has crashed with its VM, or behind a cut, resets nothing: its
-connections just stay silent. What tells it from a slow one is that it is silent
-on all of them.
+A target that has crashed with its VM, or is behind a network partition, resets no
+connection: they just stay silent. It differs from a slow target in that all its
+connections are silent.
 """
 
 __all__ = ["TargetActivity"]
 
-# A plain service answers within some ten ms, and any of its targets will do.
+# A plain service answers within some ten ms, and its targets are interchangeable.
 UNRESPONSIVE_S = 0.5
-# The longest usual wait for an engine's first token is half a second, and what
-# leaves its home without need has all that it shares read again.
+# An engine's first token usually takes half a second at most, and a request that leaves
+# its home target needlessly has its shared prompt prefix computed again.
 UNRESPONSIVE_ENGINE_S = 1.5
 
 
 class TargetActivity:
-    """When each target last sent anything here, and who waits for it.
+    """When each target last sent anything to this router, and the requests waiting for it.
 
     >>> activity = TargetActivity()
     >>> waiting = activity.begin_wait("t", 0.0)
@@ -33,26 +33,27 @@
         self._last_number = 0
 
     def begin_wait(self, target_id: str, now_s: float) -> int:
-        """Note that a request is sent; return its number."""
+        """Record that a request is sent; return a number that identifies the wait."""
         self._last_number += 1
         self._waiting.setdefault(target_id, {})[self._last_number] = now_s
         return self._last_number
 
     def end_wait(self, target_id: str, number: int) -> None:
-        """Note that nothing more is awaited for a request."""
+        """Record that a request no longer waits for its target."""
         waiting = self._waiting.get(target_id, {})
         waiting.pop(number, None)
         if not waiting:
             self._waiting.pop(target_id, None)
 
     def note_received(self, target_id: str, now_s: float) -> None:
-        """Note that a target sent something."""
+        """Record that a target sent something."""
         self._received_s[target_id] = now_s
 
     def silent_s(self, target_id: str, now_s: float, woken_s: float = float("-inf")) -> float:
-        """Return for how long a target has kept all its requests waiting.
+        """Return for how long a target has kept all its requests waiting, in seconds.
 
-        What it sent before `woken_s`, while this process was away, may still be unread.
+        Silence counts from `woken_s` at the earliest, the end of the last suspension of this
+        process: what the target sent during it may still be unread.
         """
         waiting = self._waiting.get(target_id)
         if not waiting:
@@ -67,7 +68,7 @@
         is_engine: bool = False,
         woken_s: float = float("-inf"),
     ) -> bool:
-        """Tell whether a target has been silent for too long to be given more."""
+        """Tell whether a target has been silent for too long to be sent more requests."""
         limit_s = UNRESPONSIVE_ENGINE_S if is_engine else UNRESPONSIVE_S
         return self.silent_s(target_id, now_s, woken_s) > limit_s
 
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
@@ -437,7 +437,7 @@
         digest = identify_request(b"POST", b"host", b"/a/x", b"account", b"{}")
         relay = self.view.suspicions
         for _ in range(2):
-            relay.note_end([(digest, relay.table.known(digest))])
+            relay.record_target_end([(digest, relay.table.known(digest))])
         self.share(plain(503, b"", (b"x-not-run: 1",)), plain(200))
         self.assertEqual((await self.call()).status, 200)
         self.assertEqual(len(self.received()), 2)
@@ -447,7 +447,7 @@
         digest = identify_request(b"POST", b"host", b"/a/x", b"account", b"{}")
         relay = self.view.suspicions
         for _ in range(3):
-            relay.note_end([(digest, relay.table.known(digest))])
+            relay.record_target_end([(digest, relay.table.known(digest))])
         answer = await self.call()
         self.assertEqual((answer.status, header(answer.headers, b"retry-after")), (503, None))
         self.assertEqual(self.received(), [])
@@ -540,7 +540,7 @@
         self.assertEqual((await self.call()).status, 200)
         relay = self.view.suspicions
         for _ in range(3):
-            relay.note_end([(digest, relay.table.known(digest))])
+            relay.record_target_end([(digest, relay.table.known(digest))])
         told = Suspicion(digest, 0, 3, 0.1)
         relay.take_news("a", News("epoch", 1, 1, True, (), 1, (), (), suspicions=(told,)))
         self.assertEqual((await self.call(request_id=b"r2")).status, 200)
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
@@ -38,7 +38,7 @@
         for _ in range(20):
             target_states.note_sent(record, now_s)
             target_states.note_ended(record, SendResult(False), now_s)
-            target_states.note_answer_begun("pool", "t0", 9.0, now_s)
+            target_states.note_answer_started("pool", "t0", 9.0, now_s)
         target_states.note_ended(record, SendResult(True, is_displaced=True), now_s)
 
         def candidate():
