--- a/packages/router/src/damaskwind/router/forwarding/tests/bench.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/bench.py
@@ -1,4 +1,4 @@
-"""One forwarder over scripted targets, with a caller of its own."""
+"""A test case with one forwarder, scripted targets and a caller."""
 
 import asyncio
 from random import Random
@@ -51,7 +51,7 @@
 
 
 class ForwarderTestCase(TestCase):
-    """Two targets, one forwarder, one account with the key `key`."""
+    """Two targets of the service `pool`, one forwarder, one account with the API key `key`."""
 
     timeout = 20
 
@@ -66,7 +66,7 @@
             self.admit(f"t{index}", address)
         self.publish(route())
         self.connections = TargetConnections()
-        # Long enough ago that the retry budget is whole.
+        # Started long enough ago that the retry budget is full.
         started_s = read_clock() - 60.0
         self.forwarder = Forwarder(
             self.view, self.connections, NAMES, "domain", BudgetTerms(), 1.2, Random(1), started_s
@@ -94,12 +94,12 @@
         self.view.table = RouteTable(configuration)
 
     def script(self, *steps):
-        """Give every target the same steps; only those that are reached are used."""
+        """Give each target its own copy of the same steps."""
         for target in self.targets:
             target.script = list(steps)
 
     def share(self, *steps):
-        """Give the first request of all the first step, and so on."""
+        """Share one list of steps: the n-th request gets the n-th step, whatever its target."""
         steps = list(steps)
         for target in self.targets:
             target.script = steps
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_document_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_document_relay.py
@@ -1,4 +1,4 @@
-"""Tests of documents that routers pass on to each other."""
+"""Tests of configuration documents that routers serve to each other."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 class DocumentRelayTest(TestCase):
-    """One replica that names two routers, of which the first does not listen."""
+    """One replica that refers to two routers, of which the first does not listen."""
 
     timeout = 10
 
@@ -63,19 +63,19 @@
         exchange.respond(Answer(200, [], encode(document)))
 
     @asyncio_test
-    async def test_next_router_is_asked_when_the_first_is_gone(self):
+    async def test_next_router_is_asked_when_the_first_is_unreachable(self):
         self.assertEqual(await self.fetcher.fetch(REPLICA, 6), WHOLE)
         self.assertEqual([request.host for request in self.asked], ["127.79.0.9"])
         self.assertEqual(self.relay.documents_served, 1)
 
     @asyncio_test
-    async def test_replica_sends_it_when_no_router_does(self):
+    async def test_replica_serves_the_document_when_no_router_does(self):
         self.named = (DEAD,)
         self.assertEqual(await self.fetcher.fetch(REPLICA, 6), WHOLE)
         self.assertEqual([request.host for request in self.asked], ["127.79.0.9", ""])
 
     @asyncio_test
-    async def test_router_to_which_it_is_on_its_way_waits_for_it(self):
+    async def test_router_still_fetching_the_document_waits_for_it(self):
         self.document = Document(6, b"")
         fetching = asyncio.ensure_future(self.fetcher.fetch(REPLICA, 6))
         await asyncio.sleep(0.1)
@@ -84,7 +84,7 @@
         self.assertEqual(self.relay.documents_served, 1)
 
     @asyncio_test
-    async def test_router_without_it_says_so_soon(self):
+    async def test_router_without_the_document_refuses_within_the_wait_limit(self):
         self.document = Document(0, b"")
         begun_s = read_clock()
         self.assertEqual(await self.fetcher.fetch(REPLICA, 6), WHOLE)
@@ -92,24 +92,24 @@
         self.assertEqual(self.relay.documents_served, 0)
 
     @asyncio_test
-    async def test_other_calls_are_refused(self):
+    async def test_failed_call_to_the_replica_raises(self):
         with self.assertRaises(AnswerBrokenError):
             self.replica.handler = lambda exchange: _respond(exchange, 404)
             await self.fetcher.fetch(REPLICA, 6)
 
     @asyncio_test
-    async def test_operator_reads_the_version_that_a_replica_named(self):
+    async def test_operator_reads_the_version_that_a_replica_referred_to(self):
         answer = await self.read(b"?version=7")
         self.assertEqual((answer.status, answer.body), (200, b'{"version": 7}'))
 
     @asyncio_test
-    async def test_operator_is_refused_while_the_version_is_not_here(self):
+    async def test_operator_is_refused_while_the_version_is_not_in_force(self):
         self.assertEqual((await self.read(b"?version=8")).status, 503)
         self.document = Document(0, b"")
         self.assertEqual((await self.read(b"?version=0")).status, 503)
 
     @asyncio_test
-    async def test_read_that_names_no_version_is_an_error(self):
+    async def test_read_without_a_valid_version_is_an_error(self):
         for query in (b"", b"?version=x", b"?v=1"):
             self.assertEqual((await self.read(query)).status, 400)
 
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""Tests of a router's beliefs: which configuration it begins with."""
+"""Tests of which configuration a router starts with, and of its fetches."""
 
 import asyncio
 from random import Random
@@ -17,13 +17,13 @@
 from damaskwind.wire.news import Document, News, pack_document
 
 
-def news(version, is_current=False):
-    """Return a replica's news of a configuration."""
+def update(version, is_current=False):
+    """Return a replica's update that announces a configuration version."""
     return News("epoch", 1, version, is_current, (), 1, (), ())
 
 
 class FirstConfigurationTest(TestCase):
-    """A router that has just started follows three replicas, and no socket is opened."""
+    """A router that has just started and follows three replicas; no socket is opened."""
 
     def setUp(self):
         patcher = patch.object(fleet_view.NewsLink, "start")
@@ -34,42 +34,42 @@
         self.view = FleetView("r", ("a", "b", "c"), 1, lambda body: None, Random(1))
         self.view.follow(("a", "b", "c"))
 
-    def hear(self, host, version, is_current=False):
-        """Take news from a replica; tell whether its document is fetched now."""
-        self.view.take_news(host, news(version, is_current))
+    def receive(self, host, version, is_current=False):
+        """Apply a replica's update; tell whether its document would be fetched now."""
+        self.view.take_news(host, update(version, is_current))
         return self.view.sources.choose(self.view.known_version(), 3, self.now_s) == host
 
-    def test_current_replica_is_believed_at_once(self):
-        self.assertFalse(self.hear("a", 7))
-        self.assertTrue(self.hear("b", 5, is_current=True))
+    def test_document_of_a_current_replica_is_fetched_at_once(self):
+        self.assertFalse(self.receive("a", 7))
+        self.assertTrue(self.receive("b", 5, is_current=True))
 
-    def test_newest_is_taken_as_soon_as_all_were_heard(self):
-        self.assertFalse(self.hear("a", 7))
-        self.assertFalse(self.hear("b", 9))
-        self.assertFalse(self.hear("c", 7))
-        self.assertTrue(self.hear("b", 9))
+    def test_newest_is_fetched_as_soon_as_all_replicas_have_answered(self):
+        self.assertFalse(self.receive("a", 7))
+        self.assertFalse(self.receive("b", 9))
+        self.assertFalse(self.receive("c", 7))
+        self.assertTrue(self.receive("b", 9))
 
-    def test_version_of_a_replica_that_is_lost_again_is_not_waited_for(self):
-        self.assertFalse(self.hear("a", 9))
+    def test_version_of_a_lost_replica_is_not_waited_for(self):
+        self.assertFalse(self.receive("a", 9))
         self.view.lost("a")
         self.now_s += UNSURE_AFTER_S + 0.01
-        self.assertTrue(self.hear("b", 7))
+        self.assertTrue(self.receive("b", 7))
 
-    def test_newest_heard_is_taken_after_a_while_when_one_is_silent(self):
-        self.assertFalse(self.hear("a", 7))
-        self.assertFalse(self.hear("b", 9))
+    def test_newest_announced_is_fetched_after_a_while_when_one_replica_is_silent(self):
+        self.assertFalse(self.receive("a", 7))
+        self.assertFalse(self.receive("b", 9))
         self.now_s += UNSURE_AFTER_S + 0.01
-        self.assertFalse(self.hear("a", 7))
-        self.assertTrue(self.hear("b", 9))
+        self.assertFalse(self.receive("a", 7))
+        self.assertTrue(self.receive("b", 9))
 
 
 class FetchTest(TestCase):
-    """A router that was told of a version by replicas that don't give it."""
+    """A router whose replicas announce a version but don't deliver it."""
 
     timeout = 20
 
     async def fetches_in(self, duration_s, fetch, table=None):
-        """Return how often a document is asked for in a time."""
+        """Return the host and the held version of each fetch within `duration_s`."""
         asked = []
 
         async def count(fetcher, host, held_version):
@@ -91,13 +91,13 @@
         raise ConfigurationError(["unreadable"])
 
     @asyncio_test
-    async def test_document_that_can_not_be_read_is_not_fetched_over_and_over(self):
+    async def test_unreadable_document_is_not_fetched_in_a_busy_loop(self):
         asked = await self.fetches_in(1.0, lambda: Document(7, pack_document(b"x")))
         self.assertLessEqual(len(asked), 1.0 / FETCH_PAUSE_S + 1)
         self.assertEqual({host for host, _ in asked}, set("abc"))
 
     @asyncio_test
-    async def test_replicas_that_refuse_are_asked_in_turn_with_a_pause(self):
+    async def test_refusing_replicas_are_asked_in_turn_with_a_pause(self):
         def refuse():
             raise ConnectFailedError("refused")
 
@@ -106,7 +106,7 @@
         self.assertEqual({host for host, _ in asked}, set("abc"))
 
     @asyncio_test
-    async def test_difference_from_another_version_makes_it_ask_for_the_whole(self):
+    async def test_difference_from_another_version_causes_a_fetch_of_the_whole(self):
         table = SimpleNamespace(version=5)
         asked = await self.fetches_in(0.35, lambda: Document(7, b"", base_version=3), table)
         self.assertEqual([held_version for _, held_version in asked][:3], [5, 0, 0])
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Tests of the path of a request, against targets whose every byte is scripted."""
+"""Tests of the path of a request, with targets whose answers are scripted byte by byte."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
 class PlainRequestTest(ForwarderTestCase):
     @asyncio_test
-    async def test_answer_passes_unchanged_and_key_does_not(self):
+    async def test_answer_is_forwarded_unchanged_and_api_key_is_not_forwarded(self):
         self.script(plain(201, b"made", (b"x-seal: s",)))
         answer = await self.call(x_account=b"forged", x_hold=b"forged", x_urgency=b"0")
         self.assertEqual((answer.status, answer.body), (201, b"made"))
@@ -44,7 +44,7 @@
         self.assertEqual(got.body, b"{}")
 
     @asyncio_test
-    async def test_target_that_has_just_left_gets_no_work_but_gives_its_parts(self):
+    async def test_target_that_has_just_left_gets_no_work_but_donates_its_prompt_parts(self):
         self.publish(route(has_prompt_parts=True))
         parts = {"x_prompt_parts": b"shared:100,own:10"}
         self.assertEqual((await self.call(**parts)).status, 200)
@@ -57,8 +57,8 @@
         self.assertEqual(got.headers[b"x-fetch-from"], str(record.address).encode())
 
     @asyncio_test
-    async def test_donor_was_first_reported_long_ago(self):
-        """Ages count from first reports, though a record's sequence then stands still."""
+    async def test_youngest_target_is_not_chosen_as_donor(self):
+        """The age of a donor counts from its first report, though its sequence number is fixed."""
         third = ScriptedTarget(NAMES)
         self.targets.append(third)
         addresses = [self.view.targets.record_of(f"t{index}").address for index in range(2)]
@@ -91,9 +91,9 @@
             self.assertNotEqual(donor, str(young))
 
     @asyncio_test
-    async def test_target_whose_address_is_anothers_gets_one_request_until_it_is_heard_again(self):
-        moved = [plain(421, b"", (b"x-not-run: 1",))] * 9
-        self.targets[0].script = list(moved)
+    async def test_displaced_target_gets_one_request_until_it_reports_again(self):
+        misdirected = [plain(421, b"", (b"x-not-run: 1",))] * 9
+        self.targets[0].script = list(misdirected)
         for number in range(9):
             self.assertEqual((await self.call(request_id=b"r%d" % number)).status, 200)
             await asyncio.sleep(0.03)
@@ -105,7 +105,7 @@
         self.assertGreater(len(self.targets[0].received), 1)
 
     @asyncio_test
-    async def test_absurd_headers_are_answered_and_do_not_make_others_look_returned(self):
+    async def test_absurd_headers_are_answered_and_do_not_make_others_count_as_retries(self):
         absurd = (b"nan", b"inf", b"-1e400", b"1e300", b"-5", b"", b"x", b"\xff", b"9" * 400)
         for number, value in enumerate(absurd):
             answer = await self.call(
@@ -128,8 +128,8 @@
         self.assertEqual(seen, [False])
 
     @asyncio_test
-    async def test_targets_that_tell_no_load_are_not_guessed_to_be_full(self):
-        # One router of eight: its own sends, times eight, would fill the eight places.
+    async def test_targets_that_report_no_load_are_not_estimated_to_be_full(self):
+        # One router of eight: an estimate of its own sends times eight would fill the eight slots.
         self.view.routers = 8
         self.script(silent(5.0), silent(5.0), silent(5.0))
         calls = []
@@ -140,7 +140,7 @@
         await asyncio.gather(*calls, return_exceptions=True)
 
     @asyncio_test
-    async def test_late_report_of_an_earlier_start_at_an_address_draws_no_requests(self):
+    async def test_late_report_of_an_earlier_target_at_an_address_attracts_no_requests(self):
         self.admit("late", self.view.targets.record_of("t0").address, sequence=500)
         for number in range(12):
             self.assertEqual((await self.call(request_id=b"r%d" % number)).status, 200)
@@ -148,7 +148,7 @@
         self.assertEqual(expected, {b"t0", b"t1"})
 
     @asyncio_test
-    async def test_where_no_target_can_be_reached_the_refusal_comes_at_once(self):
+    async def test_request_is_refused_at_once_when_no_target_is_reachable(self):
         for target in self.targets:
             await target.stop()
         self.assertEqual((await self.call()).status, 503)
@@ -162,20 +162,20 @@
         self.assertEqual(self.connections.opened - before, 1)
 
     @asyncio_test
-    async def test_unknown_route_and_key_are_told_apart(self):
+    async def test_unknown_route_and_unknown_key_get_different_statuses(self):
         self.assertEqual((await self.call(path=b"/none")).status, 404)
         self.assertEqual((await self.call(authorization=b"Bearer other")).status, 401)
         self.assertEqual(self.received(), [])
 
     @asyncio_test
-    async def test_without_configuration_a_request_is_refused_with_a_time(self):
+    async def test_without_configuration_a_request_is_refused_with_retry_after(self):
         self.view.table = None
         answer = await self.call()
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(header(answer.headers, b"retry-after")), 0)
 
     @asyncio_test
-    async def test_targets_own_refusal_goes_to_the_other_even_where_nothing_may_repeat(self):
+    async def test_request_refused_by_a_target_is_retried_even_if_not_idempotent(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT, max_attempts=1))
         full = plain(503, b"", (b"x-not-run: 1",))
         self.targets[0].script = [full]
@@ -186,7 +186,7 @@
         self.assertEqual(len(self.received()), 2)
 
     @asyncio_test
-    async def test_failure_that_ran_is_passed_on_and_never_sent_again(self):
+    async def test_failure_of_a_non_idempotent_request_is_forwarded_and_not_retried(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT, max_attempts=2))
         self.script(plain(500, b"broken"))
         answer = await self.call()
@@ -194,7 +194,7 @@
         self.assertEqual(len(self.received()), 1)
 
     @asyncio_test
-    async def test_failure_on_an_idempotent_route_goes_to_another_target(self):
+    async def test_failure_on_an_idempotent_route_is_retried_at_another_target(self):
         self.share(plain(500, b"broken"))
         self.assertEqual((await self.call()).status, 200)
         self.assertEqual([len(target.received) for target in self.targets], [1, 1])
@@ -203,7 +203,7 @@
         self.assertEqual((answer.status, answer.body), (500, b"second"))
 
     @asyncio_test
-    async def test_cut_answer_is_no_success(self):
+    async def test_truncated_answer_is_no_success(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT))
         head = b"HTTP/1.1 200 X\r\nx-request-id: r1\r\ncontent-length: 9\r\n\r\nhal"
         self.script(raw(head, then_close=True))
@@ -211,19 +211,19 @@
         self.assertEqual(len(self.received()), 1)
 
     @asyncio_test
-    async def test_bytes_that_are_no_answer_are_no_success(self):
+    async def test_malformed_answer_is_no_success(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT))
         self.script(raw(b"garbage without any sense\r\n\r\n"))
         self.assertEqual((await self.call()).status, 502)
 
     @asyncio_test
-    async def test_unframed_answer_ends_with_its_connection(self):
+    async def test_answer_without_content_length_ends_with_its_connection(self):
         self.script(raw(b"HTTP/1.1 200 X\r\nx-request-id: r1\r\n\r\nall of it", then_close=True))
         answer = await self.call()
         self.assertEqual((answer.status, answer.body), (200, b"all of it"))
 
     @asyncio_test
-    async def test_late_second_answer_reaches_nobody(self):
+    async def test_late_second_answer_reaches_no_caller(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT))
         late = b"HTTP/1.1 200 X\r\nx-request-id: r1\r\ncontent-length: 4\r\n\r\nlate"
         own = b"HTTP/1.1 200 X\r\nx-request-id: r2\r\ncontent-length: 3\r\n\r\nown"
@@ -244,7 +244,7 @@
         self.assertEqual((await self.call()).status, 502)
 
     @asyncio_test
-    async def test_routes_timeout_ends_a_silent_request(self):
+    async def test_route_timeout_ends_a_request_at_a_silent_target(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT, timeout_s=0.3))
         self.script(silent())
         started_s = read_clock()
@@ -253,14 +253,14 @@
         self.assertLess(read_clock() - started_s, 0.6)
 
     @asyncio_test
-    async def test_target_that_is_not_there_is_passed_over(self):
+    async def test_unreachable_target_is_skipped(self):
         await self.targets[0].stop()
         self.publish(route(RouteKind.NON_IDEMPOTENT, max_attempts=1))
         statuses = [(await self.call(request_id=b"r%d" % n)).status for n in range(6)]
         self.assertEqual(statuses, [200] * 6)
 
     @asyncio_test
-    async def test_leaving_target_gets_nothing_new(self):
+    async def test_leaving_target_gets_no_new_requests(self):
         address = self.view.targets.record_of("t0").address
         self.admit("t0", address, TargetPhase.LEAVING, 101)
         for number in range(5):
@@ -269,7 +269,7 @@
         self.assertEqual(len(self.targets[1].received), 5)
 
     @asyncio_test
-    async def test_caller_that_leaves_ends_the_targets_work(self):
+    async def test_disconnect_of_the_caller_ends_the_request_at_the_target(self):
         self.script(silent())
         connection = await self.connect()
         connection.send(self.request())
@@ -290,7 +290,7 @@
 
 class StreamTest(ForwarderTestCase):
     @asyncio_test
-    async def test_stream_passes_event_by_event(self):
+    async def test_stream_is_forwarded_event_by_event(self):
         self.publish(route(**STREAM))
         self.script(stream(1, 3, pause_s=0.1))
         connection = await self.connect()
@@ -303,7 +303,7 @@
         self.assertEqual(await connection.read_body(10_000), event(2) + event(3))
 
     @asyncio_test
-    async def test_cut_stream_goes_on_at_another_target(self):
+    async def test_truncated_stream_resumes_at_another_target(self):
         self.publish(route(**STREAM))
         self.share(cut_stream(1, 2, tail=b"id: 3\nda"), stream(3, 4))
         answer = await self.call()
@@ -313,14 +313,14 @@
         self.assertEqual([len(target.received) for target in self.targets], [1, 1])
 
     @asyncio_test
-    async def test_events_that_come_twice_are_passed_on_once(self):
+    async def test_duplicate_events_are_forwarded_once(self):
         self.publish(route(**STREAM))
         self.share(cut_stream(1, 2), stream(1, 4))
         answer = await self.call()
         self.assertEqual(answer.body, b"".join(event(n) for n in range(1, 5)))
 
     @asyncio_test
-    async def test_cut_stream_that_may_not_repeat_does_not_look_complete(self):
+    async def test_truncated_stream_that_is_not_resumable_does_not_look_complete(self):
         self.publish(route(RouteKind.STREAMING, is_resumable=False))
         self.script(cut_stream(1, 2))
         connection = await self.connect()
@@ -331,29 +331,29 @@
         self.assertEqual(len(self.received()), 1)
 
     @asyncio_test
-    async def test_silent_target_is_left_for_another(self):
+    async def test_request_at_a_silent_target_is_rerouted(self):
         self.publish(route(timeout_s=8.0, **STREAM))
         self.share(silent(), stream(1, 2))
         answer = await self.call(x_deadline_ms=b"8000")
         self.assertEqual(answer.body, event(1) + event(2))
 
 
-class DarkTargetTest(ForwarderTestCase):
+class UnresponsiveTargetTest(ForwarderTestCase):
     @asyncio_test
-    async def test_new_requests_pass_a_target_that_keeps_all_waiting(self):
+    async def test_new_requests_avoid_an_unresponsive_target(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT, max_attempts=1))
         self.share(silent())
         waiting = asyncio.ensure_future(self.call(x_deadline_ms=b"1500"))
         await asyncio.sleep(0.7)
-        dark = next(target for target in self.targets if target.received)
+        unresponsive = next(target for target in self.targets if target.received)
         for number in range(6):
             answer = await self.call(request_id=b"r%d" % number)
             self.assertEqual(answer.status, 200)
-        self.assertEqual(len(dark.received), 1)
+        self.assertEqual(len(unresponsive.received), 1)
         self.assertEqual((await waiting).status, 504)
 
     @asyncio_test
-    async def test_repeatable_request_leaves_a_dark_target_before_its_callers_gives_up(self):
+    async def test_repeatable_request_leaves_an_unresponsive_target_before_its_deadline(self):
         self.publish(route(objective_s=0.4))
         self.share(silent(), plain(200, b"in time"))
         started_s = read_clock()
@@ -362,15 +362,15 @@
         self.assertLess(read_clock() - started_s, 1.1)
 
 
-class CutDomainTest(ForwarderTestCase):
+class PartitionedDomainTest(ForwarderTestCase):
     async def start(self):
         await super().start()
-        # Nobody listens there: three targets of a failure domain that is cut off.
+        # Nothing listens at these ports: three targets of a partitioned failure domain.
         for number, port in enumerate((1, 2, 3)):
             self.admit(f"far{number}", Address("127.0.0.1", port), domain="far")
 
     @asyncio_test
-    async def test_one_unreachable_target_speaks_for_its_failure_domain(self):
+    async def test_one_unreachable_target_makes_its_failure_domain_doubtful(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT, max_attempts=1))
         for number in range(12):
             self.forwarder.target_states.forget("far0")
@@ -387,7 +387,7 @@
         return [table.known(digest).ends for digest in table.digests()]
 
     @asyncio_test
-    async def test_a_reset_by_a_target_that_goes_on_is_held_against_no_request(self):
+    async def test_reset_by_a_running_target_puts_no_request_under_suspicion(self):
         self.script(cut_stream(1, 2), cut_stream(1, 2))
         self.publish(route(**STREAM))
         with self.assertRaises(AnswerBrokenError):
@@ -396,7 +396,7 @@
         self.assertEqual(self.known(), [])
 
     @asyncio_test
-    async def test_the_exit_of_a_target_that_is_leaving_is_held_against_no_request(self):
+    async def test_exit_of_a_leaving_target_puts_no_request_under_suspicion(self):
         self.targets[0].script = [silent(0.2)]
         self.view.targets.leave("t1", read_clock())
         calling = asyncio.ensure_future(self.call())
@@ -410,7 +410,7 @@
         return self.view.targets.record_of("t0").address
 
     @asyncio_test
-    async def test_a_target_that_ends_is_held_against_what_was_in_hand_until_that_ends_well(self):
+    async def test_crash_puts_requests_in_flight_under_suspicion_until_they_complete(self):
         ended = self.targets[0]
         ended.script, self.targets[1].script = [silent()], [plain()]
         self.view.targets.leave("t1", read_clock())
@@ -428,11 +428,11 @@
         self.assertEqual(self.known(), [0])
 
     @asyncio_test
-    async def test_a_suspect_that_a_target_had_no_place_for_is_taken_elsewhere(self):
-        """A request in hand where two targets had ended was refused for good by one full target.
+    async def test_suspected_request_that_a_full_target_refuses_is_retried(self):
+        """Guard against refusing a suspected request for good because one target was full.
 
-        Whether the last send may be followed by another was asked of every outcome, where only
-        a lost one may have ended its target.
+        A request during which two targets had crashed must still be retried after a refusal:
+        only an attempt whose connection was lost may have crashed its target.
         """
         digest = identify_request(b"POST", b"host", b"/a/x", b"account", b"{}")
         relay = self.view.suspicions
@@ -443,7 +443,7 @@
         self.assertEqual(len(self.received()), 2)
 
     @asyncio_test
-    async def test_what_is_held_fatal_is_refused_at_once_without_a_time_to_come_back(self):
+    async def test_fatal_request_is_refused_at_once_without_retry_after(self):
         digest = identify_request(b"POST", b"host", b"/a/x", b"account", b"{}")
         relay = self.view.suspicions
         for _ in range(3):
@@ -454,10 +454,11 @@
         self.assertEqual((await self.call(path=b"/a/y")).status, 200)
 
     @asyncio_test
-    async def test_an_ended_target_behind_what_takes_and_resets_connections_counts_as_ended(self):
-        """Nine ends of targets were held against no request: each was seen to "answer".
+    async def test_crashed_target_behind_a_resetting_proxy_counts_as_crashed(self):
+        """Guard against taking a crashed target for a running one behind a proxy.
 
-        What stood before the targets took the connection that was to tell, and reset it.
+        The proxy in front of a crashed target accepts the probe's connection and then resets it.
+        Nine crashes were once attributed to no request, since each target seemed to answer.
         """
 
         async def reset(reader, writer):
@@ -478,18 +479,18 @@
         self.assertEqual(self.known(), [1])
 
     @asyncio_test
-    async def test_a_look_that_is_given_up_leaves_no_connection_open(self):
+    async def test_canceled_probe_leaves_no_connection_open(self):
         address = self.view.targets.record_of("t0").address
-        looking = asyncio.ensure_future(self.connections.probe("t0", address))
+        probing = asyncio.ensure_future(self.connections.probe("t0", address))
         while not self.targets[0].connections:
             await asyncio.sleep(0.001)
-        looking.cancel()
-        await asyncio.gather(looking, return_exceptions=True)
+        probing.cancel()
+        await asyncio.gather(probing, return_exceptions=True)
         await asyncio.sleep(0.05)
         self.assertIn("closed", self.targets[0].ends)
 
     @asyncio_test
-    async def test_a_target_that_is_gone_by_the_look_is_not_tried_again(self):
+    async def test_target_that_is_gone_when_probed_is_not_probed_again(self):
         self.targets[0].script = [silent()]
         self.view.targets.leave("t1", read_clock())
         self.publish(route(max_attempts=1))
@@ -503,12 +504,12 @@
         self.assertEqual(self.known(), [])
 
     @asyncio_test
-    async def test_targets_that_all_refuse_for_a_while_make_no_request_fatal(self):
-        """A request that all callers make was held fatal after a second in which none was let in.
+    async def test_temporary_lack_of_reachable_targets_makes_no_request_fatal(self):
+        """Guard against holding a common request fatal after a second without reachable targets.
 
-        What stood before the targets took each connection and reset it, so that each send
-        broke at a target that did not answer, after a send that had; hundreds of callers
-        were then refused without a time to come back.
+        A proxy in front of the targets accepts and resets each connection, so that every send
+        broke at a target that did not answer, after one that had reached it. Hundreds of callers
+        were then refused without a Retry-After.
         """
 
         async def reset(reader, writer):
@@ -530,18 +531,19 @@
         self.assertEqual(self.known(), [1])
 
     @asyncio_test
-    async def test_a_request_that_ended_well_a_moment_ago_is_not_suspected(self):
-        """A request that all callers made was in hand at three targets that another one ended.
+    async def test_recently_completed_request_is_not_suspected(self):
+        """Guard against holding a common request fatal for crashes that another request caused.
 
-        They ended within 1.3 s, no copy ended well between them, and none was let in after
-        that: 40 s of a soak were refused, where the request had been served all the time before.
+        It was in flight at three targets that crashed within 1.3 s, and no copy of it completed
+        in between. All copies were then refused for 40 s, though the request had been served all
+        the time before.
         """
         digest = identify_request(b"POST", b"host", b"/a/x", b"account", b"{}")
         self.assertEqual((await self.call()).status, 200)
         relay = self.view.suspicions
         for _ in range(3):
             relay.record_target_end([(digest, relay.table.known(digest))])
-        told = Suspicion(digest, 0, 3, 0.1)
-        relay.take_news("a", News("epoch", 1, 1, True, (), 1, (), (), suspicions=(told,)))
+        suspicion = Suspicion(digest, 0, 3, 0.1)
+        relay.take_news("a", News("epoch", 1, 1, True, (), 1, (), (), suspicions=(suspicion,)))
         self.assertEqual((await self.call(request_id=b"r2")).status, 200)
         self.assertEqual(relay.table.known(digest).cleared, 1)
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_many_targets.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_many_targets.py
@@ -1,9 +1,10 @@
-"""What one placement costs a router that knows many targets.
+"""Test that the cost of a placement grows linearly with the number of targets.
 
-For each target of a pool the router looked up the pool's health, and for that all targets that
-serve: on a VM of 8 cores a placement took 1.55 ms among 64 targets, 28 ms among 302, 258 ms among
-1,000. On a day with 1,000 targets routers spent 24 to 43 % of their processors on one or two
-requests a second each, and 0.246 of all requests were served; with 3,000 none was.
+Looking up the pool's health for each target, which visits all serving targets, made it
+quadratic: on a VM of 8 cores a placement took 1.55 ms among 64 targets, 28 ms among 302 and
+258 ms among 1,000. With 1,000 targets routers then spent 24 to 43 % of their processors on one
+or two requests a second each, and a fraction of 0.246 of all requests was served; with 3,000
+targets none was.
 """
 
 import time
@@ -20,12 +21,12 @@
 
 FEW, MANY = 100, 1000
 PLACEMENTS = 3
-# Ten times the targets may cost ten times the time, and half as much again for sorting.
+# Ten times the targets may take ten times as long, plus half of that for sorting.
 MOST_TIMES = 15.0
 
 
 def states_of(targets):
-    """Return the beliefs of a router that knows so many targets of one pool."""
+    """Return the states of the given number of targets of one pool, as a router keeps them."""
     random = Random(1)
     view = FleetView("router", (), 1, lambda body: None, random)
     for number in range(targets):
@@ -37,7 +38,7 @@
 
 
 def placement_s(targets):
-    """Return the processor time of a placement among so many targets, the least of some."""
+    """Return the processor time of a placement, the minimum of `PLACEMENTS` runs."""
     target_states = states_of(targets)
     times_s = []
     for number in range(PLACEMENTS):
@@ -50,7 +51,7 @@
 
 
 class ManyTargetsTest(unittest.TestCase):
-    def test_a_placement_costs_in_line_with_the_targets(self):
+    def test_placement_cost_is_linear_in_the_number_of_targets(self):
         few_s, many_s = placement_s(FEW), placement_s(MANY)
         print(f"{FEW}: {few_s * 1000:.2f} ms, {MANY}: {many_s * 1000:.2f} ms a placement")
         self.assertLess(many_s / few_s, MOST_TIMES)
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
@@ -1,4 +1,4 @@
-"""Tests of what a router believes of a target that has started again under its id."""
+"""Tests of how a router treats a target that has restarted under the same id."""
 
 import asyncio
 
@@ -15,21 +15,21 @@
 
 
 class RestartedTargetTest(ForwarderTestCase):
-    """Two targets that tell their birth; `start_again` is what a replica tells of one."""
+    """Two targets that report their start time; `restart` applies a replica's update of one."""
 
     async def start(self):
         await super().start()
         for number in range(len(self.targets)):
-            self.start_again(number, BORN_MS, sequence=100)
+            self.restart(number, BORN_MS, sequence=100)
 
-    def start_again(self, number, born_ms, sequence=0):
-        held = self.view.targets.record_of(f"t{number}")
-        record = held._replace(born_ms=born_ms, sequence=sequence)
+    def restart(self, number, born_ms, sequence=0):
+        stored = self.view.targets.record_of(f"t{number}")
+        record = stored._replace(born_ms=born_ms, sequence=sequence)
         self.view.take_news("replica", News("e", 1, 1, True, (), 1, (record,), ()))
         return record
 
     @asyncio_test
-    async def test_nothing_of_the_former_life_is_believed(self):
+    async def test_state_of_the_former_incarnation_is_dropped(self):
         target_states, now_s = self.forwarder.target_states, read_clock()
         record = self.view.targets.record_of("t0")
         target_states.loads.reported("t0", TargetLoad(8, 4, 8), now_s)
@@ -47,7 +47,7 @@
             return next(item for item in found if item.target_id == "t0")
 
         self.assertTrue(candidate().is_doubtful)
-        self.start_again(0, BORN_MS + 1)
+        self.restart(0, BORN_MS + 1)
         self.assertFalse(candidate().is_doubtful)
         self.assertFalse(candidate().is_slow)
         self.assertFalse(candidate().has_told_load)
@@ -55,32 +55,32 @@
         self.assertLess(candidate().age_s, 1.0)
 
     @asyncio_test
-    async def test_kept_connection_of_the_former_life_is_not_used(self):
+    async def test_pooled_connection_to_the_former_incarnation_is_not_used(self):
         self.script(plain(), plain())
         await self.call()
         used = next(target for target in self.targets if target.received)
-        self.start_again(self.targets.index(used), BORN_MS + 1)
+        self.restart(self.targets.index(used), BORN_MS + 1)
         self.assertEqual((await self.call(request_id=b"r2")).status, 200)
         await asyncio.sleep(0.05)
         self.assertIn("closed", used.ends)
 
     @asyncio_test
-    async def test_request_at_the_former_life_goes_elsewhere_at_once(self):
+    async def test_request_at_the_former_incarnation_is_rerouted_at_once(self):
         self.publish(route(RouteKind.STREAMING, is_resumable=True, objective_s=2.0))
         self.share(silent(), stream(1, 2))
         calling = asyncio.ensure_future(self.call())
         while not self.received():
             await asyncio.sleep(0.01)
         used = next(target for target in self.targets if target.received)
-        # The connection is older than the life that begins.
+        # The connection has to be older than the new incarnation.
         await asyncio.sleep(1.1)
         begun_s = read_clock()
-        self.start_again(self.targets.index(used), BORN_MS + 1)
+        self.restart(self.targets.index(used), BORN_MS + 1)
         self.assertEqual((await calling).status, 200)
         self.assertLess(read_clock() - begun_s, 0.3)
 
     @asyncio_test
-    async def test_request_that_must_run_once_is_not_sent_again(self):
+    async def test_non_idempotent_request_is_not_retried(self):
         self.publish(route(RouteKind.NON_IDEMPOTENT))
         self.script(silent())
         calling = asyncio.ensure_future(self.call())
@@ -88,16 +88,16 @@
             await asyncio.sleep(0.01)
         used = next(target for target in self.targets if target.received)
         await asyncio.sleep(1.1)
-        self.start_again(self.targets.index(used), BORN_MS + 1)
+        self.restart(self.targets.index(used), BORN_MS + 1)
         self.assertEqual((await calling).status, 502)
         self.assertEqual(len(self.received()), 1)
 
     @asyncio_test
-    async def test_late_news_of_the_former_life_ends_nothing(self):
-        self.start_again(0, BORN_MS + 5)
+    async def test_late_update_of_the_former_incarnation_is_ignored(self):
+        self.restart(0, BORN_MS + 5)
         self.script(plain(), plain())
         await self.call()
-        self.start_again(0, BORN_MS, sequence=900)
+        self.restart(0, BORN_MS, sequence=900)
         self.assertEqual(self.view.targets.record_of("t0").born_ms, BORN_MS + 5)
         self.assertEqual((await self.call(request_id=b"r2")).status, 200)
         self.assertNotIn("closed", [end for target in self.targets for end in target.ends])
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
@@ -1,8 +1,8 @@
-"""Tests of a router whose VM was suspended for seconds, by a clock that jumps ahead.
+"""Tests of a router whose VM is suspended for seconds, simulated by a clock that jumps ahead.
 
-The system's monotonic clock doesn't count a suspension: a caller's deadline that had long
-passed looked far away, and a request was sent past it. Once the clock counts it, everyone
-else looks as if they had been silent for as long.
+The system's monotonic clock does not count a suspension, so a request could be sent after the
+caller's deadline had passed. With a clock that counts it, all peers seem to have been silent
+during the suspension.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
         await super().start()
 
     def suspended(self, before):
-        """Suspend the router's VM as soon as a target has the request, then go on."""
+        """Return a step that suspends the router's VM when a target has the request."""
 
         async def step(writer, request):
             self.clock.suspend(AWAY_S)
@@ -39,7 +39,7 @@
         return step
 
     @asyncio_test
-    async def test_nothing_is_sent_past_the_callers_deadline(self):
+    async def test_nothing_is_sent_after_the_callers_deadline(self):
         async def reset(writer, request):
             raise ConnectionError("scripted end")
 
@@ -49,7 +49,7 @@
         self.assertEqual(len(self.received()), 1)
 
     @asyncio_test
-    async def test_an_answer_that_came_meanwhile_is_read_before_its_target_is_given_up(self):
+    async def test_answer_that_arrived_during_a_suspension_is_read_first(self):
         self.publish(route(timeout_s=60.0))
         self.share(self.suspended(plain(body=b"first")), plain(body=b"second"))
         answer = await self.call(x_deadline_ms=b"60000")
@@ -57,7 +57,7 @@
         self.assertEqual(len(self.received()), 1)
 
     @asyncio_test
-    async def test_a_stream_that_came_meanwhile_goes_on(self):
+    async def test_stream_that_arrived_during_a_suspension_continues(self):
         self.publish(route(kind=RouteKind.STREAMING, is_resumable=True, timeout_s=60.0))
         self.share(self.suspended(stream(1, 5, 0.05)), stream(1, 5))
         answer = await self.call(x_deadline_ms=b"60000")
@@ -65,7 +65,7 @@
         self.assertEqual(len(self.received()), 1)
 
     @asyncio_test
-    async def test_no_target_is_taken_for_silent_since_the_observer_was_away(self):
+    async def test_suspension_of_the_observer_makes_no_target_silent(self):
         self.view.follow(("127.0.0.1",))
         self.addCleanup(lambda: to_deferred(self.view._links["127.0.0.1"].stop()))
         for target_id in ("t0", "t1"):
@@ -83,12 +83,12 @@
 
 class ClockLoopTest(ForwarderTestCase):
     async def start(self):
-        """Need no targets."""
+        """Start nothing: these tests need no targets."""
 
     def setUp(self):
-        """Run loops of its own."""
+        """Start no loop: each test runs its own."""
 
-    def test_timers_that_came_due_meanwhile_fire_at_the_next_wake(self):
+    def test_timers_due_during_a_suspension_fire_at_the_next_wake(self):
         clock, fired, loop = JumpingClock(), [], ClockLoop()
         self.addCleanup(loop.close)
         with clock.in_force():
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_target_signals.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_target_signals.py
@@ -1,4 +1,4 @@
-"""What one target asked for is kept by every step of a request's way."""
+"""Tests that every step of a request's path respects the signals of a target."""
 
 import asyncio
 
@@ -14,46 +14,48 @@
 from damaskwind.standins.scripted_target import plain, stream
 
 NOT_RUN = b"x-not-run: 1"
-RESTS = plain(503, b"", (NOT_RUN, b"retry-after: 3"))
+ASKS_FOR_PAUSE = plain(503, b"", (NOT_RUN, b"retry-after: 3"))
 IS_FULL = plain(503, b"", (NOT_RUN,))
-LEAVES = plain(200, b"whole", (b"x-leaving: 1",))
+ANNOUNCES_LEAVING = plain(200, b"whole", (b"x-leaving: 1",))
 PARTS = {"x_prompt_parts": b"shared:100,own:10"}
 
 
-class TargetWordsTest(ForwarderTestCase):
-    def note(self, index, said):
-        self.forwarder.target_states.note_signal(self.view.targets.record_of(f"t{index}"), said)
+class TargetSignalsTest(ForwarderTestCase):
+    def signal(self, index, signals):
+        self.forwarder.target_states.note_signal(self.view.targets.record_of(f"t{index}"), signals)
 
-    def rest(self, *indexes, rest_s=3.0):
+    def pause(self, *indexes, rest_s=3.0):
         for index in indexes:
-            self.note(index, Said(rest_s))
+            self.signal(index, Said(rest_s))
 
-    def return_s(self, answer):
+    def retry_after_s(self, answer):
         self.assertEqual(answer.status, 503)
         return float(header(answer.headers, b"retry-after"))
 
     @asyncio_test
-    async def test_rest_that_all_targets_ask_for_refuses_at_once_until_the_first_has_rested(self):
-        self.share(RESTS, plain(503, b"", (NOT_RUN, b"retry-after: 1.5")))
-        self.return_s(await self.call())
+    async def test_pause_of_all_targets_refuses_requests_at_once_until_the_first_ends(self):
+        self.share(ASKS_FOR_PAUSE, plain(503, b"", (NOT_RUN, b"retry-after: 1.5")))
+        self.retry_after_s(await self.call())
         self.assertEqual(len(self.received()), 2)
         begun_s = read_clock()
-        told_s = [self.return_s(await self.call(request_id=b"r%d" % n)) for n in range(2, 12)]
+        retries_s = [
+            self.retry_after_s(await self.call(request_id=b"r%d" % n)) for n in range(2, 12)
+        ]
         self.assertLess(read_clock() - begun_s, 0.5)
         self.assertEqual(len(self.received()), 2)
-        self.assertTrue(all(1.0 < at_s < 1.8 for at_s in told_s), told_s)
-        self.assertGreater(len(set(told_s)), 5)
+        self.assertTrue(all(1.0 < retry_s < 1.8 for retry_s in retries_s), retries_s)
+        self.assertGreater(len(set(retries_s)), 5)
 
     @asyncio_test
-    async def test_target_that_only_is_full_is_the_last_choice_but_a_choice(self):
-        self.rest(0)
+    async def test_full_target_is_the_last_choice_but_still_a_choice(self):
+        self.pause(0)
         self.share(IS_FULL)
-        self.return_s(await self.call())
+        self.retry_after_s(await self.call())
         self.assertEqual((await self.call(request_id=b"r2")).status, 200)
         self.assertEqual(len(self.targets[0].received), 0)
 
     @asyncio_test
-    async def test_rest_asked_for_while_a_connection_is_made_withholds_the_request(self):
+    async def test_pause_requested_during_connection_setup_withholds_the_request(self):
         acquire = self.connections.acquire
         first_s = []
 
@@ -61,81 +63,79 @@
             connection = await acquire(target_id, *rest)
             if not first_s:
                 first_s.append(read_clock())
-                self.rest(int(target_id[1:]))
+                self.pause(int(target_id[1:]))
             return connection
 
         self.connections.acquire = slow_take
         answer = await self.call()
         self.assertEqual(answer.status, 200)
         (got,) = self.received()
-        resting = next(n for n in (0, 1) if not self.targets[n].received)
-        self.assertNotEqual(got.headers[b"x-expect-target"], b"t%d" % resting)
+        paused = next(n for n in (0, 1) if not self.targets[n].received)
+        self.assertNotEqual(got.headers[b"x-expect-target"], b"t%d" % paused)
         self.assertEqual(self.forwarder.tallies.totals("attempts")[(("end", "withheld"),)], 1)
 
     @asyncio_test
-    async def test_a_withheld_request_is_refused_where_no_other_target_is_left(self):
+    async def test_withheld_request_is_refused_when_no_other_target_is_left(self):
         acquire = self.connections.acquire
 
         async def slow_take(target_id, *rest):
             connection = await acquire(target_id, *rest)
-            self.rest(0, 1)
+            self.pause(0, 1)
             return connection
 
         self.connections.acquire = slow_take
-        self.assertGreater(self.return_s(await self.call()), 2.0)
+        self.assertGreater(self.retry_after_s(await self.call()), 2.0)
         self.assertEqual(self.received(), [])
 
     @asyncio_test
-    async def test_those_in_line_are_told_when_all_targets_rest(self):
+    async def test_queued_requests_are_refused_when_all_targets_pause(self):
         admissions = self.forwarder.admissions
         pool = admissions._pool("pool")
         pool._whole.limit = 0.0
         calls = [asyncio.ensure_future(self.call(request_id=b"w%d" % n)) for n in range(3)]
         await asyncio.sleep(0.03)
         waiting = admissions.queued()
-        self.rest(0, 1)
+        self.pause(0, 1)
         begun_s = read_clock()
         answers = await asyncio.gather(*calls)
         self.assertLess(read_clock() - begun_s, 0.2)
         self.assertGreater(waiting, 0)
         for answer in answers:
-            self.return_s(answer)
+            self.retry_after_s(answer)
         self.assertEqual(self.received(), [])
 
     @asyncio_test
-    async def test_rest_is_no_lack_of_places_that_presses_the_service(self):
-        self.share(RESTS)
+    async def test_pause_does_not_count_as_rejection_for_the_throttle(self):
+        self.share(ASKS_FOR_PAUSE)
         self.assertEqual((await self.call()).status, 200)
         (count,) = self.forwarder.throttles.recent_counts()
         self.assertEqual((count.seen.turned_away, count.seen.answered), (0, 1))
 
     @asyncio_test
-    async def test_resting_engine_gets_no_prompt_but_its_parts_are_copied(self):
+    async def test_paused_engine_gets_no_prompt_but_its_parts_are_copied(self):
         self.publish(route(has_prompt_parts=True))
         await self.call(**PARTS)
         home = next(n for n in (0, 1) if self.targets[n].received)
-        self.rest(home)
+        self.pause(home)
         self.assertEqual((await self.call(request_id=b"r2", **PARTS)).status, 200)
         (got,) = self.targets[1 - home].received
         address = str(self.view.targets.record_of(f"t{home}").address)
         self.assertEqual(got.headers[b"x-fetch-from"], address.encode())
 
     @asyncio_test
-    async def test_one_domain_emptied_and_the_rest_at_rest_sends_nothing_anywhere(self):
+    async def test_no_request_is_sent_with_one_domain_evacuated_and_the_others_paused(self):
         self.view.targets.take(
             self.view.targets.record_of("t1")._replace(target_id="t2", failure_domain="other"),
             read_clock(),
         )
         self.view.evacuations = Evacuations(1, ("other",))
-        self.rest(0, 1)
-        self.assertGreater(self.return_s(await self.call()), 2.0)
+        self.pause(0, 1)
+        self.assertGreater(self.retry_after_s(await self.call()), 2.0)
         self.assertEqual(self.received(), [])
 
     @asyncio_test
-    async def test_target_that_said_it_leaves_gets_no_work_though_its_heartbeats_say_it_serves(
-        self,
-    ):
-        self.share(LEAVES)
+    async def test_leaving_signal_outweighs_heartbeats_that_report_serving(self):
+        self.share(ANNOUNCES_LEAVING)
         await self.call()
         left = next(n for n in (0, 1) if self.targets[n].received)
         address = self.view.targets.record_of(f"t{left}").address
@@ -145,7 +145,7 @@
         self.assertEqual(len(self.targets[left].received), 1)
 
     @asyncio_test
-    async def test_word_of_leaving_in_the_head_of_a_stream_counts_before_its_end(self):
+    async def test_leaving_signal_in_the_head_of_a_stream_counts_before_its_end(self):
         self.publish(route(has_prompt_parts=True))
         self.share(stream(1, 2, 0.3, (b"x-leaving: 1",)))
         first = asyncio.ensure_future(self.call(**PARTS))
@@ -156,25 +156,25 @@
         self.assertEqual((await first).status, 200)
 
     @asyncio_test
-    async def test_word_of_another_target_at_its_address_is_not_its_own(self):
-        moved = plain(421, b"", (NOT_RUN, b"x-leaving: 1", b"retry-after: 9"))
-        self.share(moved)
+    async def test_signal_of_another_target_at_the_address_is_ignored(self):
+        misdirected = plain(421, b"", (NOT_RUN, b"x-leaving: 1", b"retry-after: 9"))
+        self.share(misdirected)
         self.assertEqual((await self.call()).status, 200)
         self.assertEqual(len(self.forwarder.target_states.signals), 0)
 
     @asyncio_test
-    async def test_load_of_another_target_at_its_address_is_not_its_own(self):
-        moved = plain(421, b"", (NOT_RUN, b"x-target-load: 7,0,8"))
-        self.targets[0].script = self.targets[1].script = [moved]
+    async def test_load_of_another_target_at_the_address_is_ignored(self):
+        misdirected = plain(421, b"", (NOT_RUN, b"x-target-load: 7,0,8"))
+        self.targets[0].script = self.targets[1].script = [misdirected]
         await self.call()
         loads = self.forwarder.target_states.loads
         sources = {loads.basis(f"t{n}", read_clock(), False).source for n in (0, 1)}
         self.assertEqual(sources, {LoadSource.GUESS})
 
     @asyncio_test
-    async def test_a_word_outlives_a_target_that_is_forgotten_and_heard_again(self):
+    async def test_signal_is_kept_when_its_target_is_forgotten_and_reports_again(self):
         record = self.view.targets.record_of("t0")
-        self.note(0, Said(is_leaving=True))
+        self.signal(0, Said(is_leaving=True))
         self.forwarder.target_states.forget("t0")
         for number in range(4):
             await self.call(request_id=b"s%d" % number)
@@ -185,10 +185,10 @@
         self.assertGreater(len(self.targets[0].received), 0)
 
     @asyncio_test
-    async def test_a_target_that_said_it_leaves_and_ends_is_not_held_against_requests(self):
+    async def test_exit_after_a_leaving_signal_puts_no_request_under_suspicion(self):
         target = self.view.targets.record_of("t0")
         self.assertIs(target.phase, TargetPhase.SERVING)
-        self.note(0, Said(is_leaving=True))
+        self.signal(0, Said(is_leaving=True))
         await self.targets[0].stop()
         broken = []
         self.forwarder.crash_detector.on_crashed.append(lambda *ended: broken.append(ended))
