--- a/packages/router/src/damaskwind/router/forwarding/attempt.py
+++ b/packages/router/src/damaskwind/router/forwarding/attempt.py
@@ -97,7 +97,7 @@
 
 
 def _is_connection_lost(connection: ClientConnection) -> bool:
-    """Tell whether a connection that the target had accepted was closed by its side.
+    """Tell whether a connection that the target had accepted was closed early.
 
     A connection that is reset right after it was established did not reach the target: a proxy
     in front of a target that has exited, or is unreachable, accepts and then resets it.
@@ -187,10 +187,10 @@
         first_s = read_clock() - sent_s
         self.activity.note_received(target.target_id, read_clock())
         self.on_answer_started(call, target.target_id, first_s)
-        signal = self._read_signal(head, target)
+        signals = self._read_signals(head, target)
         if head.status == MISDIRECTED or header(head.headers, self._names.not_run) is not None:
             outcome = await self._read_refusal(connection, head, target)
-            return outcome._replace(asks_for_pause=signal.rest_s > 0)
+            return outcome._replace(asks_for_pause=signals.rest_s > 0)
         is_stream = call.route.kind is RouteKind.STREAMING and 200 <= head.status < 300
         if is_stream:
             outcome = await self._relay_stream(
@@ -203,7 +203,7 @@
         if head.status >= 500:
             why = f"status {head.status}"
             return AttemptOutcome(
-                AttemptEnd.TARGET_ERROR, why, answer, asks_for_pause=signal.rest_s > 0
+                AttemptEnd.TARGET_ERROR, why, answer, asks_for_pause=signals.rest_s > 0
             )
         delivery.send_whole(answer)
         why = f"status {head.status}"
@@ -303,7 +303,7 @@
                 if last_woken_s() < begun_s:
                     raise
 
-    def _read_signal(self, head: AnswerHead, target: TargetRecord) -> Said:
+    def _read_signals(self, head: AnswerHead, target: TargetRecord) -> Said:
         """Record the load and the signals in the head of an answer; return the signals.
 
         A misdirected answer (421) comes from another target, so its headers are ignored.
@@ -314,11 +314,11 @@
         load = parse_target_load(header(headers, self._names.target_load))
         if load is not None:
             self._loads.reported(target.target_id, load, read_clock())
-        signal = read_said(
+        signals = read_said(
             head.status,
             header(headers, b"retry-after"),
             header(headers, self._names.leaving),
             header(headers, b"date"),
         )
-        self._target_states.note_signal(target, signal)
-        return signal
+        self._target_states.note_signal(target, signals)
+        return signals
--- a/packages/router/src/damaskwind/router/forwarding/crash_detector.py
+++ b/packages/router/src/damaskwind/router/forwarding/crash_detector.py
@@ -71,7 +71,7 @@
         phase = self._target_states.view.targets.phase_of(target_id)
         has_announced = self._target_states.has_announced_leaving(target)
         is_leaving = has_announced or phase is not TargetPhase.SERVING
-        has_ended = not answers and not is_leaving
+        has_crashed = not answers and not is_leaving
         logger.warning(
             "sends broken",
             target=target_id,
@@ -89,7 +89,7 @@
             self._connections.forget(target_id)
         elif not answers:
             self._connections.watch(target_id, target.address)
-        if has_ended:
+        if has_crashed:
             for callback in self.on_crashed:
                 callback(target, broken)
-        return has_ended
+        return has_crashed
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -311,10 +311,12 @@
         is_engine = call.key is not None
         candidates = self.target_states.candidates(records.values(), now_s, is_engine)
         # A partition that hides one target of another failure domain hides the rest as well.
-        cut_off = call.silent_domains - {self._failure_domain}
-        if cut_off:
+        partitioned_domains = call.silent_domains - {self._failure_domain}
+        if partitioned_domains:
             candidates = [
-                item._replace(is_doubtful=item.is_doubtful or item.failure_domain in cut_off)
+                item._replace(
+                    is_doubtful=item.is_doubtful or item.failure_domain in partitioned_domains
+                )
                 for item in candidates
             ]
         candidates = self.admissions.add_queued_load(call.service, candidates)
@@ -340,7 +342,7 @@
         }
 
     def _note_pause(self, call: Call) -> None:
-        """Set when to retry, if all targets asked for a pause, to the end of the first pause."""
+        """Let the caller retry when the first pause ends, if all targets asked for one."""
         rest_s = self.target_states.rest_left_s(self._allowed_targets(call).values(), read_clock())
         if rest_s is not None:
             call.retry_after_s = return_after_rest_s(rest_s, call.route.objective_s, self._random)
--- a/packages/router/src/damaskwind/router/forwarding/pool_admissions.py
+++ b/packages/router/src/damaskwind/router/forwarding/pool_admissions.py
@@ -61,13 +61,13 @@
         free_slots = (
             [free_slots_of(home)] if home else self._target_states.free_slots(call.service, now_s)
         )
-        admitted = pool.offer(pool_request, free_slots, now_s)
+        decision = pool.offer(pool_request, free_slots, now_s)
         outcome = None
-        if admitted.step is not Step.START:
+        if decision.step is not Step.START:
             self._waiters[call.number] = asyncio.get_running_loop().create_future()
-            self._notify(admitted.turned_away)
-            outcome = await self._wait(call, admitted.until_s)
-        call.entry = _entry_note(admitted, outcome, read_clock() - now_s, pool_request.came_back)
+            self._notify(decision.turned_away)
+            outcome = await self._wait(call, decision.until_s)
+        call.entry = _entry_note(decision, outcome, read_clock() - now_s, pool_request.came_back)
         return outcome
 
     def add_queued_load(self, service: str, candidates: list[Candidate]) -> list[Candidate]:
@@ -141,10 +141,10 @@
         for number in pool.look(free_slots, now_s) if free_slots else pool.release():
             self._waiters[number].set_result(None)
 
-    def _notify(self, turned_away: tuple[TurnedAway, ...]) -> None:
+    def _notify(self, rejections: tuple[TurnedAway, ...]) -> None:
         """Wake the waiters of requests that were rejected."""
-        for refusal in turned_away:
-            self._waiters[refusal.number].set_result(refusal)
+        for rejection in rejections:
+            self._waiters[rejection.number].set_result(rejection)
 
     def _pool_request(self, call: Call, target_id: str, now_s: float) -> Ticket:
         """Describe a request as the admission decision needs it."""
@@ -188,15 +188,15 @@
 
 
 def _entry_note(
-    admitted: Admitted, outcome: TurnedAway | None, waited_s: float, came_back: bool
+    decision: Admitted, outcome: TurnedAway | None, waited_s: float, came_back: bool
 ) -> EntryNote:
     """Return the log's record of an admission."""
-    step = outcome.why if outcome else admitted.step.value
+    step = outcome.why if outcome else decision.step.value
     return EntryNote(
         step,
-        int(admitted.expected_s * 1000),
+        int(decision.expected_s * 1000),
         int(waited_s * 1000),
-        admitted.room,
-        round(admitted.begun_part, 2),
+        decision.room,
+        round(decision.begun_part, 2),
         came_back,
     )
--- a/packages/router/src/damaskwind/router/forwarding/target_states.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_states.py
@@ -34,8 +34,9 @@
 REFUSED_AVOID_S = 0.1
 EJECTION_S = 1.0
 
-# Upper bound of the delay of a target's first report. The sequence number of a report tells
-# how long its incarnation has run: an older connection leads to the former incarnation.
+# Upper bound of the delay of a target's first report. The sequence number of a report counts
+# the heartbeats of an incarnation and so gives its age; a connection that is older by more than
+# this bound leads to the former incarnation.
 LATE_REPORT_S = 1.0
 
 
@@ -108,8 +109,8 @@
         self.forget(target_id)
         for health in self._health.values():
             health.forget(target_id)
-        started_s = record.sequence * self._heartbeat_s + LATE_REPORT_S
-        self.connections.abort_older(target_id, read_clock() - started_s)
+        age_s = record.sequence * self._heartbeat_s + LATE_REPORT_S
+        self.connections.abort_older(target_id, read_clock() - age_s)
 
     def forget(self, target_id: str) -> None:
         """Drop the state of a target that is gone."""
