--- a/packages/router/src/damaskwind/router/forwarding/connections.py
+++ b/packages/router/src/damaskwind/router/forwarding/connections.py
@@ -1,4 +1,4 @@
-"""Keep connections to targets, and hand out only those that are provably clean."""
+"""Pool connections to targets, and hand out only those that are provably clean."""
 
 import asyncio
 from weakref import WeakSet
@@ -12,37 +12,39 @@
 
 __all__ = ["SETTLE_S", "TargetConnections"]
 
-# A new connection inside a region stands within some ms; a lost opening packet
-# is sent again after a second, and by then another target has answered.
-CONNECT_S = 0.3
-# Idle time without the target's word on it; targets close idle connections.
-IDLE_S = 2.0
-# So long a connection has to stand to count.
+# A connection inside a region is established within some ms. A lost SYN packet is
+# retransmitted after a second, by which time another target has answered.
+CONNECT_TIMEOUT_S = 0.3
+# Idle time if the target's answer states none; targets close idle connections.
+DEFAULT_IDLE_S = 2.0
+# A connection counts as accepted by the target if it is still open after this time.
 SETTLE_S = 0.02
-# A target that could not be reached is tried again this often, without a request:
-# whoever waits for a lost opening packet comes too late.
-WATCH_S = 0.4
-# After so many tries somebody else has to know better: a heartbeat, or a leave.
+# An unreachable target is probed at this interval, without a request: a request that waits
+# for a lost SYN packet misses its deadline.
+WATCH_INTERVAL_S = 0.4
+# After this many probes the target is tried with requests again; that it is gone has to come
+# from its heartbeats or its leave.
 WATCH_TRIES = 60
-# Distance kept from the idle time that the target names.
+# Safety margin below the idle time that the target states.
 IDLE_MARGIN_S = 0.5
 
 
 class TargetConnections:
-    """Idle connections by target id, and those in use while they last."""
+    """The idle connections by target id, and weak references to all that are open."""
 
     def __init__(self) -> None:
         self.opened = 0
-        self._made: dict[str, WeakSet[ClientConnection]] = {}
+        self._established: dict[str, WeakSet[ClientConnection]] = {}
         self._idle: dict[str, list[ClientConnection]] = {}
         self._watches: dict[str, asyncio.Task] = {}
 
-    async def take(
-        self, target_id: str, address: Address, timeout_s: float, has_to_stand: bool = False
+    async def acquire(
+        self, target_id: str, address: Address, timeout_s: float, must_stay_open: bool = False
     ) -> ClientConnection:
-        """Return a clean connection, kept or new, with `has_to_stand` one that stood for a while.
+        """Return a clean connection, pooled or new.
 
-        Raises `ConnectFailedError` when none stands in time: nothing was sent.
+        With `must_stay_open` a new one is returned only after it has stayed open for `SETTLE_S`.
+        Raise `ConnectFailedError` if none is established in time: nothing was sent.
         """
         idle = self._idle.get(target_id, [])
         now_s = read_clock()
@@ -52,14 +54,14 @@
                 return connection
             connection.close()
         self.opened += 1
-        connection = await connect(address, min(timeout_s, CONNECT_S))
-        if has_to_stand and not await self._stands(connection):
+        connection = await connect(address, min(timeout_s, CONNECT_TIMEOUT_S))
+        if must_stay_open and not await self._stays_open(connection):
             raise ConnectFailedError("the connection was reset before anything was sent")
-        self._made.setdefault(target_id, WeakSet()).add(connection)
+        self._established.setdefault(target_id, WeakSet()).add(connection)
         return connection
 
-    def give_back(self, target_id: str, connection: ClientConnection, headers: Headers) -> None:
-        """Keep a connection whose answer was read to its end, if it may be kept."""
+    def release(self, target_id: str, connection: ClientConnection, headers: Headers) -> None:
+        """Return a connection to the pool after a complete answer, if it may be reused."""
         if not connection.release():
             return
         idle_s = _idle_s(headers)
@@ -70,25 +72,25 @@
         self._idle.setdefault(target_id, []).append(connection)
 
     def is_unreachable(self, target_id: str) -> bool:
-        """Tell whether no connection to a target came about lately."""
+        """Tell whether the last connection attempt to a target failed and it is being probed."""
         return target_id in self._watches
 
-    async def try_once(self, target_id: str, address: Address) -> bool:
-        """Tell whether a target takes a connection and keeps it; one that stands is kept here.
+    async def probe(self, target_id: str, address: Address) -> bool:
+        """Tell whether a target accepts a connection and keeps it open; pool that connection.
 
-        What stands before targets may take a connection for one that has ended, and reset it.
+        A proxy in front of a target that has exited may accept a connection and then reset it.
         """
         try:
-            connection = await connect(address, CONNECT_S)
+            connection = await connect(address, CONNECT_TIMEOUT_S)
         except ConnectFailedError:
             return False
-        stands = await self._stands(connection)
-        if stands:
-            self.put_back(target_id, connection)
-        return stands
+        stays_open = await self._stays_open(connection)
+        if stays_open:
+            self.return_unused(target_id, connection)
+        return stays_open
 
-    async def _stands(self, connection: ClientConnection) -> bool:
-        """Tell whether a new connection is still there after a while."""
+    async def _stays_open(self, connection: ClientConnection) -> bool:
+        """Tell whether a new connection is still open after `SETTLE_S`."""
         lost = asyncio.Event()
         connection.on_lost = lambda _: lost.set()
         try:
@@ -103,25 +105,25 @@
             connection.on_lost = None
         return False
 
-    def put_back(self, target_id: str, connection: ClientConnection) -> None:
-        """Keep a connection on which nothing was sent."""
-        connection.usable_until_s = read_clock() + IDLE_S
+    def return_unused(self, target_id: str, connection: ClientConnection) -> None:
+        """Return a connection on which nothing was sent to the pool."""
+        connection.usable_until_s = read_clock() + DEFAULT_IDLE_S
         self._idle.setdefault(target_id, []).append(connection)
 
     def watch(self, target_id: str, address: Address) -> None:
-        """Try to reach a target until it can be reached again."""
+        """Start to probe a target until it is reachable again."""
         if target_id not in self._watches:
             logger.warning("target unreachable", target=target_id, address=str(address))
             watching = self._watch(target_id, address)
             self._watches[target_id] = asyncio.ensure_future(watching)
 
     async def _watch(self, target_id: str, address: Address) -> None:
-        """Connect without a request; keep the connection that stands for the next one."""
+        """Probe without a request; a connection that stays open is pooled for the next one."""
         begun_s = read_clock()
         try:
             for _ in range(WATCH_TRIES):
-                await asyncio.sleep(WATCH_S)
-                if await self.try_once(target_id, address):
+                await asyncio.sleep(WATCH_INTERVAL_S)
+                if await self.probe(target_id, address):
                     break
             took_s = round(read_clock() - begun_s, 2)
             logger.info("target tried again", target=target_id, after_s=took_s)
@@ -129,17 +131,17 @@
             self._watches.pop(target_id, None)
 
     def forget(self, target_id: str) -> None:
-        """Close the idle connections to a target and stop trying to reach it."""
+        """Close the idle connections to a target and stop probing it."""
         if target_id in self._watches:
             self._watches[target_id].cancel()
         for connection in self._idle.pop(target_id, []):
             connection.close()
-        if not self._made.get(target_id):
-            self._made.pop(target_id, None)
+        if not self._established.get(target_id):
+            self._established.pop(target_id, None)
 
-    def end_former(self, target_id: str, before_s: float) -> None:
-        """Reset the connections in use that were made before a monotonic time."""
-        for connection in list(self._made.get(target_id, ())):
+    def abort_older(self, target_id: str, before_s: float) -> None:
+        """Abort the connections that were established before `before_s`, a monotonic time."""
+        for connection in list(self._established.get(target_id, ())):
             if connection.made_s < before_s:
                 connection.abort()
 
@@ -150,7 +152,7 @@
 
 
 def _idle_s(headers: Headers) -> float:
-    """Return how long a connection may be kept idle by an answer's headers.
+    """Return the seconds for which a connection may stay idle, from an answer's headers.
 
     >>> _idle_s([(b"keep-alive", b"timeout=5")]), _idle_s([(b"connection", b"close")])
     (4.5, 0.0)
@@ -161,4 +163,4 @@
         name, _, value = item.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return max(int(value) - IDLE_MARGIN_S, 0.0)
-    return IDLE_S
+    return DEFAULT_IDLE_S
--- /dev/null
+++ b/packages/router/src/damaskwind/router/forwarding/crash_detector.py
@@ -0,0 +1,95 @@
+"""Find out whether a target has crashed when attempts at it break.
+
+A reset connection or a truncated answer looks the same whether the target has exited or
+still runs. A new connection tells them apart: the port of an exited process refuses it.
+"""
+
+import asyncio
+from collections.abc import Callable
+from typing import NamedTuple
+
+from loguru import logger
+
+from damaskwind.decisions.fatal_requests.suspicion import SuspicionLevel
+from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
+from damaskwind.router.forwarding.target_states import TargetStates
+
+__all__ = ["BrokenSend", "CrashDetector"]
+
+# Limit on the requests in flight that a log line lists for one target.
+LISTED_REQUESTS = 16
+
+
+class BrokenSend(NamedTuple):
+    """An attempt that broke.
+
+    `digest` identifies the request, `level` is its suspicion level when it was sent, and
+    `request_id` is for the log.
+    """
+
+    digest: bytes
+    level: SuspicionLevel
+    request_id: bytes
+
+
+CrashCallback = Callable[[TargetRecord, list[BrokenSend]], None]
+
+
+class CrashDetector:
+    """Probes the targets of one router whose sends broke.
+
+    The `on_crashed` callbacks get each target that has exited unexpectedly, with the sends that
+    broke at this router. The exit of a leaving target is expected and not reported.
+    """
+
+    def __init__(self, target_states: TargetStates) -> None:
+        self.on_crashed: list[CrashCallback] = []
+        self._target_states = target_states
+        self._connections = target_states.connections
+        self._probes: dict[str, asyncio.Task[bool]] = {}
+        self._broken: dict[str, list[BrokenSend]] = {}
+
+    def probe(self, target: TargetRecord, broken: BrokenSend) -> asyncio.Task[bool]:
+        """Record a broken send; the returned task tells whether its target has crashed.
+
+        Sends to a target that break together share one probe.
+        """
+        target_id = target.target_id
+        self._broken.setdefault(target_id, []).append(broken)
+        probe = self._probes.get(target_id)
+        if probe is None:
+            probe = self._probes[target_id] = asyncio.ensure_future(self._probe(target))
+        return probe
+
+    async def _probe(self, target: TargetRecord) -> bool:
+        target_id = target.target_id
+        try:
+            answers = await self._connections.probe(target_id, target.address)
+        finally:
+            del self._probes[target_id]
+            broken = self._broken.pop(target_id)
+        phase = self._target_states.view.targets.phase_of(target_id)
+        has_announced = self._target_states.has_announced_leaving(target)
+        is_leaving = has_announced or phase is not TargetPhase.SERVING
+        has_crashed = not answers and not is_leaving
+        logger.warning(
+            "sends broken",
+            target=target_id,
+            address=str(target.address),
+            answers=answers,
+            is_leaving=is_leaving,
+            sends=len(broken),
+            requests=[
+                [item.request_id.decode("latin-1"), item.digest.hex()]
+                for item in broken[:LISTED_REQUESTS]
+            ],
+        )
+        if phase in (None, TargetPhase.GONE):
+            # Another target may have its address by now, so it is not probed again.
+            self._connections.forget(target_id)
+        elif not answers:
+            self._connections.watch(target_id, target.address)
+        if has_crashed:
+            for callback in self.on_crashed:
+                callback(target, broken)
+        return has_crashed
--- a/packages/router/src/damaskwind/router/forwarding/final_answers.py
+++ b/packages/router/src/damaskwind/router/forwarding/final_answers.py
@@ -1,11 +1,11 @@
-"""Give a request its final answer, and write the one line that tells its story."""
+"""Give a request its final answer, and log its summary line."""
 
 from loguru import logger
 
 from damaskwind.router.forwarding.attempt import AttemptEnd, AttemptOutcome
 from damaskwind.router.forwarding.call import Call
 from damaskwind.router.forwarding.delivery import Delivery
-from damaskwind.router.forwarding.pool_entries import PoolEntries
+from damaskwind.router.forwarding.pool_admissions import PoolAdmissions
 from damaskwind.runtime.clock import read_clock
 from damaskwind.runtime.http1.exchange import Exchange
 from damaskwind.runtime.http1.messages import Answer
@@ -13,25 +13,25 @@
 
 __all__ = ["FinalAnswers"]
 
-# A router that has just started knows a configuration after some 0.5 s, when replicas
-# on a quarter of a core have started too; who comes back sooner is refused once more,
-# and who comes back much later is late.
-START_S = 0.8
-NOT_READY_RETURN_S = 0.3
+# A router that has just started gets a configuration after some 0.5 s if the replicas, on a
+# quarter of a core each, have just started too. A caller that retries sooner is refused again,
+# and one that retries much later loses time.
+STARTUP_S = 0.8
+NOT_READY_RETRY_S = 0.3
 
 
 class FinalAnswers:
-    """The ends of one router's requests; `started_s` is when its process began to serve."""
+    """Final answers of one router; `started_s` is when its process began to serve."""
 
-    def __init__(self, entries: PoolEntries, started_s: float) -> None:
+    def __init__(self, admissions: PoolAdmissions, started_s: float) -> None:
         self.tallies = Tallies()
-        self._entries = entries
+        self._admissions = admissions
         self._started_s = started_s
 
     def finish(
         self, exchange: Exchange, call: Call, delivery: Delivery, outcome: AttemptOutcome
     ) -> None:
-        """Give the final answer, if the caller has none yet."""
+        """Send the final answer, or abort an answer that has begun and can't be completed."""
         if outcome.end is AttemptEnd.DELIVERED:
             self.log(call, delivery, "delivered", outcome.why)
             return
@@ -40,12 +40,16 @@
             self.log(call, delivery, "cut", outcome.why)
             return
         if outcome.answer is not None:
-            delivery.whole(outcome.answer)
+            delivery.send_whole(outcome.answer)
             self.log(call, delivery, "target failure passed on", outcome.why)
             return
         if not call.may_have_run:
-            return_s = self._entries.return_s(call) if call.return_s is None else call.return_s
-            headers = [(b"retry-after", b"%.3f" % return_s)]
+            retry_after_s = (
+                self._admissions.retry_after_s(call)
+                if call.retry_after_s is None
+                else call.retry_after_s
+            )
+            headers = [(b"retry-after", b"%.3f" % retry_after_s)]
             exchange.respond(Answer(503, headers))
             self.log(call, delivery, "refused as not run", outcome.why)
             return
@@ -54,19 +58,19 @@
         self.log(call, delivery, "failed, may have run", outcome.why)
 
     def refuse_fatal(self, exchange: Exchange, call: Call, delivery: Delivery, ends: int) -> None:
-        """Refuse a request under which so many targets ended; coming back would not help."""
+        """Refuse a request that crashed `ends` targets, without Retry-After: no retry helps."""
         exchange.respond(Answer(503, []))
         self.log(call, delivery, "refused as fatal", f"{ends} targets ended under it")
 
     def refuse(
         self, exchange: Exchange, request_id: bytes, status: int, why: str, version: int = 0
     ) -> None:
-        """Answer a request that reached no route."""
+        """Answer a request for which no route was resolved."""
         headers = []
         if status == 503:
-            left_s = self._started_s + START_S - read_clock()
-            return_s = max(left_s, NOT_READY_RETURN_S)
-            headers.append((b"retry-after", b"%.3f" % return_s))
+            left_s = self._started_s + STARTUP_S - read_clock()
+            retry_after_s = max(left_s, NOT_READY_RETRY_S)
+            headers.append((b"retry-after", b"%.3f" % retry_after_s))
         exchange.respond(Answer(status, headers))
         self.tallies.count("requests", outcome=f"refused {status}", kind="none")
         logger.info(
@@ -78,7 +82,7 @@
         )
 
     def log(self, call: Call, delivery: Delivery, outcome: str, why: str) -> None:
-        """Count a request and write the one line that tells its story."""
+        """Count a request and log its summary line."""
         kind = call.route.kind.value
         self.tallies.count("requests", outcome=outcome, kind=kind)
         self.tallies.observe("request_duration", read_clock() - call.started_s, kind=kind)
--- /dev/null
+++ b/packages/router/src/damaskwind/router/forwarding/pool_admissions.py
@@ -0,0 +1,203 @@
+"""Admit requests to pools: start, queue or reject them as `decisions/admission` decides."""
+
+import asyncio
+from random import Random
+
+from damaskwind.decisions.admission.fair_queue import PoolRequest
+from damaskwind.decisions.admission.pool_admission import (
+    AdmissionDecision,
+    AdmissionStep,
+    PoolAdmission,
+    PoolRejection,
+)
+from damaskwind.decisions.admission.start_window import WindowPolicy
+from damaskwind.decisions.placement.affinity import Candidate
+from damaskwind.router.forwarding.call import Call, EntryNote
+from damaskwind.router.forwarding.target_states import TargetStates, free_slots_of
+from damaskwind.runtime.clock import read_clock
+
+__all__ = ["PoolAdmissions"]
+
+# Requests that a target may be sent, by all routers together, before its latency is known:
+# about 32 prompts of some ten ms each.
+INITIAL_PER_TARGET = 32
+# Lower bound of one router's share, which may be small while its callers arrive in bursts.
+MIN_INITIAL = 2.0
+# A request whose remaining time is below this fraction of the longest one stated on its route
+# counts as a retry, whose caller spent the rest on an earlier attempt: the timeouts of callers
+# differ by only some 15 in 100.
+FIRST_ATTEMPT_SHARE = 0.8
+# Polling interval of the queue: slots also come free without an event at this router, since
+# an overdue request no longer occupies one.
+POLL_S = 0.05
+
+
+class PoolAdmissions:
+    """Admission of one router's requests to all pools."""
+
+    def __init__(self, target_states: TargetStates, random: Random) -> None:
+        self._target_states = target_states
+        self._random = random
+        self._pools: dict[str, PoolAdmission] = {}
+        self._waiters: dict[int, asyncio.Future[PoolRejection | None]] = {}
+        self._longest_wait_s: dict[str, float] = {}
+        self._polled_s: dict[str, float] = {}
+        target_states.view.on_gone.append(self.forget)
+        target_states.view.on_restarted.append(lambda record: self.forget(record.target_id))
+
+    def forget(self, target_id: str) -> None:
+        """Drop the state of a target that is gone."""
+        for pool in self._pools.values():
+            pool.forget(target_id)
+
+    async def admit(self, call: Call, home: Candidate | None) -> PoolRejection | None:
+        """Wait until a request may be sent; return a refusal if it is rejected.
+
+        `home` is the only target that the request waits for; without it any target will do.
+        """
+        now_s = read_clock()
+        pool = self._pool(call.service)
+        pool_request = self._pool_request(call, home.target_id if home else "", now_s)
+        free_slots = (
+            [free_slots_of(home)] if home else self._target_states.free_slots(call.service, now_s)
+        )
+        decision = pool.offer(pool_request, free_slots, now_s)
+        outcome = None
+        if decision.step is not AdmissionStep.START:
+            self._waiters[call.number] = asyncio.get_running_loop().create_future()
+            self._notify(decision.turned_away)
+            outcome = await self._wait(call, decision.wait_until_s)
+        call.entry = _entry_note(decision, outcome, read_clock() - now_s, pool_request.came_back)
+        return outcome
+
+    def add_queued_load(self, service: str, candidates: list[Candidate]) -> list[Candidate]:
+        """Add the requests queued here for a target to its load, so that a hot one is avoided."""
+        pool = self._pool(service)
+        if not len(pool.queue):
+            return candidates
+        return [
+            item._replace(load=item.load + pool.waiting_for(item.target_id)) for item in candidates
+        ]
+
+    def sent(self, call: Call, target_id: str) -> None:
+        """Record that a request is sent to a target."""
+        pool = self._pool(call.service)
+        pool.sent(call.number, target_id, call.route.objective_s, read_clock())
+
+    def answer_started(self, call: Call) -> None:
+        """Record that the answer to a request began."""
+        self._pool(call.service).answer_started(call.number, read_clock())
+        self._start_ready(call.service)
+
+    def ended(self, call: Call) -> None:
+        """Record that the last attempt of a request has ended, or that its answer can't begin."""
+        self._pool(call.service).ended(call.number)
+        self._start_ready(call.service)
+
+    def rejected_by_target(self, call: Call, target_id: str) -> None:
+        """Record that a target refused a request because it had no free slot."""
+        self._pool(call.service).rejected_by_target(target_id, read_clock())
+
+    def retry_after_s(self, call: Call) -> float:
+        """Return the seconds after which a caller that is refused now should retry."""
+        objective_s = call.route.objective_s
+        return self._pool(call.service).retry_after_s(objective_s, call.left_s(), read_clock())
+
+    def queued(self) -> int:
+        """Return the number of queued requests."""
+        return len(self._waiters)
+
+    async def _wait(self, call: Call, until_s: float) -> PoolRejection | None:
+        """Wait in the queue until `until_s`; return the refusal if the request was not started."""
+        pool, number = self._pool(call.service), call.number
+        future = self._waiters[number]
+        try:
+            while not future.done() and (left_s := until_s - read_clock()) > 0:
+                await asyncio.wait([future], timeout=min(left_s, POLL_S))
+                self._poll(call.service)
+            if future.done():
+                return future.result()
+            return pool.expire(number, read_clock())
+        finally:
+            # This also runs when the caller has left and the wait is canceled.
+            pool.withdraw(number)
+            del self._waiters[number]
+
+    def _poll(self, service: str) -> None:
+        """Poll a pool's queue, at most once per `POLL_S`: every waiter calls this."""
+        now_s = read_clock()
+        if now_s - self._polled_s.get(service, 0.0) >= POLL_S:
+            self._polled_s[service] = now_s
+            self._start_ready(service)
+
+    def _start_ready(self, service: str) -> None:
+        """Start the queued requests for which there is headroom now."""
+        pool = self._pool(service)
+        if not len(pool.queue):
+            return
+        now_s = read_clock()
+        free_slots = self._target_states.free_slots(service, now_s)
+        # If no target takes work, all leave the queue, to be placed again and refused at once.
+        for number in pool.admit_waiting(free_slots, now_s) if free_slots else pool.release_all():
+            self._waiters[number].set_result(None)
+
+    def _notify(self, rejections: tuple[PoolRejection, ...]) -> None:
+        """Wake the waiters of requests that were rejected."""
+        for rejection in rejections:
+            self._waiters[rejection.number].set_result(rejection)
+
+    def _pool_request(self, call: Call, target_id: str, now_s: float) -> PoolRequest:
+        """Describe a request as the admission decision needs it."""
+        route, facts = call.route, call.facts
+        came_back = False
+        if facts.has_deadline:
+            # Capped by the route's timeout: otherwise one caller with an absurd deadline would
+            # make the requests of all others count as retries.
+            wait_s = min(facts.wait_s, route.timeout_s)
+            longest_s = max(self._longest_wait_s.get(route.name, 0.0), wait_s)
+            self._longest_wait_s[route.name] = longest_s
+            came_back = wait_s < FIRST_ATTEMPT_SHARE * longest_s
+        account = call.account.name if call.account else ""
+        return PoolRequest(
+            call.number,
+            call.priority,
+            account,
+            now_s,
+            call.deadline_s,
+            route.objective_s,
+            came_back,
+            target_id,
+        )
+
+    def _pool(self, service: str) -> PoolAdmission:
+        """Return the admission state of a pool, creating it on first use."""
+        pool = self._pools.get(service)
+        if pool is None:
+            policy = self._initial_policy(service)
+            pool = self._pools[service] = PoolAdmission(self._random, policy)
+        return pool
+
+    def _initial_policy(self, service: str) -> WindowPolicy:
+        """Return the window of this router for a pool whose latency is not known yet."""
+        view = self._target_states.view
+        share = INITIAL_PER_TARGET / view.routers
+        targets = len(view.serving(service))
+        return WindowPolicy(
+            initial_limit=max(MIN_INITIAL, share),
+            initial_pool_limit=max(MIN_INITIAL, share * targets),
+        )
+
+
+def _entry_note(
+    decision: AdmissionDecision, outcome: PoolRejection | None, waited_s: float, came_back: bool
+) -> EntryNote:
+    """Return the log's record of an admission."""
+    step = outcome.why if outcome else decision.step.value
+    return EntryNote(
+        step,
+        int(decision.expected_wait_s * 1000),
+        int(waited_s * 1000),
+        decision.room,
+        round(decision.begun_part, 2),
+        came_back,
+    )
--- a/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
@@ -1,7 +1,8 @@
-"""Share with all routers what requests did to targets, by way of the replicas.
+"""Share suspicions of fatal requests with all routers, through the control replicas.
 
-What is new here goes to every replica at once; each wakes the routers that have it first.
-A replica that can't be reached, or has started anew, is told when it is heard again.
+A change is sent to every replica at once, and each replica wakes the routers that rank it
+first. A replica that is unreachable, or has restarted, is sent all it lacks when its next
+update arrives.
 """
 
 import asyncio
@@ -25,122 +26,129 @@
 
 __all__ = ["SuspicionRelay"]
 
-CONNECT_S = 0.5
-ANSWER_S = 0.8
+CONNECT_TIMEOUT_S = 0.5
+ANSWER_TIMEOUT_S = 0.8
 ANSWER_LIMIT_BYTES = 4096
-# A call with so many is 6 KB.
-TOLD_AT_ONCE = 256
-FORGET_EVERY_S = 30.0
+# A call with this many suspicions is 6 KB.
+MAX_BATCH = 256
+EXPIRY_INTERVAL_S = 30.0
 
 
 class SuspicionRelay:
-    """What one router knows of fatal requests, and what it still owes each replica."""
+    """One router's table of suspicions, and the digests that each replica has yet to receive."""
 
     def __init__(self, news_port: int, spread: float = 0.0) -> None:
         self.table = SuspicionTable(spread)
-        self._good_ends = RecentCompletions()
+        self._completions = RecentCompletions()
         self._news_port = news_port
-        self._forgot_s = 0.0
+        self._expired_at_s = 0.0
         self._epochs: dict[str, str] = {}
-        # In the order in which they came.
-        self._owed: dict[str, dict[bytes, None]] = {}
-        self._telling: dict[str, asyncio.Task] = {}
+        # Digests not yet sent, by replica; dicts serve as ordered sets.
+        self._pending: dict[str, dict[bytes, None]] = {}
+        self._sending: dict[str, asyncio.Task] = {}
 
     async def stop(self) -> None:
-        """Tell no more."""
-        for task in self._telling.values():
+        """Stop sending."""
+        for task in self._sending.values():
             task.cancel()
-        await asyncio.gather(*self._telling.values(), return_exceptions=True)
+        await asyncio.gather(*self._sending.values(), return_exceptions=True)
 
     def follow(self, host: str) -> None:
-        """Tell a replica too."""
-        self._owed.setdefault(host, dict.fromkeys(self.table.digests()))
+        """Send suspicions to a replica too, beginning with all that are known."""
+        self._pending.setdefault(host, dict.fromkeys(self.table.digests()))
 
     def standing(self, digest: bytes) -> Standing:
         """Return what may be done with a request now."""
         return self.table.standing(digest, read_clock())
 
-    def note_end(self, sends: Iterable[tuple[bytes, SuspicionLevel]]) -> None:
-        """Take that a target ended under these requests, sent with this known of them."""
+    def record_target_end(self, sends: Iterable[tuple[bytes, SuspicionLevel]]) -> None:
+        """Record that a target crashed with these requests in flight.
+
+        Each is given with its suspicion level when it was sent.
+        """
         now_s = read_clock()
-        self._tell_all([digest for digest, known in sends if self._note_end(digest, known, now_s)])
+        self._queue_for_all(
+            [digest for digest, level in sends if self._record_target_end(digest, level, now_s)]
+        )
 
-    def _note_end(self, digest: bytes, known: SuspicionLevel, now_s: float) -> bool:
-        if self._good_ends.has(digest, now_s):
+    def _record_target_end(self, digest: bytes, level: SuspicionLevel, now_s: float) -> bool:
+        if self._completions.has(digest, now_s):
             return False
-        is_news = self.table.record_target_end(digest, known, now_s)
-        if is_news:
+        is_new = self.table.record_target_end(digest, level, now_s)
+        if is_new:
             self._log_fatal(digest, "here")
-        return is_news
+        return is_new
 
-    def note_survived(self, digest: bytes) -> None:
-        """Take that a target has run a request to its end."""
+    def record_completion(self, digest: bytes) -> None:
+        """Record that a target has run a request to completion."""
         now_s = read_clock()
-        self._good_ends.record(digest, now_s)
+        self._completions.record(digest, now_s)
         self._clear(digest, now_s)
 
     def _clear(self, digest: bytes, now_s: float) -> None:
         """Clear a request that is under suspicion, here and elsewhere."""
         if self.table.record_completion(digest, now_s):
             logger.info("request cleared", digest=digest.hex())
-            self._tell_all([digest])
+            self._queue_for_all([digest])
 
     def take_news(self, host: str, news: News) -> None:
-        """Merge what a replica knows, and tell it what it may lack."""
+        """Merge the suspicions of a replica, and send it those that it may lack."""
         now_s = read_clock()
         for digest in self.table.merge(news.suspicions, now_s):
-            if self._good_ends.has(digest, now_s):
+            if self._completions.has(digest, now_s):
                 self._clear(digest, now_s)
             else:
                 self._log_fatal(digest, host)
-        if now_s - self._forgot_s > FORGET_EVERY_S:
-            self._forgot_s = now_s
+        if now_s - self._expired_at_s > EXPIRY_INTERVAL_S:
+            self._expired_at_s = now_s
             self.table.forget(now_s)
         if self._epochs.get(host) != news.epoch:
             self._epochs[host] = news.epoch
-            self._owed[host] = dict.fromkeys(self.table.digests())
-        self._tell(host)
+            self._pending[host] = dict.fromkeys(self.table.digests())
+        self._start_sending(host)
 
     def count(self, standing: Standing) -> int:
         """Return how many requests have this standing now."""
         return self.table.count(standing, read_clock())
 
-    def _log_fatal(self, digest: bytes, told_by: str) -> None:
-        """Write a line for a request that is sent no more from now on."""
+    def _log_fatal(self, digest: bytes, source: str) -> None:
+        """Log a request that is now held fatal, so that it is not sent any more."""
         if self.standing(digest) is Standing.FATAL:
             ends = self.table.level(digest).ends
-            logger.warning("request held fatal", digest=digest.hex(), ends=ends, told_by=told_by)
-
-    def _tell_all(self, digests: list[bytes]) -> None:
-        for host, owed in self._owed.items():
-            owed.update(dict.fromkeys(digests))
-            self._tell(host)
-
-    def _tell(self, host: str) -> None:
-        if self._owed.get(host) and host not in self._telling:
-            task = self._telling[host] = asyncio.ensure_future(self._tell_owed(host))
-            task.add_done_callback(lambda _: self._telling.pop(host, None))
-
-    async def _tell_owed(self, host: str) -> None:
-        """Tell a replica what it is owed; what fails is told when it is heard again."""
-        owed = self._owed[host]
-        while owed:
-            part = list(islice(owed, TOLD_AT_ONCE))
-            for digest in part:
-                del owed[digest]
+            logger.warning("request held fatal", digest=digest.hex(), ends=ends, told_by=source)
+
+    def _queue_for_all(self, digests: list[bytes]) -> None:
+        for host, pending in self._pending.items():
+            pending.update(dict.fromkeys(digests))
+            self._start_sending(host)
+
+    def _start_sending(self, host: str) -> None:
+        if self._pending.get(host) and host not in self._sending:
+            task = self._sending[host] = asyncio.ensure_future(self._send_pending(host))
+            task.add_done_callback(lambda _: self._sending.pop(host, None))
+
+    async def _send_pending(self, host: str) -> None:
+        """Send a replica its pending suspicions; on failure they wait for its next update."""
+        pending = self._pending[host]
+        while pending:
+            batch = list(islice(pending, MAX_BATCH))
+            for digest in batch:
+                del pending[digest]
             try:
-                await self._call(host, part)
+                await self._call(host, batch)
             except (ConnectFailedError, AnswerBrokenError, TimeoutError) as error:
-                owed.update(dict.fromkeys(part))
-                logger.info("suspicions not told", host=host, requests=len(owed), why=repr(error))
+                pending.update(dict.fromkeys(batch))
+                logger.info(
+                    "suspicions not sent", host=host, requests=len(pending), why=repr(error)
+                )
                 return
 
     async def _call(self, host: str, digests: list[bytes]) -> None:
         items = self.table.entries(digests, read_clock())
-        connection = await connect(Address(host, self._news_port), CONNECT_S)
+        connection = await connect(Address(host, self._news_port), CONNECT_TIMEOUT_S)
         request = Request(b"POST", SUSPICIONS_PATH, [(b"host", b"control")], encode(items))
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 answer = await fetch(connection, request, ANSWER_LIMIT_BYTES)
         finally:
             connection.abort()
--- a/packages/router/src/damaskwind/router/forwarding/target_activity.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_activity.py
@@ -1,76 +1,77 @@
-"""Notice targets that say nothing while requests wait for them.
+"""Detect unresponsive targets: those that send nothing while requests wait for them.
 
-A target that has crashed with its VM, or behind a cut, resets nothing: its
-connections just stay silent. What tells it from a slow one is that it is silent
-on all of them.
+A target that has crashed with its VM, or is behind a network partition, resets no
+connection: they just stay silent. It differs from a slow target in that all its
+connections are silent.
 """
 
 __all__ = ["TargetActivity"]
 
-# A plain service answers within some ten ms, and any of its targets will do.
-DARK_S = 0.5
-# The longest usual wait for an engine's first token is half a second, and what
-# leaves its home without need has all that it shares read again.
-DARK_ENGINE_S = 1.5
+# A plain service answers within some ten ms, and its targets are interchangeable.
+UNRESPONSIVE_S = 0.5
+# An engine's first token usually takes half a second at most, and a request that leaves
+# its home target needlessly has its shared prompt prefix computed again.
+UNRESPONSIVE_ENGINE_S = 1.5
 
 
 class TargetActivity:
-    """When each target last sent anything here, and who waits for it.
+    """When each target last sent anything to this router, and the requests waiting for it.
 
     >>> activity = TargetActivity()
-    >>> waiting = activity.begin("t", 0.0)
-    >>> activity.is_dark("t", 0.4), activity.is_dark("t", 0.6)
+    >>> waiting = activity.begin_wait("t", 0.0)
+    >>> activity.is_unresponsive("t", 0.4), activity.is_unresponsive("t", 0.6)
     (False, True)
-    >>> activity.heard("t", 0.6); activity.is_dark("t", 1.0)
+    >>> activity.note_received("t", 0.6); activity.is_unresponsive("t", 1.0)
     False
-    >>> activity.end("t", waiting); activity.is_dark("t", 9.0)
+    >>> activity.end_wait("t", waiting); activity.is_unresponsive("t", 9.0)
     False
     """
 
     def __init__(self) -> None:
-        self._heard_s: dict[str, float] = {}
+        self._received_s: dict[str, float] = {}
         self._waiting: dict[str, dict[int, float]] = {}
-        self._next = 0
+        self._last_number = 0
 
-    def begin(self, target_id: str, now_s: float) -> int:
-        """Note that a request is sent; return its number."""
-        self._next += 1
-        self._waiting.setdefault(target_id, {})[self._next] = now_s
-        return self._next
+    def begin_wait(self, target_id: str, now_s: float) -> int:
+        """Record that a request is sent; return a number that identifies the wait."""
+        self._last_number += 1
+        self._waiting.setdefault(target_id, {})[self._last_number] = now_s
+        return self._last_number
 
-    def end(self, target_id: str, number: int) -> None:
-        """Note that nothing more is awaited for a request."""
+    def end_wait(self, target_id: str, number: int) -> None:
+        """Record that a request no longer waits for its target."""
         waiting = self._waiting.get(target_id, {})
         waiting.pop(number, None)
         if not waiting:
             self._waiting.pop(target_id, None)
 
-    def heard(self, target_id: str, now_s: float) -> None:
-        """Note that a target sent something."""
-        self._heard_s[target_id] = now_s
+    def note_received(self, target_id: str, now_s: float) -> None:
+        """Record that a target sent something."""
+        self._received_s[target_id] = now_s
 
     def silent_s(self, target_id: str, now_s: float, woken_s: float = float("-inf")) -> float:
-        """Return for how long a target has kept all its requests waiting.
+        """Return for how long a target has kept all its requests waiting, in seconds.
 
-        What it sent before `woken_s`, while this process was away, may still be unread.
+        Silence counts from `woken_s` at the earliest, the end of the last suspension of this
+        process: what the target sent during it may still be unread.
         """
         waiting = self._waiting.get(target_id)
         if not waiting:
             return 0.0
         oldest_s = min(waiting.values())
-        return now_s - max(oldest_s, self._heard_s.get(target_id, oldest_s), woken_s)
+        return now_s - max(oldest_s, self._received_s.get(target_id, oldest_s), woken_s)
 
-    def is_dark(
+    def is_unresponsive(
         self,
         target_id: str,
         now_s: float,
         is_engine: bool = False,
         woken_s: float = float("-inf"),
     ) -> bool:
-        """Tell whether a target has been silent for too long to be given more."""
-        limit_s = DARK_ENGINE_S if is_engine else DARK_S
+        """Tell whether a target has been silent for too long to be sent more requests."""
+        limit_s = UNRESPONSIVE_ENGINE_S if is_engine else UNRESPONSIVE_S
         return self.silent_s(target_id, now_s, woken_s) > limit_s
 
     def forget(self, target_id: str) -> None:
         """Drop a target that is gone."""
-        self._heard_s.pop(target_id, None)
+        self._received_s.pop(target_id, None)
