--- a/packages/decisions/src/damaskwind/decisions/admission/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/__init__.py
@@ -1,1 +1,1 @@
-"""The queue of requests that wait for a target, by priority class."""
+"""Admission control: queues, windows and throttles of requests to pools of targets."""
