--- a/packages/decisions/src/damaskwind/decisions/claims/tests/test_holder.py
+++ b/packages/decisions/src/damaskwind/decisions/claims/tests/test_holder.py
@@ -127,22 +127,22 @@
 
     def test_answers_are_limited_individually_and_in_total(self):
         holder = make()
-        kept = {}
+        is_complete = {}
         for number, body in enumerate((b"12345678901", b"1234567890", b"123456")):
             key = f"k{number}"
             accept(holder, key)
             done = Outcome(Verdict.RAN, answer(body))
             holder.record(Record(key, Accepted(Ballot(1, "r0"), VALUE), done), 0.0)
             reply = holder.order(Order(key, Ballot(2, "x")), 0.0)
-            kept[number] = reply.outcome.answer.complete
-        self.assertEqual(kept, {0: False, 1: True, 2: False})
+            is_complete[number] = reply.outcome.answer.complete
+        self.assertEqual(is_complete, {0: False, 1: True, 2: False})
 
     def test_late_write_of_an_abandoned_request_is_rejected(self):
         holder = make()
         ballot = Ballot(1, "r0")
         holder.order(Order("k", ballot), 0.0)
-        gone = Record("k", Accepted(ballot, VALUE), Outcome(Verdict.NOT_RUN))
-        self.assertEqual(holder.record(gone, 0.0).rejection, Rejection.UNKNOWN)
+        not_run = Record("k", Accepted(ballot, VALUE), Outcome(Verdict.NOT_RUN))
+        self.assertEqual(holder.record(not_run, 0.0).rejection, Rejection.UNKNOWN)
         reply = holder.write(Write("k", ballot, VALUE, (Promise("h0", 1),)), 0.0)
         self.assertEqual(reply.rejection, Rejection.STALE_BALLOT)
 
--- a/packages/decisions/src/damaskwind/decisions/replication/tests/disk.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/tests/disk.py
@@ -42,8 +42,8 @@
 
     def crash(self, random: Random) -> None:
         """Lose the cache, except for a random prefix that reached the disk."""
-        kept = random.randint(0, len(self.cached)) if random.random() < 0.3 else 0
-        for write in self.cached[:kept]:
+        synced_count = random.randint(0, len(self.cached)) if random.random() < 0.3 else 0
+        for write in self.cached[:synced_count]:
             self._make_durable(write)
         self.cached.clear()
 
