--- a/packages/decisions/src/damaskwind/decisions/replication/leading.py
+++ b/packages/decisions/src/damaskwind/decisions/replication/leading.py
@@ -236,7 +236,7 @@
 
 
 def commit_and_respond(replica: Replica) -> None:
-    """Commit entries stored by a majority, then answer the proposals and reads that allows.
+    """Commit entries stored by a majority; answer proposals and reads that waited for them.
 
     A leader that is no longer a voter steps down once that change is committed.
     """
