--- a/packages/decisions/src/damaskwind/decisions/membership/tests/__init__.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the membership core."""
+"""Tests of the membership package."""
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/fuzzing.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/fuzzing.py
@@ -1,4 +1,4 @@
-"""Run random histories of targets for as long as asked."""
+"""Fuzz the target table with random histories for a given time."""
 
 from time import monotonic
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class FuzzResult(NamedTuple):
-    """What a run gave; `first_failed` is the first history of the batch that failed."""
+    """Result of a run; `first_failed` is the index of the first history of the failed batch."""
 
     histories: int
     duration_s: float
@@ -26,7 +26,7 @@
 
 
 def run_batch(seed: int, histories: int, bug: str | None = None, shrinks: bool = True) -> None:
-    """Run so many histories; raise `AssertionError` with the one that failed, shrunk."""
+    """Run a number of histories; raise `AssertionError` with the shrunk one that failed."""
 
     class Seeded(TargetHistory):
         """The histories of this batch."""
@@ -47,15 +47,17 @@
 
 
 def fuzz_targets(seed: int, seconds: float, histories: int, bug: str | None = None) -> FuzzResult:
-    """Run histories until the time or the count is used up, or one fails."""
+    """Run histories until the time or the count is reached, or one fails."""
     started_s = monotonic()
-    made = 0
-    while monotonic() - started_s < seconds and made < histories:
-        count = min(BATCH, histories - made)
+    completed = 0
+    while monotonic() - started_s < seconds and completed < histories:
+        count = min(BATCH, histories - completed)
         try:
-            run_batch(seed + made, count, bug)
+            run_batch(seed + completed, count, bug)
         except AssertionError as error:
             notes = "\n".join(getattr(error, "__notes__", ()))
-            return FuzzResult(made + count, monotonic() - started_s, made, f"{error}\n{notes}")
-        made += count
-    return FuzzResult(made, monotonic() - started_s, None, None)
+            return FuzzResult(
+                completed + count, monotonic() - started_s, completed, f"{error}\n{notes}"
+            )
+        completed += count
+    return FuzzResult(completed, monotonic() - started_s, None, None)
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/samples.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/samples.py
@@ -1,4 +1,4 @@
-"""Sample records, and a small network that carries messages between cores."""
+"""Sample records, and a simulated network that delivers messages between cores."""
 
 from collections.abc import Callable
 from random import Random
@@ -53,7 +53,10 @@
 
 
 class Network:
-    """Cores that hear each other in the next step, unless a link is cut."""
+    """Cores connected by links that deliver messages in the next step, or drop them.
+
+    `delivers` decides by sender and recipient, `copies` is how often each message arrives.
+    """
 
     def __init__(self, domains: list[str], seed: int = 1) -> None:
         self.now_s = 0.0
@@ -83,11 +86,11 @@
         return self.cores[router(index).address]
 
     def apply_output(self, core: MembershipCore, output: Output) -> None:
-        me = core.router_table.own_record
-        self.events += [(self.now_s, me.router_id, event) for event in output.events]
+        own_record = core.router_table.own_record
+        self.events += [(self.now_s, own_record.router_id, event) for event in output.events]
         for send in output.sends:
             for _ in range(self.copies):
-                self._in_flight.append((me, send))
+                self._in_flight.append((own_record, send))
 
     def announce(self, index: int, message: TargetAnnouncement) -> bool:
         core = self.core(index)
@@ -97,10 +100,10 @@
 
     def step(self) -> None:
         self.now_s += TICK_S
-        underway, self._in_flight = self._in_flight, []
+        in_flight, self._in_flight = self._in_flight, []
         if self.copies > 1:
-            self.random.shuffle(underway)
-        for sender, send in underway:
+            self.random.shuffle(in_flight)
+        for sender, send in in_flight:
             core = self.cores.get(send.address)
             if core is None or not self.delivers(
                 sender.router_id, core.router_table.own_record.router_id
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/seeded_faults.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Tables of targets with a fault put in on purpose, by name."""
+"""Target tables with seeded faults, by name."""
 
 from damaskwind.decisions.membership.target_record import TargetPhase
 from damaskwind.decisions.membership.target_table import TargetTable
@@ -7,7 +7,7 @@
 
 
 class Revives(TargetTable):
-    """Takes any later report for the truth."""
+    """Accepts reports that move an incarnation back to an earlier phase."""
 
     def merge(self, record, received_s):
         entry = self._entries.get(record.target_id)
@@ -18,7 +18,7 @@
 
 
 class TrustsLast(TargetTable):
-    """Takes no notice of sequences within a phase."""
+    """Ignores sequence numbers within a phase, so that the last received report wins."""
 
     def _merge_same_phase(self, entry, record, received_s):
         if record.phase is TargetPhase.GONE or record == entry.record:
@@ -28,31 +28,31 @@
 
 
 class BuriesSoon(TargetTable):
-    """Forgets that a target is gone after a second."""
+    """Removes tombstones after one second."""
 
     def forget(self, now_s):
-        old = [
+        expired = [
             key
             for key, entry in self._entries.items()
             if entry.record.phase is TargetPhase.GONE and now_s - entry.last_seen_s > 1.0
         ]
-        for key in old:
+        for key in expired:
             del self._entries[key]
         return []
 
 
 class TellsNoMoves(TargetTable):
-    """Changes an address without telling anybody."""
+    """Changes an address without increasing the revision, so it is not propagated."""
 
     def _merge_same_phase(self, entry, record, received_s):
-        revision, changed_at = self.revision, entry.changed_revision
+        revision, changed_revision = self.revision, entry.changed_revision
         changed = super()._merge_same_phase(entry, record, received_s)
-        self.revision, entry.changed_revision = revision, changed_at
+        self.revision, entry.changed_revision = revision, changed_revision
         return changed
 
 
 class MixesLives(TargetTable):
-    """Orders a target's reports by phase and sequence, whichever life they are of."""
+    """Orders a target's reports by phase and sequence, regardless of their incarnation."""
 
     def merge(self, record, received_s):
         entry = self._entries.get(record.target_id)
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/target_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/target_histories.py
@@ -1,8 +1,8 @@
-"""Random histories of reports, news, restarts and cuts, against what targets said.
+"""Random histories of reports, updates, restarts and partitions, checked with an oracle.
 
-Replicas and routers hold a `TargetTable` each. Targets report to replicas, late,
-twice and out of order; replicas tell each other and the routers what changed,
-over links that may be cut. The oracle is the list of what each target said.
+Each replica and router has a `TargetTable`. Targets report to replicas late, repeatedly
+and out of order. Replicas send changes to each other and to the routers over links that
+may be cut. The oracle is the list of all reports of each target.
 """
 
 from typing import NamedTuple
@@ -19,9 +19,9 @@
 REPLICAS = ("r0", "r1", "r2")
 ROUTERS = ("e0", "e1")
 TARGETS = ("ta", "tb", "tc")
-# One that tells no birth has one life.
+# A target that reports no start time has a single incarnation.
 WITHOUT_START_TIME = "tc"
-# A report may be this late; tombstones outlive it by far.
+# Maximum delay of a report; tombstones are kept far longer.
 MAX_REPORT_DELAY_S = 10.0
 
 replicas = st.sampled_from(REPLICAS)
@@ -30,19 +30,19 @@
 
 
 def _merge_order(record: TargetRecord) -> tuple[tuple[int, int], TargetPhase, int]:
-    """Return what grows over a target's lives."""
+    """Return the sort key that grows with every report of a target."""
     return (record.incarnation, record.phase, record.sequence)
 
 
 class SentReport(NamedTuple):
-    """One thing that a target said, and when."""
+    """A report of a target and the time at which it was sent."""
 
     record: TargetRecord
     at_s: float
 
 
 class ReportingTarget:
-    """A target of the oracle: its life so far and all that it said."""
+    """A target of the oracle: its current state and all of its reports."""
 
     def __init__(self, born_ms: int) -> None:
         self.born_ms = born_ms
@@ -53,7 +53,7 @@
 
 
 class TargetHistory(RuleBasedStateMachine):
-    """One history."""
+    """A random history of targets, replicas and routers."""
 
     table_class: type[TargetTable] = TargetTable
 
@@ -64,49 +64,49 @@
         self.sent_revisions: dict[tuple[str, str], int] = {}
         self.cut_links: set[frozenset[str]] = set()
         self.targets = {name: ReportingTarget(int(name != WITHOUT_START_TIME)) for name in TARGETS}
-        # The newest that a table was told, until the process restarts or forgets.
+        # The newest record delivered to each table, until the process restarts or removes it.
         self.known: dict[tuple[str, str], TargetRecord] = {}
 
     @rule(target_id=target_ids, replica=replicas)
     def report(self, target_id: str, replica: str) -> None:
-        """A target reports its present phase to a replica."""
+        """Report a target's current phase to a replica."""
         self._deliver(replica, self._make_report(target_id))
 
     @rule(target_id=target_ids, replica=replicas, phase=st.sampled_from(list(TargetPhase)))
     def change_phase(self, target_id: str, replica: str, phase: TargetPhase) -> None:
-        """A target moves on in its life and says so."""
-        one = self.targets[target_id]
-        one.phase = max(one.phase, phase)
+        """Advance a target's phase and report it."""
+        target = self.targets[target_id]
+        target.phase = max(target.phase, phase)
         self._deliver(replica, self._make_report(target_id))
 
     @rule(target_id=target_ids, replica=replicas, born_after_ms=st.integers(1, 3))
     def start_again(self, target_id: str, replica: str, born_after_ms: int) -> None:
-        """A target that tells its birth starts again under its id, and counts anew."""
-        one = self.targets[target_id]
+        """Restart a target that reports its start time: same id, new sequence numbers."""
+        target = self.targets[target_id]
         if target_id == WITHOUT_START_TIME:
             return
-        one.born_ms += born_after_ms
-        one.sequence, one.phase = 0, TargetPhase.SERVING
+        target.born_ms += born_after_ms
+        target.sequence, target.phase = 0, TargetPhase.SERVING
         self._deliver(replica, self._make_report(target_id))
 
     @rule(target_id=target_ids, replica=replicas)
     def move(self, target_id: str, replica: str) -> None:
-        """A target that serves reports another address."""
+        """Report a new address of a target."""
         self.targets[target_id].port += 1
         self._deliver(replica, self._make_report(target_id))
 
     @rule(target_id=target_ids, replica=replicas, index=st.integers(0, 30))
     def repeat_late(self, target_id: str, replica: str, index: int) -> None:
-        """An earlier report arrives once more, late."""
-        said = self.targets[target_id].reports
-        if said:
-            old = said[index % len(said)]
-            if self.now_s - old.at_s <= MAX_REPORT_DELAY_S:
-                self._deliver(replica, old.record)
+        """Deliver an earlier report again, with a delay."""
+        reports = self.targets[target_id].reports
+        if reports:
+            earlier = reports[index % len(reports)]
+            if self.now_s - earlier.at_s <= MAX_REPORT_DELAY_S:
+                self._deliver(replica, earlier.record)
 
     @rule(teller=replicas, listener=listeners)
     def tell(self, teller: str, listener: str) -> None:
-        """A replica tells what changed since it last told."""
+        """Send a replica's changes since its last update to another process."""
         if teller == listener or frozenset((teller, listener)) in self.cut_links:
             return
         table = self.tables[teller]
@@ -116,26 +116,26 @@
 
     @rule(teller=replicas, listener=listeners)
     def cut_link(self, teller: str, listener: str) -> None:
-        """Cut two processes from each other."""
+        """Cut the link between two processes."""
         self.cut_links.add(frozenset((teller, listener)))
 
     @rule()
     def heal(self) -> None:
-        """Mend all links."""
+        """Restore all links."""
         self.cut_links.clear()
 
     @rule(process=listeners)
     def restart(self, process: str) -> None:
-        """A process restarts with an empty table, and is told everything anew."""
+        """Restart a process with an empty table; it is sent all records again."""
         self.tables[process] = self.table_class()
         self.known = {key: record for key, record in self.known.items() if key[0] != process}
         self.sent_revisions = {
-            pair: at for pair, at in self.sent_revisions.items() if process not in pair
+            pair: revision for pair, revision in self.sent_revisions.items() if process not in pair
         }
 
     @rule(wait_s=st.sampled_from([0.1, 1.0, 9.0]))
     def wait(self, wait_s: float) -> None:
-        """Let time pass; tables forget what is too old."""
+        """Advance the time; tables remove what is too old."""
         self.now_s += wait_s
         for name, table in self.tables.items():
             for target in table.forget(self.now_s):
@@ -143,7 +143,7 @@
 
     @invariant()
     def no_target_comes_back(self) -> None:
-        """A table never shows an earlier life, nor one as serving that was leaving or gone."""
+        """Check that no table returns to an earlier incarnation or an earlier phase."""
         for (process, target_id), record in self.known.items():
             shown = self.tables[process].record_of(target_id)
             assert shown is not None, (process, record)
@@ -152,16 +152,16 @@
 
     @invariant()
     def nothing_is_invented(self) -> None:
-        """What a table shows of a target that serves, the target has said."""
+        """Check that every record of a serving target was reported by that target."""
         for process, table in self.tables.items():
             for record in table.serving():
-                said = [item.record for item in self.targets[record.target_id].reports]
-                assert record in said, (process, record)
+                reports = [item.record for item in self.targets[record.target_id].reports]
+                assert record in reports, (process, record)
 
     def teardown(self) -> None:
-        """With all links mended, replicas agree, and no router is behind them.
+        """Check that replicas converge once all links work, and that no router is behind.
 
-        A router may be ahead: the replica that took a report may have lost it.
+        A router may be ahead: the replica that received a report may have lost it.
         """
         self.heal()
         for _ in range(2):
@@ -174,16 +174,18 @@
             self._check_routers(target_id, self.tables[REPLICAS[0]].record_of(target_id))
 
     def _newest_known(self, target_id: str) -> tuple[int, TargetPhase, Address | None] | None:
-        """Return the newest that any replica was told."""
-        told = [self.known[name, target_id] for name in REPLICAS if (name, target_id) in self.known]
-        if not told:
+        """Return the newest state that was delivered to any replica."""
+        delivered = [
+            self.known[name, target_id] for name in REPLICAS if (name, target_id) in self.known
+        ]
+        if not delivered:
             return None
-        newest = max(told, key=_merge_order)
+        newest = max(delivered, key=_merge_order)
         is_gone = newest.phase is TargetPhase.GONE
         return (newest.born_ms, newest.phase, None if is_gone else newest.address)
 
     def _check_routers(self, target_id: str, newest: TargetRecord | None) -> None:
-        """Check that no router is behind what the replicas agree on."""
+        """Check that no router is behind the state on which the replicas agree."""
         if newest is None:
             return
         for name in ROUTERS:
@@ -198,25 +200,25 @@
     def _shown(
         self, process: str, target_id: str
     ) -> tuple[int, TargetPhase, Address | None] | None:
-        """Return what a table shows; where a target was that is gone does not matter."""
+        """Return the state of a target in a table, without the address if it is gone."""
         record = self.tables[process].record_of(target_id)
         if record is None:
             return None
         is_gone = record.phase is TargetPhase.GONE
         return (record.born_ms, record.phase, None if is_gone else record.address)
 
-    def _make_report(self, target: str) -> TargetRecord:
-        """Have a target say what it is now."""
-        one = self.targets[target]
-        one.sequence += 1
+    def _make_report(self, target_id: str) -> TargetRecord:
+        """Return a new report of a target's current state."""
+        target = self.targets[target_id]
+        target.sequence += 1
         record = TargetRecord(
-            target, "s", Address("127.0.0.1", one.port), "d", one.phase, one.sequence, 4
-        )._replace(born_ms=one.born_ms)
-        one.reports.append(SentReport(record, self.now_s))
+            target_id, "s", Address("127.0.0.1", target.port), "d", target.phase, target.sequence, 4
+        )._replace(born_ms=target.born_ms)
+        target.reports.append(SentReport(record, self.now_s))
         return record
 
     def _deliver(self, process: str, record: TargetRecord) -> None:
-        """Have a process take a record, and note what it knows from then on."""
+        """Merge a record into a process's table, and update the newest known record."""
         self.tables[process].merge(record, self.now_s)
         key = (process, record.target_id)
         self.known[key] = max(self.known.get(key, record), record, key=_merge_order)
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_histories.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_histories.py
@@ -1,4 +1,4 @@
-"""Tables agree over random histories, and seeded faults are found."""
+"""Tables converge over random histories, and seeded faults are detected."""
 
 from unittest import TestCase
 
@@ -7,10 +7,10 @@
 
 
 class TargetHistoriesTest(TestCase):
-    def test_tables_keep_what_targets_said(self):
+    def test_tables_converge_to_the_reports_of_targets(self):
         run_batch(1, 60)
 
-    def test_the_same_histories_find_seeded_faults(self):
+    def test_random_histories_detect_seeded_faults(self):
         for name in SEEDED_FAULTS:
             with self.subTest(fault=name), self.assertRaises(AssertionError):
                 run_batch(1, 300, name, shrinks=False)
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_table.py
@@ -1,4 +1,4 @@
-"""Tests of the merged table of targets, by hand and against shuffled histories."""
+"""Tests of the target table with single cases and with shuffled histories."""
 
 import unittest
 from random import Random
@@ -37,26 +37,26 @@
 
 
 class TargetTableTest(unittest.TestCase):
-    def test_late_report_revives_nothing(self):
+    def test_late_report_does_not_revive_a_gone_target(self):
         table = TargetTable()
         table.merge(record(sequence=5), 0.0)
         self.assertTrue(table.leave("t", 1.0))
         self.assertFalse(table.merge(record(sequence=9), 2.0))
         self.assertEqual(table.serving(), [])
 
-    def test_leave_of_an_unknown_target_is_kept(self):
+    def test_leave_of_an_unknown_target_is_stored(self):
         table = TargetTable()
         table.leave("t", 0.0)
         self.assertFalse(table.merge(record(sequence=9), 1.0))
 
-    def test_leaving_is_final_and_still_living(self):
+    def test_leaving_is_final_but_not_gone(self):
         table = TargetTable()
         table.merge(record(phase=TargetPhase.LEAVING, sequence=3), 0.0)
         self.assertFalse(table.merge(record(sequence=4), 0.0))
         self.assertEqual(table.serving(), [])
         self.assertEqual(len(table.living()), 1)
 
-    def test_heartbeat_without_news_changes_no_revision(self):
+    def test_heartbeat_without_changes_keeps_the_revision(self):
         table = TargetTable()
         table.merge(record(sequence=1), 0.0)
         before = table.revision
@@ -64,7 +64,7 @@
         self.assertEqual(table.revision, before)
         self.assertEqual(table.last_seen_s("t"), 1.0)
 
-    def test_changed_address_is_news(self):
+    def test_changed_address_is_a_change(self):
         table = TargetTable()
         table.merge(record(sequence=1), 0.0)
         revision = table.revision
@@ -79,7 +79,7 @@
         self.assertFalse(table.merge(record("gone"), 50.0))
         self.assertEqual(table.forget(61.0), ["gone"])
 
-    def test_target_that_starts_again_serves_at_once_and_counts_anew(self):
+    def test_restarted_target_serves_at_once_with_new_sequence_numbers(self):
         table = TargetTable()
         table.merge(record(sequence=40)._replace(born_ms=5), 0.0)
         table.leave("t", 1.0, 900)
@@ -89,7 +89,7 @@
         self.assertEqual([item.born_ms for item in table.serving()], [6])
         self.assertLess(table.age_s("t", 4.0, 1.2), 4.0)
 
-    def test_late_word_of_a_former_life_does_nothing_to_the_next(self):
+    def test_late_report_of_a_former_incarnation_does_not_change_the_next(self):
         former = record(sequence=41)._replace(born_ms=5)
         late = (
             former,
@@ -106,14 +106,14 @@
         self.assertEqual(len(table.serving()), 1)
         self.assertEqual(table.last_seen_s("t"), 0.0)
 
-    def test_leave_that_names_no_life_ends_those_born_before_it_and_no_later_one(self):
+    def test_leave_of_an_unknown_target_ends_only_incarnations_started_before_it(self):
         table = TargetTable()
         table.leave("t", 0.0, 700)
         self.assertFalse(table.merge(record()._replace(born_ms=700), 1.0))
         self.assertTrue(table.merge(record()._replace(born_ms=701), 2.0))
         self.assertEqual(len(table.serving()), 1)
 
-    def test_leave_of_a_life_not_known_here_ends_what_is_known_of_the_former(self):
+    def test_leave_of_an_unknown_incarnation_ends_the_known_former_one(self):
         elsewhere, table = TargetTable(), TargetTable()
         table.merge(record(sequence=9)._replace(born_ms=5), 0.0)
         elsewhere.leave("t", 1.0, 700)
@@ -121,19 +121,19 @@
         self.assertEqual((table.serving(), table.phase_of("t")), ([], TargetPhase.GONE))
         self.assertEqual(len(table.departed(1.2, 2.0)), 1)
 
-    def test_smaller_birth_is_late_while_the_life_held_is_heard(self):
+    def test_earlier_start_time_is_late_while_the_known_incarnation_reports(self):
         table = TargetTable()
         table.report(record()._replace(born_ms=9_000), 0.0)
-        back = record(sequence=0)._replace(born_ms=4_000)
+        after_clock_step = record(sequence=0)._replace(born_ms=4_000)
         for second in range(1, 20):
             table.report(record(sequence=second)._replace(born_ms=9_000), float(second))
-            self.assertFalse(table.report(back, second + 0.5))
-        self.assertTrue(table.report(back, 19.0 + STALE_INCARNATION_S))
+            self.assertFalse(table.report(after_clock_step, second + 0.5))
+        self.assertTrue(table.report(after_clock_step, 19.0 + STALE_INCARNATION_S))
         self.assertFalse(table.report(record(sequence=90)._replace(born_ms=9_000), 31.0))
         self.assertTrue(table.report(record(sequence=0)._replace(born_ms=9_500), 32.0))
         self.assertEqual(table.record_of("t").born_ms, 9_500)
 
-    def test_clock_that_was_stepped_back_converges_in_any_order(self):
+    def test_records_after_a_clock_step_back_converge_in_any_order(self):
         replica = TargetTable()
         replica.report(record()._replace(born_ms=9_000), 0.0)
         former = replica.record_of("t")
@@ -157,7 +157,7 @@
         self.assertEqual(table.last_seen_s("t"), 0.0)
 
     @given(RECORDS, st.integers(0, 1 << 30))
-    def test_order_and_repetition_make_no_difference(self, records, seed):
+    def test_merge_is_independent_of_order_and_repetition(self, records, seed):
         forward, shuffled = TargetTable(), TargetTable()
         for item in records:
             forward.merge(item, 0.0)
@@ -173,7 +173,7 @@
         )
 
     @given(RECORDS)
-    def test_digest_tells_what_a_table_says_and_not_how_it_came_to_it(self, records):
+    def test_digest_depends_on_the_contents_and_not_on_the_history(self, records):
         table, fresh = TargetTable(), TargetTable()
         for item in records:
             table.merge(item, 0.0)
@@ -192,43 +192,43 @@
         self.assertEqual(table.digest, 0)
 
     @given(RECORDS)
-    def test_what_was_told_in_parts_and_by_phases_converges(self, records):
-        told, learned, seen = TargetTable(), TargetTable(), 0
+    def test_limited_changes_and_phase_changes_converge(self, records):
+        source, replica, known_revision = TargetTable(), TargetTable(), 0
 
         def tell():
-            changes = told.compact_changes_since(seen, 1)
-            for change in (*changes.records, *learned.expand_phases(changes.phases)):
-                learned.merge(change, 0.0)
+            changes = source.compact_changes_since(known_revision, 1)
+            for change in (*changes.records, *replica.expand_phases(changes.phases)):
+                replica.merge(change, 0.0)
             return changes.revision
 
         for item in records:
-            told.merge(item, 0.0)
-            seen = tell()
-        while seen < told.revision:
-            seen = tell()
-        self.assertEqual(learned.digest, told.digest)
+            source.merge(item, 0.0)
+            known_revision = tell()
+        while known_revision < source.revision:
+            known_revision = tell()
+        self.assertEqual(replica.digest, source.digest)
 
     @given(RECORDS)
-    def test_what_was_told_converges(self, records):
-        told, learned = TargetTable(), TargetTable()
-        seen = 0
+    def test_changes_converge(self, records):
+        source, replica = TargetTable(), TargetTable()
+        known_revision = 0
         for item in records:
-            told.merge(item, 0.0)
-            for change in told.changed_since(seen).records:
-                learned.merge(change, 0.0)
-            seen = told.revision
+            source.merge(item, 0.0)
+            for change in source.changed_since(known_revision).records:
+                replica.merge(change, 0.0)
+            known_revision = source.revision
         for target_id in ("a", "b"):
-            self.assertEqual(told.phase_of(target_id), learned.phase_of(target_id))
+            self.assertEqual(source.phase_of(target_id), replica.phase_of(target_id))
 
 
 class AddressTest(unittest.TestCase):
-    """Two lives told at one address: which of them has it?"""
+    """Two targets that reported the same address: which of them owns it?"""
 
-    def test_target_that_ended_young_gives_way_to_one_that_is_heard(self):
-        # A router that had started again was told of a target that ended after its third
-        # heartbeat, and of the one that runs at its address since, after its eighth. It took the
-        # first for the later start, and sent it twenty of sixty calls: "target said so: status
-        # 421". Only one of them went on to be heard.
+    def test_target_that_ended_young_loses_its_address_to_one_that_still_reports(self):
+        # A restarted router received the record of a target that had ended after its third
+        # heartbeat, and that of its successor at the same address after its eighth. It took
+        # the first for the later start and sent it twenty of sixty calls, which were refused
+        # with "target said so: status 421". Only the successor kept reporting.
         table = TargetTable()
         table.merge(record("ended", sequence=3), 100.0)
         table.merge(record("runs", sequence=8), 100.0)
@@ -247,22 +247,22 @@
 
 
 class ColdSpellTest(unittest.TestCase):
-    """A target says how long it stays cold; who has not heard it has to be told."""
+    """A target reports how long it stays cold; the report has to reach all processes."""
 
-    def test_target_that_becomes_cold_again_is_news(self):
-        # Its cold time was left out of what counts as a change: routers sent on as before.
+    def test_target_that_becomes_cold_again_is_a_change(self):
+        # When the cold time did not count as a change, routers kept sending requests as before.
         table = TargetTable()
         table.report(record(sequence=1)._replace(cold_s=3.0), 0.0)
-        told = table.revision
+        revision = table.revision
         self.assertFalse(table.report(record(sequence=2)._replace(cold_s=1.8), 1.2))
         self.assertFalse(table.report(record(sequence=9), 9.6))
         self.assertTrue(table.report(record(sequence=10)._replace(cold_s=2.9), 10.8))
-        self.assertGreater(table.revision, told)
-        (news,) = table.with_remaining_cold_time(table.changed_since(told).records, 11.8)
-        self.assertAlmostEqual(news.cold_s, 1.9)
-        self.assertEqual(news.cold_sequence, 10)
+        self.assertGreater(table.revision, revision)
+        (update,) = table.with_remaining_cold_time(table.changed_since(revision).records, 11.8)
+        self.assertAlmostEqual(update.cold_s, 1.9)
+        self.assertEqual(update.cold_sequence, 10)
 
-    def test_spells_heard_by_different_replicas_converge(self):
+    def test_cold_spells_received_by_different_replicas_converge(self):
         first, second = TargetTable(), TargetTable()
         for table in (first, second):
             table.merge(record(sequence=1), 0.0)
@@ -273,8 +273,8 @@
         self.assertEqual(first.digest, second.digest)
         self.assertEqual(second.record_of("t").cold_sequence, 5)
 
-    def test_warm_target_is_not_told_as_cold_later(self):
+    def test_warm_target_is_not_reported_as_cold_later(self):
         table = TargetTable()
         table.merge(record()._replace(cold_s=3.0), 0.0)
-        (told,) = table.with_remaining_cold_time(table.changed_since(0).records, 60.0)
-        self.assertEqual(told.cold_s, 0.0)
+        (update,) = table.with_remaining_cold_time(table.changed_since(0).records, 60.0)
+        self.assertEqual(update.cold_s, 0.0)
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_targets.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_targets.py
@@ -35,14 +35,14 @@
         )
         self.assertEqual(self.table.announce(announcement(incarnation=2), 2.0), MergeOutcome.NEW)
 
-    def test_a_leave_is_final_even_when_a_later_sequence_was_heard(self):
+    def test_a_leave_is_final_even_after_a_later_sequence(self):
         self.table.announce(announcement(sequence=9), 0.0)
         late = announcement(sequence=3, state=TargetState.LEAVING)
         self.assertIsNotNone(self.table.announce_leave(late, 1.0))
         self.table.announce(announcement(incarnation=2), 1.0)
         self.assertIsNone(self.table.announce_leave(late, 1.0))
 
-    def test_a_tombstone_outlives_every_record_it_must_stop(self):
+    def test_a_tombstone_outlives_every_record_it_must_reject(self):
         self.assertGreater(TOMBSTONE_S, REMOTE_LEASE_S + MAX_LEASE_S)
         self.peer.announce(announcement(lease_s=1e9), 0.0)
         self.table.announce_leave(announcement(sequence=2, state=TargetState.LEAVING), 0.0)
@@ -55,7 +55,7 @@
         self.peer.expire_leases(MAX_LEASE_S + 0.1)
         self.assertIsNone(self.peer.record("target", MAX_LEASE_S + 0.1))
 
-    def test_a_lapse_yields_to_a_later_renewal_only(self):
+    def test_an_expired_lease_yields_only_to_a_later_renewal(self):
         self.table.announce(announcement(sequence=3), 0.0)
         same = self.table.record("target", 0.0)
         self.assertEqual(self.table.expire_leases(5.9), [])
@@ -69,7 +69,7 @@
         self.peer.merge(self.table.record("target", 4.0), 104.0)
         self.assertEqual(len(self.peer.expire_leases(106.1)), 1)
 
-    def test_a_packed_load_renews_the_lease_and_one_seen_on_an_answer_does_not(self):
+    def test_a_packed_load_renews_the_lease_and_an_observed_one_does_not(self):
         self.table.announce(announcement(sequence=1), 0.0)
         self.table.merge_loads(self.load(2, 50, age_s=1.0), 5.0)
         self.assertEqual(self.table.expire_leases(9.9), [])
@@ -103,7 +103,7 @@
         outcome = self.table.merge(self.peer.record("target", 1.0), 1.0)
         self.assertEqual(self.table.live["target"].record.service, "other", outcome)
 
-    def test_observed_loads_go_out_in_turn_with_renewals(self):
+    def test_observed_loads_alternate_with_renewals(self):
         self.table.announce(announcement(sequence=1), 0.0)
         self.table.observe("target", LoadReport(77, 1000, 1, 0, 0.0), 2.0)
         self.peer.announce(announcement(sequence=1), 0.0)
@@ -112,7 +112,7 @@
         self.assertEqual(self.peer.view("target", 2.0).load_tokens, 77)
         self.assertEqual(self.peer.expires_s(self.peer.live["target"]), 6.0)
 
-    def test_targets_of_another_domain_live_as_long_as_it_vouches(self):
+    def test_targets_of_another_domain_are_live_while_it_confirms_them(self):
         self.table.announce(announcement(domain="b"), 0.0)
         self.table.confirm_buckets("b", list(range(16)), 10.0, 110.0)
         self.assertEqual(self.table.expire_leases(99.0 + REMOTE_LEASE_S), [])
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_vectors_and_notes.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_vectors_and_notes.py
@@ -21,32 +21,34 @@
 
 
 class LoadVectorTest(TestCase):
-    def test_a_vector_gives_back_what_went_in_within_its_steps(self):
+    def test_a_vector_round_trip_is_exact_within_the_quantization(self):
         random = Random(1)
         layout = build_layout([random.randrange(1 << 24) for _ in range(250)])
         keys = [key for group in layout.groups for key in group]
         loads = {key: VectorLoad(key, random.randrange(1 << 20), 1.03) for key in keys[::2]}
         renewals = {key: VectorRenewal(key, key % 16, 0.3) for key in keys[::5]}
-        heard, renewed, unlike = decode_vector(layout, encode_vector(layout, loads, renewals))
-        self.assertEqual(unlike, [])
-        self.assertEqual({load.key for load in heard}, set(loads))
-        for load in heard:
+        received, renewed, mismatched = decode_vector(
+            layout, encode_vector(layout, loads, renewals)
+        )
+        self.assertEqual(mismatched, [])
+        self.assertEqual({load.key for load in received}, set(loads))
+        for load in received:
             sent = loads[load.key].load_tokens
             self.assertLess(abs(load.load_tokens - sent), 0.023 * sent + 64)
             self.assertEqual(load.age_s, 1.1)
         self.assertEqual({r.key: r.sequence for r in renewed}, {k: k % 16 for k in renewals})
 
-    def test_a_join_costs_its_group_and_no_load_goes_to_another_target(self):
-        keys = [1000 + 7 * place for place in range(200)]
-        here, there = build_layout(keys), build_layout([*keys, 5])
+    def test_a_join_invalidates_its_group_and_assigns_no_load_to_another_target(self):
+        keys = [1000 + 7 * index for index in range(200)]
+        sender, receiver = build_layout(keys), build_layout([*keys, 5])
         loads = {key: VectorLoad(key, key, 0.1) for key in keys}
-        heard, _, unlike = decode_vector(there, encode_vector(here, loads, {}))
-        self.assertEqual(unlike, [5])
-        for load in heard:
+        received, _, mismatched = decode_vector(receiver, encode_vector(sender, loads, {}))
+        self.assertEqual(mismatched, [5])
+        for load in received:
             self.assertLess(abs(load.load_tokens - load.key), 0.05 * load.key)
-        self.assertEqual(len(heard), 200 - len([k for k in keys if k % 8 == 5]))
+        self.assertEqual(len(received), 200 - len([k for k in keys if k % 8 == 5]))
 
-    def test_cut_and_damaged_vectors_give_nothing_that_was_not_sent(self):
+    def test_truncated_vectors_yield_nothing_and_corrupt_ones_raise_no_error(self):
         layout = build_layout(range(100, 180))
         whole = encode_vector(layout, {k: VectorLoad(k, 9, 0.1) for k in range(100, 180)}, {})
         for size in range(len(whole)):
@@ -66,7 +68,7 @@
         for table in self.tables:
             table.announce(announcement(sequence=1), 0.0)
 
-    def test_a_load_on_an_answer_travels_and_renews_no_lease(self):
+    def test_an_observed_load_is_propagated_and_renews_no_lease(self):
         self.tables[0].observe("target", LoadReport(7000, 9000, 0, 0, 0.0), 3.0)
         self.assertEqual(self.vectors[1].merge(self.vectors[0].pack(99, 3, 3.0), 3.0), ["target"])
         view = self.tables[1].view("target", 3.0)
@@ -76,11 +78,11 @@
         back = self.vectors[0].merge(self.vectors[1].pack(99, 3, 3.0), 3.0)
         self.assertEqual(back, [])
 
-    def test_a_renewal_travels_its_number_of_times(self):
+    def test_a_renewal_is_sent_a_limited_number_of_times(self):
         self.tables[0].announce(announcement(sequence=2), 4.0)
         packed = [self.vectors[0].pack(99, 2, 4.0) for _ in range(3)]
         self.vectors[1].merge(packed[0], 4.0)
-        # The age was rounded up, so the lease is shorter by a step at most.
+        # The age was rounded up, so the lease is shorter by at most one quantization step.
         self.assertAlmostEqual(self.tables[1].expires_s(self.tables[1].live["target"]), 9.9)
         self.assertEqual(
             [len(vector) for vector in packed[1:]], [len(packed[0]), len(packed[0]) - 1]
@@ -88,37 +90,37 @@
 
 
 class SpillNotesTest(TestCase):
-    def test_a_chat_that_moves_back_is_noted_where_it_is(self):
-        here, there = SpillGossip(), SpillGossip()
-        heard = []
+    def test_a_chat_that_moves_back_is_recorded_at_its_current_target(self):
+        sender, receiver = SpillGossip(), SpillGossip()
+        received = []
         for now_s, target_id in ((1.0, "t1"), (6.0, "t2"), (11.0, "t1")):
-            here.publish([SpillNote("00000a1", target_id)], now_s)
-            packed = here.pack(60, 9, now_s)
-            heard += there.merge(packed, TARGETS, now_s)
-            self.assertEqual(there.merge(packed, TARGETS, now_s), [])
-        self.assertEqual([note.target_id for note in heard], ["t1", "t2", "t1"])
+            sender.publish([SpillNote("00000a1", target_id)], now_s)
+            packed = sender.pack(60, 9, now_s)
+            received += receiver.merge(packed, TARGETS, now_s)
+            self.assertEqual(receiver.merge(packed, TARGETS, now_s), [])
+        self.assertEqual([note.target_id for note in received], ["t1", "t2", "t1"])
 
-    def test_an_old_copy_does_not_take_the_place_of_a_later_note(self):
-        here, there = SpillGossip(), SpillGossip()
-        here.publish([SpillNote("00000a1", "t1")], 1.0)
-        old = here.pack(60, 9, 1.0)
-        there.publish([SpillNote("00000a1", "t2")], 3.0)
+    def test_an_old_copy_does_not_replace_a_later_note(self):
+        sender, receiver = SpillGossip(), SpillGossip()
+        sender.publish([SpillNote("00000a1", "t1")], 1.0)
+        old = sender.pack(60, 9, 1.0)
+        receiver.publish([SpillNote("00000a1", "t2")], 3.0)
         aged = old[:-1] + bytes([old[-1] & 0xC0 | 8])
-        self.assertEqual(there.merge(aged, TARGETS, 5.0), [])
+        self.assertEqual(receiver.merge(aged, TARGETS, 5.0), [])
 
-    def test_those_sent_least_go_first_and_of_these_the_newest(self):
-        here, there = SpillGossip(), SpillGossip()
-        for place in range(5):
-            here.publish([SpillNote(f"{place:07x}", "t1")], float(place))
-        heard = [
+    def test_least_sent_notes_go_first_and_of_these_the_newest(self):
+        sender, receiver = SpillGossip(), SpillGossip()
+        for index in range(5):
+            sender.publish([SpillNote(f"{index:07x}", "t1")], float(index))
+        received = [
             note.chat_short_digest
             for _ in range(3)
-            for note in there.merge(here.pack(12, 1, 5.0), TARGETS, 5.0)
+            for note in receiver.merge(sender.pack(12, 1, 5.0), TARGETS, 5.0)
         ]
-        self.assertEqual([int(chat, 16) for chat in heard], [4, 3, 2, 1, 0])
-        self.assertEqual(here.pack(12, 1, 5.0), b"")
+        self.assertEqual([int(chat, 16) for chat in received], [4, 3, 2, 1, 0])
+        self.assertEqual(sender.pack(12, 1, 5.0), b"")
 
-    def test_notes_reach_near_domains_and_no_others(self):
+    def test_notes_reach_only_near_domains(self):
         network = Network([])
         near = {"a": ("b",), "b": ("a",), "c": ()}
         for index, domain in enumerate("aabbcc"):
@@ -128,5 +130,5 @@
         self.assertTrue(network.run_until(lambda: network.all_have_targets(1), 20.0))
         network.core(0).publish_spills([SpillNote("00000a1", "target")], network.now_s)
         network.run(12.0)
-        heard = {name for _, name, event in network.events if isinstance(event, SpillHeard)}
-        self.assertEqual(heard, {"router-01", "router-02", "router-03"})
+        received = {name for _, name, event in network.events if isinstance(event, SpillHeard)}
+        self.assertEqual(received, {"router-01", "router-02", "router-03"})
