--- a/packages/decisions/src/damaskwind/decisions/membership/core.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/core.py
@@ -169,9 +169,9 @@
         """Announce that this router leaves; the core sends nothing afterwards."""
         self._state.advance(now_s)
         peers = self._gossip.flood_peers()
-        news = group_updates([self.router_table.leave(self.now_s)])
+        updates = group_updates([self.router_table.leave(self.now_s)])
         for router_id in peers:
-            self._state.send_to(router_id, news, Urgency.LEAVE)
+            self._state.send_to(router_id, updates, Urgency.LEAVE)
         self._left = True
         return self._state.take_output()
 
@@ -236,7 +236,7 @@
         ]
 
     def _check_probes(self) -> None:
-        """Probe indirectly after a timeout, suspect on failure, confirm old suspects dead."""
+        """Probe indirectly after a timeout, suspect on failure, declare old suspects dead."""
         parameters = self.parameters
         for nonce, router_id in self._prober.take_late(parameters.probe_timeout_s, self.now_s):
             self._state.sends += self._gossip.request_indirect_probes(nonce, router_id)
--- a/packages/decisions/src/damaskwind/decisions/membership/digests.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/digests.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from damaskwind.decisions.membership.messages import RouterRecord, TargetRecord
+from damaskwind.decisions.membership.messages import LeasedTargetRecord, RouterRecord
 
 __all__ = [
     "BUCKETS",
@@ -57,13 +57,13 @@
     return xxhash.xxh32_intdigest(text.encode())
 
 
-def target_version(record: TargetRecord) -> int:
+def target_version(record: LeasedTargetRecord) -> int:
     """Return the 32-bit version of a target's record.
 
     Fields that change with each renewal (sequences, age, load) are left out.
     """
     offers = sorted((offer.model, offer.version, sorted(offer.adapters)) for offer in record.models)
-    parts = (
+    fields = (
         record.target_id,
         record.incarnation,
         str(record.kind),
@@ -74,7 +74,7 @@
         offers,
         str(record.fencing),
     )
-    return xxhash.xxh32_intdigest(repr(parts).encode())
+    return xxhash.xxh32_intdigest(repr(fields).encode())
 
 
 def combine_digests(digests: bytes) -> bytes:
--- a/packages/decisions/src/damaskwind/decisions/membership/gossip.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/gossip.py
@@ -28,7 +28,7 @@
     unpacked_bytes,
 )
 from damaskwind.decisions.membership.spill_gossip import SpillGossip
-from damaskwind.decisions.membership.targets import REMOTE_LEASE_S, TargetTable
+from damaskwind.decisions.membership.targets import REMOTE_LEASE_S, LeasedTargetTable
 from damaskwind.decisions.membership.vector_exchange import VectorExchange
 from damaskwind.decisions.pacing.urgency import Urgency
 from damaskwind.model.targets import Address
@@ -51,7 +51,7 @@
         self,
         parameters: MembershipParameters,
         routers: RouterTable,
-        targets: TargetTable,
+        targets: LeasedTargetTable,
         repair: Repair,
         prober: Prober,
         random: Random,
--- a/packages/decisions/src/damaskwind/decisions/membership/live_target.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/live_target.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 from damaskwind.decisions.membership.loads import load_key
-from damaskwind.decisions.membership.messages import GoneReason, TargetRecord, Tombstone
+from damaskwind.decisions.membership.messages import GoneReason, LeasedTargetRecord, Tombstone
 from damaskwind.model.targets import TargetAnnouncement, TargetState, TargetView
 
 __all__ = [
@@ -24,7 +24,7 @@
 
     __slots__ = ("load_key", "measured_at_s", "observed", "record", "renewed_at_s", "transmissions")
 
-    def __init__(self, record: TargetRecord, renewed_at_s: float) -> None:
+    def __init__(self, record: LeasedTargetRecord, renewed_at_s: float) -> None:
         self.record = record
         self.renewed_at_s = renewed_at_s
         self.measured_at_s = renewed_at_s - record.load_lag_s
@@ -33,10 +33,10 @@
         self.load_key = load_key(record.target_id, record.incarnation)
 
 
-def record_from_announcement(announcement: TargetAnnouncement) -> TargetRecord:
+def record_from_announcement(announcement: TargetAnnouncement) -> LeasedTargetRecord:
     """Convert a target's announcement to a record of age zero."""
     load = announcement.load
-    return TargetRecord(
+    return LeasedTargetRecord(
         announcement.target_id,
         announcement.incarnation,
         announcement.sequence,
@@ -67,7 +67,7 @@
     EXPIRED = "expired"
 
 
-def supersedes_tombstone(record: TargetRecord, tombstone: Tombstone) -> bool:
+def supersedes_tombstone(record: LeasedTargetRecord, tombstone: Tombstone) -> bool:
     """Tell whether a live record supersedes a tombstone."""
     if record.incarnation != tombstone.incarnation:
         return record.incarnation > tombstone.incarnation
--- a/packages/decisions/src/damaskwind/decisions/membership/messages.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/messages.py
@@ -22,7 +22,7 @@
     "RouterState",
     "Sketch",
     "Summary",
-    "TargetRecord",
+    "LeasedTargetRecord",
     "Tombstone",
 ]
 
@@ -57,8 +57,8 @@
     peer_address: Address
 
 
-class TargetRecord(NamedTuple):
-    """The membership record of a live target, with the age of its last lease renewal.
+class LeasedTargetRecord(NamedTuple):
+    """A live target with its lease: its announcement, and the age of its last renewal.
 
     `sequence` is the sequence number of the announcement, `renewed_sequence` that of
     the last renewal received after it. `load_lag_s` is the age of a load measurement
@@ -114,7 +114,7 @@
     """
 
     routers: tuple[RouterRecord, ...] = ()
-    targets: tuple[TargetRecord, ...] = ()
+    targets: tuple[LeasedTargetRecord, ...] = ()
     tombstones: tuple[Tombstone, ...] = ()
     wanted: bytes = b""
     repair: bool = False
--- a/packages/decisions/src/damaskwind/decisions/membership/prober.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/prober.py
@@ -5,7 +5,7 @@
 permutation of offsets, and round numbers are synchronized like Lamport clocks,
 so each round probes every router exactly once. The probe load is therefore even,
 and a cycle covers each pair. A peer that does not respond is probed through
-others before it is suspected, so that a path that fails in one direction only
+others before it is suspected, so that a path that fails in only one direction
 causes no false suspicion.
 """
 
--- a/packages/decisions/src/damaskwind/decisions/membership/repair.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/repair.py
@@ -23,7 +23,7 @@
 from damaskwind.decisions.membership.routers import RouterTable
 from damaskwind.decisions.membership.rumours import Item, group_updates
 from damaskwind.decisions.membership.sizes import estimate_bytes, unpacked_bytes
-from damaskwind.decisions.membership.targets import TargetTable
+from damaskwind.decisions.membership.targets import LeasedTargetTable
 
 __all__ = ["Repair"]
 
@@ -38,7 +38,7 @@
     def __init__(
         self,
         routers: RouterTable,
-        targets: TargetTable,
+        targets: LeasedTargetTable,
         digests: DigestTable,
         updates_bytes: int,
         random: Random,
@@ -58,8 +58,8 @@
 
     def remote_summaries(self, count: int, max_age_s: float, now_s: float) -> tuple[Summary, ...]:
         """Return summaries that forward the confirmations of some other domains, in turn."""
-        own = self._routers.own_record.failure_domain
-        domains = sorted(name for name in self._digests.domains() if name != own)
+        local_domain = self._routers.own_record.failure_domain
+        domains = sorted(name for name in self._digests.domains() if name != local_domain)
         summaries = []
         for _ in range(min(count, len(domains))):
             self._summary_turn += 1
--- a/packages/decisions/src/damaskwind/decisions/membership/rumours.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/rumours.py
@@ -10,10 +10,10 @@
 from typing import NamedTuple
 
 from damaskwind.decisions.membership.messages import (
+    LeasedTargetRecord,
     News,
     RouterRecord,
     RouterState,
-    TargetRecord,
     Tombstone,
 )
 from damaskwind.decisions.membership.sizes import estimate_bytes
@@ -27,8 +27,8 @@
 JOINS_LIMIT = 8
 _UNBOUNDED = 1 << 30
 
-Item = RouterRecord | TargetRecord | Tombstone
-_FIELDS = {RouterRecord: "routers", TargetRecord: "targets", Tombstone: "tombstones"}
+Item = RouterRecord | LeasedTargetRecord | Tombstone
+_FIELDS = {RouterRecord: "routers", LeasedTargetRecord: "targets", Tombstone: "tombstones"}
 
 
 def crosses_domains(item: Item) -> bool:
@@ -114,7 +114,7 @@
 def _with_current_age(rumour: "Rumour", now_s: float) -> Item:
     """Return an item with its queueing time added to its age."""
     item = rumour.item
-    if isinstance(item, TargetRecord | Tombstone):
+    if isinstance(item, LeasedTargetRecord | Tombstone):
         return item._replace(age_s=item.age_s + max(now_s - rumour.created_s, 0.0))
     return item
 
--- a/packages/decisions/src/damaskwind/decisions/membership/state.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/state.py
@@ -13,11 +13,11 @@
 from damaskwind.decisions.membership.gossip import Gossip
 from damaskwind.decisions.membership.messages import (
     GoneReason,
+    LeasedTargetRecord,
     Message,
     News,
     RouterRecord,
     RouterState,
-    TargetRecord,
     Tombstone,
 )
 from damaskwind.decisions.membership.outputs import (
@@ -38,7 +38,7 @@
 from damaskwind.decisions.membership.routers import RouterChange, RouterTable
 from damaskwind.decisions.membership.rumours import Item, group_updates
 from damaskwind.decisions.membership.spill_gossip import note_key
-from damaskwind.decisions.membership.targets import MergeOutcome, TargetTable
+from damaskwind.decisions.membership.targets import LeasedTargetTable, MergeOutcome
 from damaskwind.decisions.pacing.urgency import Urgency
 from damaskwind.model.targets import Address
 
@@ -67,7 +67,7 @@
         self.now_s = now_s
         digests = DigestTable()
         self.routers = RouterTable(own_record, digests)
-        self.targets = TargetTable(own_record.failure_domain, digests)
+        self.targets = LeasedTargetTable(own_record.failure_domain, digests)
         self.damper = FlapDamper()
         first_delay_s = random.random() * parameters.round_s
         self.prober = Prober(parameters.round_s, now_s, first_delay_s)
@@ -173,7 +173,7 @@
             self._revisions.pop(after.router_id, None)
             self.gossip.introduced.discard(after.router_id)
 
-    def merge_target(self, record: TargetRecord, forward: bool) -> Tombstone | None:
+    def merge_target(self, record: LeasedTargetRecord, forward: bool) -> Tombstone | None:
         """Merge a target's record; return the tombstone that rejects it, if any."""
         would_return = self.would_return(record.target_id, record.incarnation)
         outcome = self.targets.merge(record, self.now_s)
--- a/packages/decisions/src/damaskwind/decisions/membership/targets.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/targets.py
@@ -33,7 +33,7 @@
     sequence_step,
     unpack_loads,
 )
-from damaskwind.decisions.membership.messages import GoneReason, TargetRecord, Tombstone
+from damaskwind.decisions.membership.messages import GoneReason, LeasedTargetRecord, Tombstone
 from damaskwind.decisions.membership.tombstones import TombstoneTable
 from damaskwind.model.targets import (
     LoadReport,
@@ -46,7 +46,7 @@
     "MAX_LEASE_S",
     "LiveTarget",
     "MergeOutcome",
-    "TargetTable",
+    "LeasedTargetTable",
 ]
 
 REMOTE_LEASE_S = 180.0
@@ -55,8 +55,11 @@
 _GAP_SMOOTHING = 0.02
 
 
-class TargetTable:
-    """All targets known to one router by gossip."""
+class LeasedTargetTable:
+    """All targets known to one router by gossip, each live until its lease expires.
+
+    `target_table.TargetTable` is the table of the processes that targets report to.
+    """
 
     def __init__(self, failure_domain: str, digests: DigestTable) -> None:
         self.failure_domain = failure_domain
@@ -109,7 +112,7 @@
         self.add_tombstone(tombstone, now_s)
         return tombstone
 
-    def merge(self, record: TargetRecord, now_s: float) -> MergeOutcome:
+    def merge(self, record: LeasedTargetRecord, now_s: float) -> MergeOutcome:
         """Merge a record from a target itself or from a peer."""
         renewed_at_s = now_s - max(record.age_s, 0.0)
         if now_s >= renewed_at_s + self._lease_s(record):
@@ -129,7 +132,7 @@
         return self._merge_same_incarnation(target, record, renewed_at_s)
 
     def _merge_same_incarnation(
-        self, target: LiveTarget, record: TargetRecord, renewed_at_s: float
+        self, target: LiveTarget, record: LeasedTargetRecord, renewed_at_s: float
     ) -> MergeOutcome:
         """Merge a record of the known incarnation."""
         known = target.record
@@ -166,7 +169,7 @@
 
     # Leases
 
-    def _lease_s(self, record: TargetRecord) -> float:
+    def _lease_s(self, record: LeasedTargetRecord) -> float:
         """Return the effective lease duration of a target at this router."""
         if record.failure_domain == self.failure_domain:
             return max(record.lease_s, self.lease_floor_s)
@@ -329,7 +332,7 @@
         target = self.live[target_id]
         return (target.transmissions, -target.measured_at_s)
 
-    def _queue_load(self, record: TargetRecord) -> None:
+    def _queue_load(self, record: LeasedTargetRecord) -> None:
         """Queue a target's load for gossip."""
         is_local = record.failure_domain == self.failure_domain
         (self._queued_local if is_local else self._queued_remote)[record.target_id] = None
@@ -386,7 +389,7 @@
 
     # Views
 
-    def record(self, target_id: str, now_s: float) -> TargetRecord | None:
+    def record(self, target_id: str, now_s: float) -> LeasedTargetRecord | None:
         """Return a target's record with its current age, for a peer."""
         target = self.live.get(target_id)
         if target is None:
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_targets.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_targets.py
@@ -6,18 +6,18 @@
 from damaskwind.decisions.membership.targets import (
     MAX_LEASE_S,
     REMOTE_LEASE_S,
+    LeasedTargetTable,
     MergeOutcome,
-    TargetTable,
 )
 from damaskwind.decisions.membership.tests.samples import announcement
 from damaskwind.decisions.membership.tombstones import TOMBSTONE_S
 from damaskwind.model.targets import LoadReport, TargetState
 
 
-class TargetTableTest(TestCase):
+class LeasedTargetTableTest(TestCase):
     def setUp(self) -> None:
-        self.table = TargetTable("a", DigestTable())
-        self.peer = TargetTable("a", DigestTable())
+        self.table = LeasedTargetTable("a", DigestTable())
+        self.peer = LeasedTargetTable("a", DigestTable())
 
     def load(self, sequence: int, tokens: int, observed: bool = False, age_s: float = 0.0) -> bytes:
         key = self.table.live["target"].load_key
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_vectors_and_notes.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_vectors_and_notes.py
@@ -11,7 +11,7 @@
 )
 from damaskwind.decisions.membership.outputs import SpillHeard
 from damaskwind.decisions.membership.spill_gossip import SpillGossip, note_key
-from damaskwind.decisions.membership.targets import TargetTable
+from damaskwind.decisions.membership.targets import LeasedTargetTable
 from damaskwind.decisions.membership.tests.samples import Network, announcement, router
 from damaskwind.decisions.membership.vector_exchange import VectorExchange
 from damaskwind.decisions.placement.messages import SpillNote
@@ -63,7 +63,7 @@
 
 class VectorExchangeTest(TestCase):
     def setUp(self) -> None:
-        self.tables = [TargetTable("a", DigestTable()) for _ in range(2)]
+        self.tables = [LeasedTargetTable("a", DigestTable()) for _ in range(2)]
         self.vectors = [VectorExchange(table, frozenset("a")) for table in self.tables]
         for table in self.tables:
             table.announce(announcement(sequence=1), 0.0)
--- a/packages/decisions/src/damaskwind/decisions/membership/tombstones.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tombstones.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from damaskwind.decisions.membership.digests import target_key
-from damaskwind.decisions.membership.messages import GoneReason, TargetRecord, Tombstone
+from damaskwind.decisions.membership.messages import GoneReason, LeasedTargetRecord, Tombstone
 
 __all__ = ["TOMBSTONE_S", "TombstoneTable"]
 
@@ -45,7 +45,7 @@
         stored = self._tombstones.get(target_id)
         return stored.tombstone.incarnation if stored else -1
 
-    def blocks(self, record: TargetRecord) -> bool:
+    def blocks(self, record: LeasedTargetRecord) -> bool:
         """Tell whether a tombstone rejects a live record."""
         stored = self._tombstones.get(record.target_id)
         if stored is None or record.incarnation > stored.tombstone.incarnation:
--- a/packages/decisions/src/damaskwind/decisions/membership/vector_exchange.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/vector_exchange.py
@@ -17,7 +17,7 @@
     encode_vector,
     header_size_bytes,
 )
-from damaskwind.decisions.membership.targets import TargetTable
+from damaskwind.decisions.membership.targets import LeasedTargetTable
 
 __all__ = ["VectorExchange"]
 
@@ -35,7 +35,7 @@
     `match_share` is the moving average share of groups that match in received vectors.
     """
 
-    def __init__(self, targets: TargetTable, domains: frozenset[str]) -> None:
+    def __init__(self, targets: LeasedTargetTable, domains: frozenset[str]) -> None:
         self.match_share = 0.0
         self._targets = targets
         self._domains = domains
--- a/packages/router/src/damaskwind/router/membership/tests/test_codec.py
+++ b/packages/router/src/damaskwind/router/membership/tests/test_codec.py
@@ -9,13 +9,13 @@
     Ack,
     Custom,
     GoneReason,
+    LeasedTargetRecord,
     News,
     Probe,
     RouterRecord,
     RouterState,
     Sketch,
     Summary,
-    TargetRecord,
     Tombstone,
 )
 from damaskwind.model.exception import MessageError
@@ -27,10 +27,12 @@
 ROUTER = RouterRecord("a", 1, RouterState.ALIVE, "domain", HERE, HERE)
 
 
-def target(index: int) -> TargetRecord:
+def target(index: int) -> LeasedTargetRecord:
     offers = (ModelOffer("m", "1", ("x", "y")),)
     kind = TargetKind.ENGINE
-    return TargetRecord(f"t-{index}", 1, 2, 3, kind, "p", "d", HERE, 6.0, 0.5, 0.1, 9, 99, offers)
+    return LeasedTargetRecord(
+        f"t-{index}", 1, 2, 3, kind, "p", "d", HERE, 6.0, 0.5, 0.1, 9, 99, offers
+    )
 
 
 class CodecTest(TestCase):
