--- a/packages/control/src/damaskwind/control/tests/test_process.py
+++ b/packages/control/src/damaskwind/control/tests/test_process.py
@@ -151,7 +151,7 @@
             await until(lambda: self.votes("c"))
             holder = self.running["c"].holding.inner.holder
             self.assertGreater(holder.incarnation, first)
-            self.assertEqual(holder._read_from, {"a", "b"})
+            self.assertEqual(holder._caught_up_from, {"a", "b"})
         finally:
             await self.stop_all()
 
