--- a/packages/control/src/damaskwind/control/claim_holding.py
+++ b/packages/control/src/damaskwind/control/claim_holding.py
@@ -17,9 +17,9 @@
 from loguru import logger
 
 from damaskwind.control.claims.catch_up import catch_up
-from damaskwind.control.claims.kept_records import write_kept
+from damaskwind.control.claims.kept_records import save_records
 from damaskwind.control.claims.service import ClaimHolderService
-from damaskwind.control.claims.start import begin_start
+from damaskwind.control.claims.start import record_start
 from damaskwind.control.replica.node import ReplicaNode
 from damaskwind.decisions.claims.holder import ClaimHolder, HolderPolicy
 from damaskwind.runtime.clock import read_clock
@@ -45,7 +45,7 @@
         identity = node.folder.identity
         is_founding = node.service.is_founding
         self._folder = node.folder.path
-        start = begin_start(self._folder, identity.replica_id, is_founding)
+        start = record_start(self._folder, identity.replica_id, is_founding)
         self._start = start.incarnation
         base = 0 if is_founding else identity.created_s
         holder = ClaimHolder(
@@ -68,7 +68,7 @@
         memory = holder.stop(read_clock())
         if memory is None or self._folder is None:
             return
-        write = partial(write_kept, self._folder, holder.holder_id, self._start, memory)
+        write = partial(save_records, self._folder, holder.holder_id, self._start, memory)
         try:
             await asyncio.get_running_loop().run_in_executor(None, write)
         except OSError as error:
--- a/packages/control/src/damaskwind/control/claims/catch_up.py
+++ b/packages/control/src/damaskwind/control/claims/catch_up.py
@@ -20,7 +20,7 @@
 __all__ = ["catch_up"]
 
 READ_TIMEOUT_S = 30.0
-PAUSE_S = 0.5
+RETRY_PAUSE_S = 0.5
 _CALL_ERRORS = (OSError, asyncio.TimeoutError, GRPCError, StreamTerminatedError, MessageError)
 
 
@@ -29,7 +29,7 @@
     addresses: Mapping[str, Address],
     signer: CallSigner,
     clock: Callable[[], float],
-    pause_s: float = PAUSE_S,
+    pause_s: float = RETRY_PAUSE_S,
 ) -> None:
     """Read the other holders over and over until `holder` votes.
 
@@ -40,7 +40,7 @@
         for holder_id, address in list(addresses.items()):
             if holder_id in read or holder_id == holder.holder_id:
                 continue
-            reply = await _read_one(holder, holder_id, address, signer)
+            reply = await _read_holder(holder, holder_id, address, signer)
             if reply is not None and reply.rejection == Rejection.NONE:
                 read.add(holder_id)
                 holder.merge_catch_up(reply, clock())
@@ -49,7 +49,7 @@
     logger.info("claim holder votes", holder=holder.holder_id, records=len(holder))
 
 
-async def _read_one(
+async def _read_holder(
     holder: ClaimHolder, holder_id: str, address: Address, signer: CallSigner
 ) -> CatchUpReply | None:
     """Read all records of one other holder; `None` when the read was not whole."""
--- a/packages/control/src/damaskwind/control/claims/kept_records.py
+++ b/packages/control/src/damaskwind/control/claims/kept_records.py
@@ -15,13 +15,13 @@
 from damaskwind.decisions.claims.messages import HolderMemory
 from damaskwind.runtime.files import replace_file_synced
 
-__all__ = ["drop_kept", "read_kept", "write_kept"]
+__all__ = ["delete_records", "load_records", "save_records"]
 
 FILE_NAME = "claim-records.msgpack"
 DIGEST_BYTES = 8
 
 
-class _Kept(NamedTuple):
+class _SavedRecords(NamedTuple):
     """What the file holds after its digest."""
 
     holder_id: str
@@ -29,16 +29,16 @@
     memory: HolderMemory
 
 
-_DECODER = msgspec.msgpack.Decoder(_Kept)
+_DECODER = msgspec.msgpack.Decoder(_SavedRecords)
 
 
-def write_kept(folder: Path, holder_id: str, start: int, memory: HolderMemory) -> None:
+def save_records(folder: Path, holder_id: str, start: int, memory: HolderMemory) -> None:
     """Write what a holder that stopped must not forget; raise `OSError` when that fails."""
-    body = msgspec.msgpack.encode(_Kept(holder_id, start, memory))
+    body = msgspec.msgpack.encode(_SavedRecords(holder_id, start, memory))
     replace_file_synced(folder / FILE_NAME, xxhash.xxh3_64_digest(body) + body)
 
 
-def read_kept(folder: Path, holder_id: str, last_start: int) -> HolderMemory | None:
+def load_records(folder: Path, holder_id: str, last_start: int) -> HolderMemory | None:
     """Return what the last start wrote when it stopped; `None` when it did not, or not whole."""
     try:
         data = (folder / FILE_NAME).read_bytes()
@@ -54,7 +54,7 @@
     return kept.memory
 
 
-def _decode(data: bytes) -> _Kept | None:
+def _decode(data: bytes) -> _SavedRecords | None:
     """Decode a whole file; `None` for a damaged one."""
     body = data[DIGEST_BYTES:]
     if xxhash.xxh3_64_digest(body) != data[:DIGEST_BYTES]:
@@ -65,7 +65,7 @@
         return None
 
 
-def drop_kept(folder: Path) -> None:
+def delete_records(folder: Path) -> None:
     """Delete the file, which is stale by now, to free its place."""
     try:
         (folder / FILE_NAME).unlink(missing_ok=True)
--- a/packages/control/src/damaskwind/control/claims/service.py
+++ b/packages/control/src/damaskwind/control/claims/service.py
@@ -46,17 +46,17 @@
     async def Order(self, stream: Any) -> None:  # noqa: N802
         """First phase of a claim."""
         message = await self._receive(stream, "Order", Order)
-        await self._decide(stream, "order", self.holder.order(message, self._clock()))
+        await self._count_and_reply(stream, "order", self.holder.order(message, self._clock()))
 
     async def Write(self, stream: Any) -> None:  # noqa: N802
         """Second phase of a claim."""
         message = await self._receive(stream, "Write", Write)
-        await self._decide(stream, "write", self.holder.write(message, self._clock()))
+        await self._count_and_reply(stream, "write", self.holder.write(message, self._clock()))
 
     async def Record(self, stream: Any) -> None:  # noqa: N802
         """Keep an outcome."""
         message = await self._receive(stream, "Record", Record)
-        await self._decide(stream, "record", self.holder.record(message, self._clock()))
+        await self._count_and_reply(stream, "record", self.holder.record(message, self._clock()))
 
     async def CatchUp(self, stream: Any) -> None:  # noqa: N802
         """Give all records to a holder that restarted."""
@@ -68,7 +68,7 @@
             records=len(whole.records),
             rejection=str(whole.rejection),
         )
-        for page in _pages(whole):
+        for page in _split_pages(whole):
             await self._reply(stream, page)
 
     async def _receive(self, stream: Any, name: str, kind: type) -> Any:
@@ -82,7 +82,7 @@
             logger.warning("claim message refused", method=name, error=str(error))
             raise GRPCError(Status.INVALID_ARGUMENT, "malformed") from error
 
-    async def _decide(self, stream: Any, call: str, reply: Any) -> None:
+    async def _count_and_reply(self, stream: Any, call: str, reply: Any) -> None:
         """Count and send what the holder decided."""
         self.replies[call, reply.rejection] += 1
         await self._reply(stream, reply)
@@ -92,7 +92,7 @@
         await stream.send_message(ClaimReply(body=encode_claim_message(message)))
 
 
-def _pages(whole: CatchUpReply) -> list[CatchUpReply]:
+def _split_pages(whole: CatchUpReply) -> list[CatchUpReply]:
     """Split a reply so that no message grows large; there is at least one page."""
     starts = range(0, max(1, len(whole.records)), PAGE_RECORDS)
     return [whole._replace(records=whole.records[start : start + PAGE_RECORDS]) for start in starts]
--- a/packages/control/src/damaskwind/control/claims/start.py
+++ b/packages/control/src/damaskwind/control/claims/start.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from damaskwind.control.claims.kept_records import drop_kept, read_kept
+from damaskwind.control.claims.kept_records import delete_records, load_records
 from damaskwind.decisions.claims.messages import HolderMemory
 from damaskwind.model.exception import StorageError
 from damaskwind.runtime.files import replace_file_synced
 
-__all__ = ["HolderStart", "begin_start"]
+__all__ = ["HolderStart", "record_start"]
 
 FILE_NAME = "claim-holder.json"
 
@@ -29,27 +29,27 @@
     kept: HolderMemory | None = None
 
 
-class _Mark(NamedTuple):
+class _StartRecord(NamedTuple):
     """What the file holds."""
 
     holder_id: str
     incarnation: int
 
 
-def _read(path: Path, holder_id: str) -> _Mark:
+def _read_last_start(path: Path, holder_id: str) -> _StartRecord:
     """Read the mark of the last start; incarnation 0 when there was none."""
     try:
-        mark = msgspec.json.decode(path.read_bytes(), type=_Mark)
+        record = msgspec.json.decode(path.read_bytes(), type=_StartRecord)
     except FileNotFoundError:
-        return _Mark(holder_id, 0)
+        return _StartRecord(holder_id, 0)
     except (OSError, msgspec.DecodeError) as error:
         raise StorageError(f"{path.name}: {error}") from error
-    if mark.holder_id != holder_id:
-        raise StorageError(f"{path.name}: belongs to holder '{mark.holder_id}'")
-    return mark
+    if record.holder_id != holder_id:
+        raise StorageError(f"{path.name}: belongs to holder '{record.holder_id}'")
+    return record
 
 
-def begin_start(folder: Path, holder_id: str, is_founder: bool) -> HolderStart:
+def record_start(folder: Path, holder_id: str, is_founder: bool) -> HolderStart:
     """Number this start and sync it; raise `StorageError` when that fails.
 
     `is_founder` says that this holder was there when its cluster began. One that
@@ -57,12 +57,12 @@
     another that did vote.
     """
     path = folder / FILE_NAME
-    last = _read(path, holder_id)
-    kept = read_kept(folder, holder_id, last.incarnation)
-    mark = _Mark(holder_id, last.incarnation + 1)
+    last = _read_last_start(path, holder_id)
+    kept = load_records(folder, holder_id, last.incarnation)
+    record = _StartRecord(holder_id, last.incarnation + 1)
     try:
-        replace_file_synced(path, msgspec.json.encode(mark))
+        replace_file_synced(path, msgspec.json.encode(record))
     except OSError as error:
         raise StorageError(f"{path.name}: {error}") from error
-    drop_kept(folder)
-    return HolderStart(mark.incarnation, is_founder and last.incarnation == 0, kept)
+    delete_records(folder)
+    return HolderStart(record.incarnation, is_founder and last.incarnation == 0, kept)
--- a/packages/control/src/damaskwind/control/claims/tests/test_kept_records.py
+++ b/packages/control/src/damaskwind/control/claims/tests/test_kept_records.py
@@ -5,8 +5,8 @@
 from unittest import TestCase
 from unittest.mock import patch
 
-from damaskwind.control.claims.kept_records import FILE_NAME, write_kept
-from damaskwind.control.claims.start import begin_start
+from damaskwind.control.claims.kept_records import FILE_NAME, save_records
+from damaskwind.control.claims.start import record_start
 from damaskwind.decisions.claims.messages import (
     Accepted,
     Ballot,
@@ -31,11 +31,11 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
         self.path = self.folder / FILE_NAME
-        first = begin_start(self.folder, "h0", True)
-        write_kept(self.folder, "h0", first.incarnation, MEMORY)
+        first = record_start(self.folder, "h0", True)
+        save_records(self.folder, "h0", first.incarnation, MEMORY)
 
     def begin(self):
-        return begin_start(self.folder, "h0", True)
+        return record_start(self.folder, "h0", True)
 
     def test_next_start_has_them_and_the_file_is_gone(self):
         self.assertEqual(self.begin().kept, MEMORY)
@@ -43,7 +43,7 @@
 
     def test_stale_file_after_a_crash_is_not_taken(self):
         stale = self.path.read_bytes()
-        with patch("damaskwind.control.claims.start.drop_kept"):
+        with patch("damaskwind.control.claims.start.delete_records"):
             self.assertEqual(self.begin().kept, MEMORY)
         self.assertTrue(self.path.exists())
         self.assertIsNone(self.begin().kept)
@@ -62,5 +62,5 @@
             self.path.write_bytes(damaged)
             self.assertIsNone(self.begin().kept)
         start = self.begin().incarnation
-        write_kept(self.folder, "h1", start, MEMORY)
+        save_records(self.folder, "h1", start, MEMORY)
         self.assertIsNone(self.begin().kept)
--- a/packages/control/src/damaskwind/control/claims/tests/test_start.py
+++ b/packages/control/src/damaskwind/control/claims/tests/test_start.py
@@ -5,7 +5,7 @@
 from unittest import TestCase
 from unittest.mock import patch
 
-from damaskwind.control.claims.start import FILE_NAME, HolderStart, begin_start
+from damaskwind.control.claims.start import FILE_NAME, HolderStart, record_start
 from damaskwind.model.exception import StorageError
 
 
@@ -16,20 +16,20 @@
         self.folder = Path(folder.name)
 
     def test_only_a_founders_first_start_may_vote_at_once(self):
-        self.assertEqual(begin_start(self.folder, "h0", True), HolderStart(1, True))
-        self.assertEqual(begin_start(self.folder, "h0", True), HolderStart(2, False))
+        self.assertEqual(record_start(self.folder, "h0", True), HolderStart(1, True))
+        self.assertEqual(record_start(self.folder, "h0", True), HolderStart(2, False))
 
     def test_holder_added_later_catches_up_at_its_first_start(self):
-        self.assertEqual(begin_start(self.folder, "h0", False), HolderStart(1, False))
+        self.assertEqual(record_start(self.folder, "h0", False), HolderStart(1, False))
 
     def test_folder_of_another_holder_and_damage_are_refused(self):
-        begin_start(self.folder, "h0", True)
+        record_start(self.folder, "h0", True)
         with self.assertRaises(StorageError):
-            begin_start(self.folder, "h1", True)
+            record_start(self.folder, "h1", True)
         (self.folder / FILE_NAME).write_bytes(b"{")
         with self.assertRaises(StorageError):
-            begin_start(self.folder, "h0", True)
+            record_start(self.folder, "h0", True)
 
     def test_failed_sync_stops_the_start(self):
         with patch("os.fsync", side_effect=OSError("full")), self.assertRaises(StorageError):
-            begin_start(self.folder, "h0", True)
+            record_start(self.folder, "h0", True)
--- a/packages/control/src/damaskwind/control/fleet/evacuation_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/evacuation_calls.py
@@ -102,7 +102,7 @@
     ) -> CommitOutcome:
         """Put an order in the log, upon what the failure domain's last one was."""
         deadline_s = read_clock() + ORDER_LIMIT_S
-        base_revision = self._orders().held(failure_domain).revision
+        base_revision = self._orders().last_order(failure_domain).revision
         for _ in range(ORDER_ATTEMPTS):
             command = order_command(failure_domain, is_evacuated, base_revision)
             outcome = await access.propose(command, deadline_s - read_clock())
--- a/packages/control/src/damaskwind/control/operator_api/intent_service.py
+++ b/packages/control/src/damaskwind/control/operator_api/intent_service.py
@@ -28,7 +28,7 @@
 )
 from damaskwind.control.state.configuration_machine import ConfigurationMachine, operator_roles
 from damaskwind.control.state.outcome import ApplyResult, ResultStatus, decode_result
-from damaskwind.control.state.plan_book import KEPT_OUTCOMES
+from damaskwind.control.state.plan_book import MAX_OUTCOMES
 from damaskwind.decisions.placement.placer import PLACEMENT_POLICIES
 from damaskwind.decisions.replication.messages import RefusalReason
 from damaskwind.model.configuration import Configuration
@@ -276,7 +276,7 @@
     return OperatorRefusedError(
         OperatorCode.UNKNOWN_PLAN,
         "no such plan is open, and its outcome is not among the last"
-        f" {KEPT_OUTCOMES} that are remembered; the audit trail tells of older ones",
+        f" {MAX_OUTCOMES} that are remembered; the audit trail tells of older ones",
         plan_id=plan_id,
     )
 
--- a/packages/control/src/damaskwind/control/operator_api/views.py
+++ b/packages/control/src/damaskwind/control/operator_api/views.py
@@ -5,7 +5,7 @@
 from damaskwind.control.operator_api.difference import redacted
 from damaskwind.control.state.command import PlanCommand
 from damaskwind.control.state.order_book import TargetOrder
-from damaskwind.control.state.outcome import ChangeNote, PlanOutcome
+from damaskwind.control.state.outcome import ChangeRecord, PlanOutcome
 from damaskwind.control.state.plan_book import Plan
 from damaskwind.model.configuration import Configuration
 from damaskwind.model.configuration_checks import OBJECT_KINDS
@@ -30,7 +30,7 @@
     }
 
 
-def note_view(note: ChangeNote) -> dict[str, Any]:
+def note_view(note: ChangeRecord) -> dict[str, Any]:
     """Return who brought about a revision."""
     return to_table(note)
 
--- a/packages/control/src/damaskwind/control/orders/delivery.py
+++ b/packages/control/src/damaskwind/control/orders/delivery.py
@@ -25,7 +25,7 @@
 class AttemptResult(StrEnum):
     """What came of one attempt to send an order."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     SUPERSEDED = "superseded"
     FAILED = "failed"
 
@@ -34,23 +34,23 @@
     """Periods of the sender; `lease_s` is the longest lease of any leader."""
 
     lease_s: float
-    attempt_s: float = 2.0
+    attempt_timeout_s: float = 2.0
     backoff_first_s: float = 0.25
     backoff_limit_s: float = 30.0
-    attempts_at_once: int = 32
+    max_concurrent_attempts: int = 32
 
     @property
-    def quiet_s(self) -> float:
+    def initial_wait_s(self) -> float:
         """Return how long a new sender waits before its first order."""
-        return self.lease_s + self.attempt_s
+        return self.lease_s + self.attempt_timeout_s
 
 
-class _Progress:
+class _TargetProgress:
     """How far the orders to one target have come in this term."""
 
     def __init__(self) -> None:
-        self.settled_number = 0
-        self.is_under_way = False
+        self.finished_number = 0
+        self.is_in_flight = False
         self.failures = 0
         self.next_attempt_s = float("-inf")
 
@@ -63,9 +63,9 @@
         self._random = random
         self._term = 0
         self._first_send_s = float("inf")
-        self._targets: dict[str, _Progress] = {}
+        self._targets: dict[str, _TargetProgress] = {}
 
-    def due(
+    def start_due(
         self, orders: Sequence[TargetOrder], term: int | None, now_s: float
     ) -> list[TargetOrder]:
         """Return the orders to send now; the caller starts an attempt at each.
@@ -76,37 +76,39 @@
             return []
         if term != self._term:
             self._term = term
-            self._first_send_s = now_s + self._timing.quiet_s
+            self._first_send_s = now_s + self._timing.initial_wait_s
             self._targets = {}
         if now_s < self._first_send_s:
             return []
-        room = self._timing.attempts_at_once
-        room -= sum(progress.is_under_way for progress in self._targets.values())
-        chosen = [order for order in orders if self._is_due(order, now_s)][: max(room, 0)]
+        headroom = self._timing.max_concurrent_attempts
+        headroom -= sum(progress.is_in_flight for progress in self._targets.values())
+        chosen = [order for order in orders if self._is_due(order, now_s)][: max(headroom, 0)]
         for order in chosen:
-            self._targets[order.target_id].is_under_way = True
+            self._targets[order.target_id].is_in_flight = True
         return chosen
 
-    def ended(self, order: TargetOrder, term: int, result: AttemptResult, now_s: float) -> None:
+    def record_result(
+        self, order: TargetOrder, term: int, result: AttemptResult, now_s: float
+    ) -> None:
         """Take note of what came of an attempt that was begun in `term`."""
         progress = self._targets.get(order.target_id)
         if term != self._term or progress is None:
             return
-        progress.is_under_way = False
+        progress.is_in_flight = False
         if result is not AttemptResult.FAILED:
-            progress.settled_number = order.fencing_number
+            progress.finished_number = order.fencing_number
             progress.failures = 0
             progress.next_attempt_s = now_s
             return
         timing = self._timing
-        longest_s = min(timing.backoff_first_s * 2**progress.failures, timing.backoff_limit_s)
+        max_backoff_s = min(timing.backoff_first_s * 2**progress.failures, timing.backoff_limit_s)
         progress.failures = min(progress.failures + 1, 32)
-        progress.next_attempt_s = now_s + self._random.uniform(0, longest_s)
+        progress.next_attempt_s = now_s + self._random.uniform(0, max_backoff_s)
 
     def _is_due(self, order: TargetOrder, now_s: float) -> bool:
         """Tell whether an attempt at an order should begin."""
         if not order.address:
             return False
-        progress = self._targets.setdefault(order.target_id, _Progress())
-        is_open = order.fencing_number > progress.settled_number
-        return is_open and not progress.is_under_way and now_s >= progress.next_attempt_s
+        progress = self._targets.setdefault(order.target_id, _TargetProgress())
+        is_open = order.fencing_number > progress.finished_number
+        return is_open and not progress.is_in_flight and now_s >= progress.next_attempt_s
--- a/packages/control/src/damaskwind/control/orders/sender.py
+++ b/packages/control/src/damaskwind/control/orders/sender.py
@@ -17,8 +17,8 @@
 
 __all__ = ["OrderSender", "wanted_table"]
 
-POLL_S = 0.1
-_RESULTS = {200: AttemptResult.TAKEN, 409: AttemptResult.SUPERSEDED}
+POLL_INTERVAL_S = 0.1
+_RESULTS = {200: AttemptResult.ACCEPTED, 409: AttemptResult.SUPERSEDED}
 
 
 def wanted_table(wanted: WantedState) -> dict[str, Any]:
@@ -43,17 +43,17 @@
 class OrderSender:
     """Look over and over for orders that are due, and send them.
 
-    `leads_in_term` returns the term that this replica leads under its lease, or `None`.
+    `leading_term` returns the term that this replica leads under its lease, or `None`.
     """
 
     def __init__(
         self,
-        leads_in_term: Callable[[], int | None],
+        leading_term: Callable[[], int | None],
         orders: Callable[[], Sequence[TargetOrder]],
         timing: DeliveryTiming,
         random: Random,
     ) -> None:
-        self._leads_in_term = leads_in_term
+        self._leading_term = leading_term
         self._orders = orders
         self._timing = timing
         self._delivery = OrderDelivery(timing, random)
@@ -63,23 +63,23 @@
         """Send until cancelled; an attempt ends when the lease does."""
         try:
             while True:
-                term = self._leads_in_term()
+                term = self._leading_term()
                 if term is None:
-                    self._abort()
+                    self._cancel_attempts()
                 else:
-                    for order in self._delivery.due(self._orders(), term, read_clock()):
-                        self._begin(order, term)
-                await asyncio.sleep(POLL_S)
+                    for order in self._delivery.start_due(self._orders(), term, read_clock()):
+                        self._start_attempt(order, term)
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
-            self._abort()
+            self._cancel_attempts()
 
-    def _begin(self, order: TargetOrder, term: int) -> None:
+    def _start_attempt(self, order: TargetOrder, term: int) -> None:
         """Begin an attempt."""
         task = asyncio.ensure_future(self._attempt(order, term))
         self._attempts.add(task)
         task.add_done_callback(self._attempts.discard)
 
-    def _abort(self) -> None:
+    def _cancel_attempts(self) -> None:
         """End every attempt under way."""
         for task in list(self._attempts):
             task.cancel()
@@ -88,11 +88,11 @@
         """Send an order once and note what came of it."""
         result = AttemptResult.FAILED
         try:
-            result = await asyncio.wait_for(self._send(order), self._timing.attempt_s)
+            result = await asyncio.wait_for(self._send(order), self._timing.attempt_timeout_s)
         except Exception as error:  # whatever the network or the target did, it is tried again
             logger.debug("order not sent", target=order.target_id, error=repr(error))
         finally:
-            self._delivery.ended(order, term, result, read_clock())
+            self._delivery.record_result(order, term, result, read_clock())
         if result is not AttemptResult.FAILED:
             number = order.fencing_number
             logger.info("order ended", target=order.target_id, number=number, result=str(result))
@@ -101,7 +101,7 @@
         """Send an order and return what the target made of it."""
         body = {"fencing_number": order.fencing_number, "wanted": wanted_table(order.wanted)}
         url = f"http://{order.address}/orders"
-        call = treq.post(url, json=body, persistent=False, timeout=self._timing.attempt_s)
+        call = treq.post(url, json=body, persistent=False, timeout=self._timing.attempt_timeout_s)
         response = await to_future(call)
         await to_future(treq.content(response))
         return _RESULTS.get(response.code, AttemptResult.FAILED)
--- a/packages/control/src/damaskwind/control/orders/tests/test_delivery.py
+++ b/packages/control/src/damaskwind/control/orders/tests/test_delivery.py
@@ -7,7 +7,7 @@
 from damaskwind.control.state.command import WantedState
 from damaskwind.control.state.order_book import TargetOrder
 
-TIMING = DeliveryTiming(lease_s=1.0, attempt_s=2.0, attempts_at_once=3)
+TIMING = DeliveryTiming(lease_s=1.0, attempt_timeout_s=2.0, max_concurrent_attempts=3)
 
 
 def order(number, target_id="engine-1", address="127.0.0.1:1"):
@@ -20,7 +20,7 @@
         self.delivery = OrderDelivery(TIMING, Random(1))
 
     def numbers(self, orders, term, now_s):
-        return [each.fencing_number for each in self.delivery.due(orders, term, now_s)]
+        return [each.fencing_number for each in self.delivery.start_due(orders, term, now_s)]
 
     def test_new_sender_waits_out_the_lease_and_the_longest_attempt_of_the_old(self):
         self.assertEqual(self.numbers([order(1)], 4, 10.0), [])
@@ -36,7 +36,7 @@
     def test_next_term_waits_again_and_sends_all_again(self):
         self.numbers([], 4, 0.0)
         self.assertEqual(self.numbers([order(1)], 4, 3.0), [1])
-        self.delivery.ended(order(1), 4, AttemptResult.TAKEN, 3.1)
+        self.delivery.record_result(order(1), 4, AttemptResult.ACCEPTED, 3.1)
         self.assertEqual(self.numbers([order(1)], 4, 9.0), [])
         self.assertEqual(self.numbers([order(1)], 6, 9.0), [])
         self.assertEqual(self.numbers([order(1)], 6, 12.0), [1])
@@ -45,9 +45,9 @@
         self.numbers([], 4, 0.0)
         self.assertEqual(self.numbers([order(1)], 4, 3.0), [1])
         self.assertEqual(self.numbers([order(2)], 4, 3.1), [])
-        self.delivery.ended(order(1), 4, AttemptResult.TAKEN, 3.2)
+        self.delivery.record_result(order(1), 4, AttemptResult.ACCEPTED, 3.2)
         self.assertEqual(self.numbers([order(2)], 4, 3.2), [2])
-        self.delivery.ended(order(2), 4, AttemptResult.SUPERSEDED, 3.3)
+        self.delivery.record_result(order(2), 4, AttemptResult.SUPERSEDED, 3.3)
         self.assertEqual(self.numbers([order(2)], 4, 99.0), [])
 
     def test_failed_attempts_come_again_within_the_limit_of_the_backoff(self):
@@ -55,14 +55,14 @@
         now_s = 3.0
         for _ in range(40):
             self.assertEqual(self.numbers([order(1)], 4, now_s), [1])
-            self.delivery.ended(order(1), 4, AttemptResult.FAILED, now_s)
+            self.delivery.record_result(order(1), 4, AttemptResult.FAILED, now_s)
             now_s += TIMING.backoff_limit_s
 
     def test_end_of_an_attempt_of_another_term_counts_for_nothing(self):
         self.numbers([], 4, 0.0)
         self.assertEqual(self.numbers([order(1)], 4, 3.0), [1])
         self.numbers([order(1)], 5, 4.0)
-        self.delivery.ended(order(1), 4, AttemptResult.TAKEN, 4.1)
+        self.delivery.record_result(order(1), 4, AttemptResult.ACCEPTED, 4.1)
         self.assertEqual(self.numbers([order(1)], 5, 7.0), [1])
 
     def test_attempts_at_once_are_bounded_and_orders_without_address_stay_on_record(self):
@@ -70,5 +70,5 @@
         orders = [order(1, "nowhere", "")]
         orders += [order(number, f"engine-{number}") for number in range(2, 8)]
         self.assertEqual(self.numbers(orders, 4, 3.0), [2, 3, 4])
-        self.delivery.ended(orders[1], 4, AttemptResult.TAKEN, 3.1)
+        self.delivery.record_result(orders[1], 4, AttemptResult.ACCEPTED, 3.1)
         self.assertEqual(self.numbers(orders, 4, 3.1), [5])
--- a/packages/control/src/damaskwind/control/orders/tests/test_sender.py
+++ b/packages/control/src/damaskwind/control/orders/tests/test_sender.py
@@ -15,7 +15,7 @@
 from damaskwind.standins.harness import own_host, wait_until
 from damaskwind.standins.settings import EngineSettings, FencingMode
 
-TIMING = DeliveryTiming(lease_s=0.3, attempt_s=1.0, backoff_first_s=0.05)
+TIMING = DeliveryTiming(lease_s=0.3, attempt_timeout_s=1.0, backoff_first_s=0.05)
 OFFERED = ("damask@2", "damask@2+rumi")
 
 
@@ -83,7 +83,7 @@
         begun_s = loop.time()
         self.start_sender("new", 2)
         await wait_until(lambda: engine.highest_fencing_number == 2, 10.0, "order 2")
-        self.assertGreaterEqual(loop.time() - begun_s, TIMING.quiet_s)
+        self.assertGreaterEqual(loop.time() - begun_s, TIMING.initial_wait_s)
         self.assertEqual(self.versions(engine), [("damask", "2", ("rumi",))])
         self.assertEqual(engine.oracle.events["order_taken"], 2)
 
@@ -94,6 +94,6 @@
         await engine.stop()
         self.orders = [self.order(1, f"{own_host()}:{port}")]
         self.start_sender("a", 1)
-        await asyncio.sleep(TIMING.quiet_s + 0.2)
+        await asyncio.sleep(TIMING.initial_wait_s + 0.2)
         back = await self.engine(FencingMode.CHECKED, port)
         await wait_until(lambda: back.highest_fencing_number == 1, 20.0, "the order after all")
--- a/packages/control/src/damaskwind/control/process.py
+++ b/packages/control/src/damaskwind/control/process.py
@@ -57,7 +57,7 @@
         )
         self.telemetry = self._make_telemetry()
         self.orders = OrderSender(
-            self.replica.leads_in_term,
+            self.replica.leading_term,
             lambda: self.machine.orders.orders(),
             DeliveryTiming(lease_s=control.election_timeout_s),
             Random(secrets.randbits(64)),
--- a/packages/control/src/damaskwind/control/replica/address_book.py
+++ b/packages/control/src/damaskwind/control/replica/address_book.py
@@ -27,30 +27,30 @@
     """The addresses of the replicas by id."""
 
     def __init__(self, records: tuple[AddressRecord, ...] = (), is_fixed: bool = False) -> None:
-        self._first = {record.replica_id: record for record in records}
+        self._configured = {record.replica_id: record for record in records}
         self._fixed = {record.replica_id: record.address for record in records if is_fixed}
         self._logged: dict[str, AddressRecord] = {}
-        self._heard: dict[str, Address] = {}
+        self._announced: dict[str, Address] = {}
 
     def apply(self, payload: bytes) -> None:
         """Take a record from the log; what was heard before is older."""
         record = msgspec.msgpack.decode(payload, type=AddressRecord)
         self._logged[record.replica_id] = record
-        self._heard.pop(record.replica_id, None)
+        self._announced.pop(record.replica_id, None)
 
-    def hear(self, member: Member, address: Address) -> None:
+    def record_announced(self, member: Member, address: Address) -> None:
         """Take note of what a replica says of itself."""
-        self._heard[member.replica_id] = address
+        self._announced[member.replica_id] = address
 
     def address_of(self, replica_id: str) -> Address | None:
         """Return the best known address of a replica."""
-        told = self._fixed.get(replica_id) or self._heard.get(replica_id)
+        current = self._fixed.get(replica_id) or self._announced.get(replica_id)
         record = self.record_of(replica_id)
-        return told or (record.address if record else None)
+        return current or (record.address if record else None)
 
     def record_of(self, replica_id: str) -> AddressRecord | None:
         """Return what the log, or else the settings, say of a replica."""
-        return self._logged.get(replica_id) or self._first.get(replica_id)
+        return self._logged.get(replica_id) or self._configured.get(replica_id)
 
     def snapshot(self) -> tuple[AddressRecord, ...]:
         """Return what the log holds."""
--- a/packages/control/src/damaskwind/control/replica/forwarding.py
+++ b/packages/control/src/damaskwind/control/replica/forwarding.py
@@ -40,7 +40,7 @@
 READ_ATTEMPT_S = 1.0
 HELLO_TIMEOUT_S = 2.0
 STOPPED = "stopped"
-_MAY_RETRY = frozenset(RefusalReason) - {RefusalReason.INVALID_CHANGE}
+_RETRYABLE_REASONS = frozenset(RefusalReason) - {RefusalReason.INVALID_CHANGE}
 
 
 class _NotSentError(DamaskwindError):
@@ -67,7 +67,7 @@
         """Propose a command for the state machine and wait until it is applied here."""
         deadline_s = read_clock() + timeout_s
         outcome = await self.commit(machine_command(payload), timeout_s)
-        return await self._outcome_here(outcome, deadline_s)
+        return await self._wait_for_result(outcome, deadline_s)
 
     async def read_current(self, timeout_s: float) -> bool:
         """Wait until the state here holds all that a majority had confirmed."""
@@ -78,7 +78,7 @@
                 return False
             index = await self._read_index(min(left_s, READ_ATTEMPT_S))
             if index is not None:
-                return await self._wait_for(index, deadline_s - read_clock())
+                return await self._wait_until_applied(index, deadline_s - read_clock())
             await asyncio.sleep(RETRY_PAUSE_S)
         return False
 
@@ -114,24 +114,24 @@
         )
         deadline_s = read_clock() + timeout_s
         outcome = await self.change(request, timeout_s)
-        return await self._outcome_here(outcome, deadline_s)
+        return await self._wait_for_result(outcome, deadline_s)
 
     async def commit(self, payload: bytes, timeout_s: float) -> ProposalOutcome:
         """Commit an entry through the leader."""
         request = replication_pb2.Proposal(payload=payload)
-        return await self._at_leader("Propose", request, timeout_s)
+        return await self._request_leader("Propose", request, timeout_s)
 
     async def change(
         self, request: replication_pb2.ChangeRequest, timeout_s: float
     ) -> ProposalOutcome:
         """Change the members through the leader."""
-        return await self._at_leader("Change", request, timeout_s)
+        return await self._request_leader("Change", request, timeout_s)
 
     async def close(self) -> None:
         """Close the connections to leaders."""
         self._channels.close()
 
-    async def propose_here(self, request: Any, timeout_s: float) -> ProposalOutcome:
+    async def propose_locally(self, request: Any, timeout_s: float) -> ProposalOutcome:
         """Propose an entry at this replica, which must lead."""
         started_s = read_clock()
         outcome = await self.replica.propose(request.payload, timeout_s)
@@ -139,28 +139,28 @@
             callback(outcome, read_clock() - started_s)
         return outcome
 
-    async def change_here(self, request: Any, timeout_s: float) -> ProposalOutcome:
+    async def change_locally(self, request: Any, timeout_s: float) -> ProposalOutcome:
         """Change the members at this replica, which must lead."""
         if not self.replica.is_leader:
             return _refused(RefusalReason.NOT_LEADER)
         if request.action == "remove":
-            return await self._remove_here(request.replica_id, timeout_s)
+            return await self._remove_member(request.replica_id, timeout_s)
         if request.action != "add":
             return _refused(RefusalReason.INVALID_CHANGE)
-        return await self._add_here(request, timeout_s)
+        return await self._add_member(request, timeout_s)
 
-    async def read_index_here(self, timeout_s: float) -> int | None:
+    async def read_index_locally(self, timeout_s: float) -> int | None:
         """Return the index at which a read is current, if this replica leads."""
         answer = await self.replica.read_index(timeout_s)
         return answer.index if isinstance(answer, ReadReady) else None
 
-    async def _add_here(self, request: Any, timeout_s: float) -> ProposalOutcome:
+    async def _add_member(self, request: Any, timeout_s: float) -> ProposalOutcome:
         """Put a newcomer's address in the log, then add it as a learner."""
         try:
             address = parse_address(request.address)
         except ValueError:
             return _refused(RefusalReason.INVALID_CHANGE)
-        identity = request.identity or await self._ask_identity(request.replica_id, address)
+        identity = request.identity or await self._fetch_identity(request.replica_id, address)
         if not identity:
             return _refused(RefusalReason.INVALID_CHANGE)
         member = Member(request.replica_id, identity)
@@ -173,7 +173,7 @@
         change = MembershipChange(ChangeKind.ADD_LEARNER, member)
         return await self.replica.propose_change(change, timeout_s)
 
-    async def _remove_here(self, replica_id: str, timeout_s: float) -> ProposalOutcome:
+    async def _remove_member(self, replica_id: str, timeout_s: float) -> ProposalOutcome:
         """Remove the member with an id, the voter first."""
         members = _members(self.replica.core.membership)
         member = next((item for item in members if item.replica_id == replica_id), None)
@@ -182,7 +182,7 @@
         change = MembershipChange(ChangeKind.REMOVE, member)
         return await self.replica.propose_change(change, timeout_s)
 
-    async def _ask_identity(self, replica_id: str, address: Address) -> str:
+    async def _fetch_identity(self, replica_id: str, address: Address) -> str:
         """Ask the replica at an address who it is; empty when it is another one."""
         stub = ReplicationStub(self._channels.get(address))
         try:
@@ -198,7 +198,7 @@
     async def _read_index(self, timeout_s: float) -> int | None:
         """Return a current index from the leader, wherever it is."""
         if self.replica.is_leader:
-            return await self.read_index_here(timeout_s)
+            return await self.read_index_locally(timeout_s)
         request = replication_pb2.ReadIndexRequest(timeout_ms=int(timeout_s * 1000))
         try:
             reply = await self._call_leader("ReadIndex", request, timeout_s)
@@ -206,7 +206,7 @@
             return None
         return reply.index if reply is not None and reply.is_current else None
 
-    async def _at_leader(self, method: str, request: Any, timeout_s: float) -> ProposalOutcome:
+    async def _request_leader(self, method: str, request: Any, timeout_s: float) -> ProposalOutcome:
         """Have the leader carry a request out; try the next one after a sure refusal."""
         deadline_s = read_clock() + timeout_s
         outcome = _refused(RefusalReason.NO_QUORUM)
@@ -217,7 +217,7 @@
             request.timeout_ms = max(int(left_s * 1000), 1)
             outcome = await self._attempt(method, request, left_s)
             is_refused = outcome.outcome is Outcome.REFUSED
-            if not is_refused or outcome.reason not in _MAY_RETRY:
+            if not is_refused or outcome.reason not in _RETRYABLE_REASONS:
                 return outcome
             await asyncio.sleep(RETRY_PAUSE_S)
         return outcome
@@ -225,7 +225,7 @@
     async def _attempt(self, method: str, request: Any, timeout_s: float) -> ProposalOutcome:
         """Try once, here or at the leader."""
         if self.replica.is_leader:
-            here = {"Propose": self.propose_here, "Change": self.change_here}[method]
+            here = {"Propose": self.propose_locally, "Change": self.change_locally}[method]
             return await here(request, timeout_s)
         if self._leader_address() is None:
             return _refused(RefusalReason.NOT_LEADER)
@@ -264,12 +264,12 @@
             return None
         return self.replica.state.addresses.address_of(leader.replica_id)
 
-    async def _wait_for(self, index: int, timeout_s: float) -> bool:
+    async def _wait_until_applied(self, index: int, timeout_s: float) -> bool:
         """Wait until the state here is as far as an index."""
         state = self.replica.state
         return await self.replica.wait_until(lambda: state.applied_index >= index, timeout_s)
 
-    async def _outcome_here(self, outcome: ProposalOutcome, deadline_s: float) -> CommitOutcome:
+    async def _wait_for_result(self, outcome: ProposalOutcome, deadline_s: float) -> CommitOutcome:
         """Wait until a committed entry is applied here and return its result."""
         leader = self.replica.core.leader
         hint = leader.replica_id if leader is not None else ""
@@ -277,7 +277,7 @@
             verdict = CommitVerdict(outcome.outcome.value)
             return CommitOutcome(verdict, b"", hint, str(outcome.reason or ""))
         left_s = deadline_s - read_clock()
-        if not await self._wait_for(outcome.index, left_s):
+        if not await self._wait_until_applied(outcome.index, left_s):
             detail = "committed, but not applied here yet"
             return CommitOutcome(CommitVerdict.UNKNOWN, b"", hint, detail)
         result = self.replica.state.result_at(outcome.index) or b""
--- a/packages/control/src/damaskwind/control/replica/joining.py
+++ b/packages/control/src/damaskwind/control/replica/joining.py
@@ -26,16 +26,16 @@
 from damaskwind.wire.authentication import CallSigner, call_unary
 from damaskwind.wire.replication_grpc import ReplicationStub
 
-__all__ = ["found_or_join", "stay_member"]
+__all__ = ["found_or_join_cluster", "rejoin_if_removed"]
 
 RETRY_S = 0.5
 HELLO_TIMEOUT_S = 1.0
 JOIN_TIMEOUT_S = 5.0
 # A replica that has heard no leader for several elections may have been left out.
-LEFT_OUT_S = 4.0
+REJOIN_AFTER_S = 4.0
 
 
-async def found_or_join(
+async def found_or_join_cluster(
     access: LogAccess,
     journal: Journal,
     folder: DataFolder,
@@ -57,11 +57,11 @@
     own_id = replica.member.replica_id
     others = [item for item in bootstrap if item.replica_id != own_id]
     is_listed = len(others) < len(bootstrap)
-    asks = is_listed or joins_unlisted
+    may_ask = is_listed or joins_unlisted
     channels = Channels()
     try:
         while replica.is_running and not replica.has_log:
-            hellos = await _greet(others, channels, signer) if asks else []
+            hellos = await _greet_bootstrap_replicas(others, channels, signer) if may_ask else []
             with_log = [
                 parse_address(item.address)
                 for item, reply in zip(others, hellos, strict=False)
@@ -74,15 +74,15 @@
                 if not service.is_founding:
                     folder.mark_founding()
                     service.is_founding = True
-                if _may_found(bootstrap, own_id, hellos):
-                    await replica.found(journal)
+                if _can_found_cluster(bootstrap, own_id, hellos):
+                    await replica.found_cluster(journal)
                     return
             await replica.wait_until(lambda: replica.has_log, random.uniform(0, RETRY_S))
     finally:
         channels.close()
 
 
-async def stay_member(
+async def rejoin_if_removed(
     access: LogAccess,
     service: ReplicationService,
     bootstrap: tuple[ReplicaSettings, ...],
@@ -96,14 +96,14 @@
     replica = access.replica
     own_id = replica.member.replica_id
     channels = Channels()
-    led_s = float("-inf")
+    last_led_s = float("-inf")
     try:
         while replica.is_running:
-            await asyncio.sleep(LEFT_OUT_S / 4)
+            await asyncio.sleep(REJOIN_AFTER_S / 4)
             if replica.is_leader:
-                led_s = read_clock()
-            silent_s = read_clock() - max(led_s, replica.core.leader_seen_s)
-            if not replica.has_log or silent_s < LEFT_OUT_S:
+                last_led_s = read_clock()
+            silent_s = read_clock() - max(last_led_s, replica.core.leader_seen_s)
+            if not replica.has_log or silent_s < REJOIN_AFTER_S:
                 continue
             members = replica.core.membership.voters + replica.core.membership.learners
             others = {member.replica_id for member in members} - {own_id}
@@ -112,7 +112,7 @@
             known = [address for address in dict.fromkeys(addresses) if address is not None]
             # A call into a cut takes its whole time, long after the cut has healed: only
             # those are asked that answer a short one.
-            targets = await _answering(known, channels, signer)
+            targets = await _reachable(known, channels, signer)
             logger.info(
                 "asking to be added again", silent_s=round(silent_s, 1), answering=len(targets)
             )
@@ -121,27 +121,31 @@
         channels.close()
 
 
-def _may_found(bootstrap: tuple[ReplicaSettings, ...], own_id: str, hellos: list[Any]) -> bool:
+def _can_found_cluster(
+    bootstrap: tuple[ReplicaSettings, ...], own_id: str, hellos: list[Any]
+) -> bool:
     """Tell whether this replica is the founder and all others are founding."""
     return bootstrap[0].replica_id == own_id and all(reply.is_founding for reply in hellos)
 
 
-async def _greet(
+async def _greet_bootstrap_replicas(
     others: list[ReplicaSettings], channels: Channels, signer: CallSigner
 ) -> list[Any]:
     """Ask all others who they are; `None` for those that don't answer."""
-    return await _hellos([parse_address(item.address) for item in others], channels, signer)
+    return await _call_hello([parse_address(item.address) for item in others], channels, signer)
 
 
-async def _answering(
+async def _reachable(
     addresses: list[Address], channels: Channels, signer: CallSigner
 ) -> list[Address]:
     """Return the addresses at which a replica answers now."""
-    hellos = await _hellos(addresses, channels, signer)
+    hellos = await _call_hello(addresses, channels, signer)
     return [address for address, reply in zip(addresses, hellos, strict=True) if reply is not None]
 
 
-async def _hellos(addresses: list[Address], channels: Channels, signer: CallSigner) -> list[Any]:
+async def _call_hello(
+    addresses: list[Address], channels: Channels, signer: CallSigner
+) -> list[Any]:
     """Say hello at all addresses at once; `None` where nobody answers in time."""
     calls = [
         _call(address, "Hello", replication_pb2.HelloRequest(), channels, signer, HELLO_TIMEOUT_S)
--- a/packages/control/src/damaskwind/control/replica/node.py
+++ b/packages/control/src/damaskwind/control/replica/node.py
@@ -7,7 +7,7 @@
 
 from damaskwind.control.replica.address_book import AddressBook, AddressRecord
 from damaskwind.control.replica.forwarding import LogAccess
-from damaskwind.control.replica.joining import found_or_join, stay_member
+from damaskwind.control.replica.joining import found_or_join_cluster, rejoin_if_removed
 from damaskwind.control.replica.replica import Replica
 from damaskwind.control.replica.replicated_state import ReplicatedState, StateMachine
 from damaskwind.control.replica.service import ReplicationService
@@ -40,7 +40,7 @@
         self.replica.transport.own_address = address
         self.service.address = address
         self.replica.start()
-        joining = found_or_join(
+        joining = found_or_join_cluster(
             self.access,
             self.journal,
             self.folder,
@@ -54,7 +54,7 @@
         )
         self.tasks.append(asyncio.ensure_future(joining))
         if control.joins_unlisted:
-            staying = stay_member(
+            staying = rejoin_if_removed(
                 self.access,
                 self.service,
                 control.bootstrap_replicas,
@@ -73,7 +73,7 @@
         self.folder.close()
 
 
-def _timing(control: ControlSettings) -> Timing:
+def _make_timing(control: ControlSettings) -> Timing:
     """Return the log's periods from the settings."""
     return Timing(
         heartbeat_s=control.heartbeat_s,
@@ -85,7 +85,7 @@
     )
 
 
-def _first_addresses(control: ControlSettings) -> AddressBook:
+def _bootstrap_addresses(control: ControlSettings) -> AddressBook:
     """Return the addresses that the settings name."""
     records = (
         AddressRecord(item.replica_id, parse_address(item.address), item.failure_domain)
@@ -111,13 +111,13 @@
     try:
         journal = open_journal(folder.path, files)
         signer = CallSigner(node.cluster, node.cluster_key, node.node_id)
-        addresses = _first_addresses(control)
+        addresses = _bootstrap_addresses(control)
         replica = Replica(
             Member(node.node_id, folder.identity.identity),
             journal,
             ReplicatedState(machine, addresses),
             Transport(signer, addresses.address_of, random),
-            _timing(control),
+            _make_timing(control),
             random,
             control.snapshot_every_entries,
             silent_since_s,
--- a/packages/control/src/damaskwind/control/replica/replica.py
+++ b/packages/control/src/damaskwind/control/replica/replica.py
@@ -60,7 +60,7 @@
 __all__ = ["Replica"]
 
 TICKS_PER_HEARTBEAT = 4
-ANNOUNCEMENT = "commit-announcement"
+COMMIT_ANNOUNCEMENT_ID = "commit-announcement"
 
 
 class Replica:
@@ -88,9 +88,9 @@
         self._snapshot_every_entries = snapshot_every_entries
         self._silent_since_s = silent_since_s
         self._snapshot_index = journal.snapshot.index
-        self._taking_snapshot = False
-        self._leader_heard_s = float("-inf")
-        self._answers: dict[str, asyncio.Future] = {}
+        self._is_taking_snapshot = False
+        self._leader_seen_s = float("-inf")
+        self._pending: dict[str, asyncio.Future] = {}
         self._waiters = ConditionWaiters()
         self._events: deque[Input] = deque()
         self._members: Membership | None = None
@@ -103,7 +103,7 @@
         self.core = self._make_core(journal)
         if journal.snapshot.index:
             state.restore(journal.snapshot.index, journal.read_snapshot()[1])
-        self.writer = GroupCommitWriter(journal, self._note_durable, self._fail)
+        self.writer = GroupCommitWriter(journal, self._handle_durable, self._fail)
 
     def _make_core(self, journal: Journal) -> ReplicaCore:
         """Build the core upon what is durable."""
@@ -133,10 +133,10 @@
         """Tell whether this replica leads."""
         return self.is_running and self.core.role == "leader"
 
-    def leads_in_term(self) -> int | None:
+    def leading_term(self) -> int | None:
         """Return the term that this replica leads under its lease, or `None`."""
-        is_sure = self.is_leader and self.core.holds_lease(read_clock())
-        return self.core.term if is_sure else None
+        has_lease = self.is_leader and self.core.holds_lease(read_clock())
+        return self.core.term if has_lease else None
 
     @property
     def is_current(self) -> bool:
@@ -150,14 +150,14 @@
         now_s = read_clock()
         if self.core.holds_lease(now_s):
             return True
-        is_fresh = now_s - self._leader_heard_s < self.timing.election_timeout_min_s
+        is_fresh = now_s - self._leader_seen_s < self.timing.election_timeout_min_s
         return is_fresh and self.state.applied_index >= self.core.commit_index
 
     def start(self) -> None:
         """Begin to tick."""
         self._tick()
 
-    async def found(self, journal: Journal) -> None:
+    async def found_cluster(self, journal: Journal) -> None:
         """Write the first log of a new cluster whose only voter is this replica.
 
         Only for a journal that holds nothing; the other replicas join.
@@ -175,7 +175,7 @@
         if self._ticker is not None:
             self._ticker.cancel()
             self._ticker = None
-        self._stop_answers()
+        self._resolve_pending_as_unknown()
         for task in list(self._tasks):
             task.cancel()
         await self.writer.close()
@@ -186,22 +186,22 @@
         is_from_leader = isinstance(envelope.message, AppendRequest | SnapshotRequest)
         self.feed(Received(envelope))
         if is_from_leader and envelope.message.term == self.core.term:
-            self._leader_heard_s = read_clock()
+            self._leader_seen_s = read_clock()
 
     async def propose(self, payload: bytes, timeout_s: float) -> ProposalOutcome:
         """Propose a command here; only a leader takes it."""
         proposal_id = uuid4().hex
-        return await self._ask(proposal_id, Propose(proposal_id, payload), timeout_s)
+        return await self._request(proposal_id, Propose(proposal_id, payload), timeout_s)
 
     async def propose_change(self, change: MembershipChange, timeout_s: float) -> ProposalOutcome:
         """Propose a change of members here; only a leader takes it."""
         proposal_id = uuid4().hex
-        return await self._ask(proposal_id, ProposeMembership(proposal_id, change), timeout_s)
+        return await self._request(proposal_id, ProposeMembership(proposal_id, change), timeout_s)
 
     async def read_index(self, timeout_s: float) -> ReadReady | ReadRefused:
         """Ask a majority for the index at which a read is current."""
         read_id = uuid4().hex
-        return await self._ask(read_id, ReadRequest(read_id), timeout_s)
+        return await self._request(read_id, ReadRequest(read_id), timeout_s)
 
     async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
         """Wait until a condition of this replica holds; tell whether it did in time."""
@@ -224,11 +224,11 @@
                     _HANDLERS[type(output)](self, output)
         finally:
             self._is_stepping = False
-        self._note_members()
-        self._consider_snapshot()
+        self._log_member_changes()
+        self._take_snapshot_if_due()
         self._waiters.wake()
 
-    def _note_members(self) -> None:
+    def _log_member_changes(self) -> None:
         """Say who votes and who learns, whenever that has changed."""
         members = self.core.membership
         if members == self._members:
@@ -241,19 +241,19 @@
             leads=self.is_leader,
         )
 
-    async def _ask(self, question_id: str, event: Input, timeout_s: float) -> Any:
+    async def _request(self, request_id: str, event: Input, timeout_s: float) -> Any:
         """Feed a question and wait for its answer."""
         if not self.is_running:
-            return _no_answer(event)
+            return _failure_result(event)
         answer = asyncio.get_running_loop().create_future()
-        self._answers[question_id] = answer
+        self._pending[request_id] = answer
         self.feed(event)
         try:
             return await asyncio.wait_for(answer, max(timeout_s, 0.0))
         except TimeoutError:
-            return _timed_out(event)
+            return _timeout_result(event)
         finally:
-            self._answers.pop(question_id, None)
+            self._pending.pop(request_id, None)
 
     def _tick(self) -> None:
         """Feed a tick and arrange for the next."""
@@ -262,34 +262,34 @@
         self._ticker = loop.call_later(period_s, self._tick)
         self.feed(Tick())
 
-    def _answer(self, question_id: str, answer: Any) -> None:
+    def _resolve(self, request_id: str, answer: Any) -> None:
         """Answer the question with this id."""
-        waiter = self._answers.get(question_id)
+        waiter = self._pending.get(request_id)
         if waiter is not None and not waiter.done():
             waiter.set_result(answer)
 
-    def _stop_answers(self) -> None:
+    def _resolve_pending_as_unknown(self) -> None:
         """Leave no one waiting: whether a proposal commits is not known any more."""
-        for question_id in list(self._answers):
-            self._answer(question_id, ProposalOutcome(question_id, Outcome.UNKNOWN))
+        for request_id in list(self._pending):
+            self._resolve(request_id, ProposalOutcome(request_id, Outcome.UNKNOWN))
 
-    def _consider_snapshot(self) -> None:
+    def _take_snapshot_if_due(self) -> None:
         """Take a snapshot when enough entries were applied since the last."""
         index = self.state.applied_index
-        if self._taking_snapshot or index - self._snapshot_index < self._snapshot_every_entries:
+        if self._is_taking_snapshot or index - self._snapshot_index < self._snapshot_every_entries:
             return
-        self._taking_snapshot = True
+        self._is_taking_snapshot = True
         write = TakeSnapshot(self.core.snapshot_at(index), self.state.snapshot())
         self.writer.submit(write)
 
-    def _note_durable(self, group: list[JournalWrite]) -> None:
+    def _handle_durable(self, group: list[JournalWrite]) -> None:
         """Tell the core what is durable."""
         numbers = [write.write_id for write in group if not isinstance(write, TakeSnapshot)]
         if numbers:
             self.feed(WritesDurable(max(numbers)))
         for write in group:
             if isinstance(write, TakeSnapshot):
-                self._taking_snapshot = False
+                self._is_taking_snapshot = False
                 self._snapshot_index = max(self._snapshot_index, write.snapshot.index)
                 self.feed(SnapshotTaken(write.snapshot.index))
 
@@ -299,7 +299,7 @@
         self.failure = error
         if self._ticker is not None:
             self._ticker.cancel()
-        self._stop_answers()
+        self._resolve_pending_as_unknown()
         self._waiters.wake()
         for callback in self.on_failure:
             callback(error)
@@ -311,11 +311,11 @@
         self.transport.send(output.envelope)
 
     def _send_snapshot(self, output: SendSnapshot) -> None:
-        task = asyncio.ensure_future(self._fill_snapshot(output.envelope))
+        task = asyncio.ensure_future(self._load_and_send_snapshot(output.envelope))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _fill_snapshot(self, envelope: Envelope) -> None:
+    async def _load_and_send_snapshot(self, envelope: Envelope) -> None:
         """Send the newest durable snapshot."""
         try:
             snapshot, data = await self.writer.read_snapshot()
@@ -342,7 +342,7 @@
         if not self._is_announcing and self.state.applied_index > self._announced_index:
             self._is_announcing = True
             self._announced_index = self.state.applied_index
-            self._events.append(ReadRequest(ANNOUNCEMENT))
+            self._events.append(ReadRequest(COMMIT_ANNOUNCEMENT_ID))
 
     def _install(self, output: InstallSnapshot) -> None:
         self.writer.submit(output)
@@ -351,21 +351,21 @@
         for callback in self.on_applied:
             callback()
 
-    def _finish_proposal(self, output: ProposalOutcome) -> None:
-        self._answer(output.proposal_id, output)
+    def _resolve_proposal(self, output: ProposalOutcome) -> None:
+        self._resolve(output.proposal_id, output)
 
-    def _finish_read(self, output: ReadReady | ReadRefused) -> None:
-        if output.read_id == ANNOUNCEMENT:
+    def _resolve_read(self, output: ReadReady | ReadRefused) -> None:
+        if output.read_id == COMMIT_ANNOUNCEMENT_ID:
             self._is_announcing = False
             if self.is_leader:
                 self._announce_commit()
             return
-        self._answer(output.read_id, output)
+        self._resolve(output.read_id, output)
 
-    def _note_leading(self, output: BecameLeader) -> None:
+    def _log_election_won(self, output: BecameLeader) -> None:
         logger.info("became leader", replica=self.member.replica_id, term=output.term)
 
-    def _note_step_down(self, output: SteppedDown) -> None:
+    def _log_step_down(self, output: SteppedDown) -> None:
         """Say why, with what the last rounds came to."""
         logger.info(
             "stepped down",
@@ -378,14 +378,14 @@
         )
 
 
-def _timed_out(event: Input) -> ProposalOutcome | ReadRefused:
+def _timeout_result(event: Input) -> ProposalOutcome | ReadRefused:
     """Return what a question without an answer in time comes to."""
     if isinstance(event, ReadRequest):
         return ReadRefused(event.read_id, RefusalReason.NO_QUORUM, None)
     return ProposalOutcome(event.proposal_id, Outcome.UNKNOWN)
 
 
-def _no_answer(event: Input) -> ProposalOutcome | ReadRefused:
+def _failure_result(event: Input) -> ProposalOutcome | ReadRefused:
     """Return what a question to a replica that failed comes to."""
     if isinstance(event, ReadRequest):
         return ReadRefused(event.read_id, RefusalReason.NO_QUORUM, None)
@@ -401,9 +401,9 @@
     TruncateFrom: Replica._write,
     InstallSnapshot: Replica._install,
     Apply: Replica._apply,
-    ReadReady: Replica._finish_read,
-    ReadRefused: Replica._finish_read,
-    ProposalOutcome: Replica._finish_proposal,
-    BecameLeader: Replica._note_leading,
-    SteppedDown: Replica._note_step_down,
+    ReadReady: Replica._resolve_read,
+    ReadRefused: Replica._resolve_read,
+    ProposalOutcome: Replica._resolve_proposal,
+    BecameLeader: Replica._log_election_won,
+    SteppedDown: Replica._log_step_down,
 }
--- a/packages/control/src/damaskwind/control/replica/replicated_state.py
+++ b/packages/control/src/damaskwind/control/replica/replicated_state.py
@@ -16,7 +16,7 @@
 
 _FOR_MACHINE = b"M"
 _FOR_ADDRESSES = b"A"
-KEPT_RESULTS = 4096
+MAX_RESULTS = 4096
 
 
 class StateMachine(Protocol):
@@ -72,7 +72,7 @@
                 self.addresses.apply(payload)
                 continue
             self._results[entry.index] = self._machine.apply(entry.index, payload)
-            while len(self._results) > KEPT_RESULTS:
+            while len(self._results) > MAX_RESULTS:
                 self._results.popitem(last=False)
 
     def result_at(self, index: int) -> bytes | None:
--- a/packages/control/src/damaskwind/control/replica/service.py
+++ b/packages/control/src/damaskwind/control/replica/service.py
@@ -47,14 +47,14 @@
         for envelope in envelopes:
             if envelope.sender.replica_id != batch.sender_id:
                 raise GRPCError(Status.INVALID_ARGUMENT, "other_sender")
-            replica.state.addresses.hear(envelope.sender, address)
+            replica.state.addresses.record_announced(envelope.sender, address)
             replica.receive(envelope)
         await stream.send_message(replication_pb2.Received())
 
     async def Propose(self, stream: Any) -> None:  # noqa: N802
         """Commit an entry if this replica leads."""
         request = await self._receive(stream, "Propose")
-        outcome = await self._access.propose_here(request, request.timeout_ms / 1000)
+        outcome = await self._access.propose_locally(request, request.timeout_ms / 1000)
         await stream.send_message(self._reply(outcome))
 
     async def Change(self, stream: Any) -> None:  # noqa: N802
@@ -63,13 +63,13 @@
         timeout_s = request.timeout_ms / 1000
         access = self._access
         is_leader = access.replica.is_leader
-        outcome = await (access.change_here if is_leader else access.change)(request, timeout_s)
+        outcome = await (access.change_locally if is_leader else access.change)(request, timeout_s)
         await stream.send_message(self._reply(outcome))
 
     async def ReadIndex(self, stream: Any) -> None:  # noqa: N802
         """Return the index at which a read is current."""
         request = await self._receive(stream, "ReadIndex")
-        index = await self._access.read_index_here(request.timeout_ms / 1000)
+        index = await self._access.read_index_locally(request.timeout_ms / 1000)
         reply = replication_pb2.ReadIndexReply(is_current=index is not None, index=index or 0)
         await stream.send_message(reply)
 
--- a/packages/control/src/damaskwind/control/replica/tests/cluster.py
+++ b/packages/control/src/damaskwind/control/replica/tests/cluster.py
@@ -101,7 +101,7 @@
     async def start_all(self):
         for item in self.bootstrap:
             await self.start(item.replica_id)
-        await self.settled(len(self.bootstrap))
+        await self.wait_for_voters(len(self.bootstrap))
 
     async def stop(self, name):
         await self.running.pop(name).stop()
@@ -141,7 +141,7 @@
                 return name
         return None
 
-    async def settled(self, voters, timeout_s=15.0):
+    async def wait_for_voters(self, voters, timeout_s=15.0):
         """Wait until every running replica knows that so many vote."""
         for item in self.running.values():
             core = item.replica
@@ -160,7 +160,7 @@
     def make(self, **options):
         return ReplicaCluster(self, **options)
 
-    async def confirm(self, cluster, name, payload):
+    async def commit(self, cluster, name, payload):
         outcome = await cluster.running[name].access.propose(payload, 10.0)
         self.assertEqual(outcome.verdict, COMMITTED, outcome)
         return outcome
--- a/packages/control/src/damaskwind/control/replica/tests/test_cluster.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_cluster.py
@@ -26,7 +26,7 @@
         await cluster.start_all()
         try:
             for number, name in enumerate("abc", 1):
-                outcome = await self.confirm(cluster, name, name.encode())
+                outcome = await self.commit(cluster, name, name.encode())
                 self.assertEqual(outcome.result, b"%d" % number)
             for item in cluster.running.values():
                 self.assertTrue(await item.access.read_current(10.0))
@@ -41,11 +41,11 @@
         await cluster.start_all()
         try:
             first = await cluster.leader()
-            await self.confirm(cluster, first, b"before")
+            await self.commit(cluster, first, b"before")
             await cluster.stop(first)
             second = await cluster.leader()
             self.assertNotEqual(second, first)
-            await self.confirm(cluster, second, b"after")
+            await self.commit(cluster, second, b"after")
             back = await cluster.start(first)
             self.assertTrue(await back.access.read_current(10.0))
             self.assertEqual(back.machine.payloads, [b"before", b"after"])
@@ -76,7 +76,7 @@
         await cluster.start_all()
         try:
             old = await cluster.leader()
-            await self.confirm(cluster, old, b"before")
+            await self.commit(cluster, old, b"before")
             cluster.isolate(old)
             cut_off = cluster.running[old]
             lost = asyncio.ensure_future(cut_off.access.propose(b"lost", 10.0))
@@ -86,7 +86,7 @@
             self.assertTrue(stepped_down)
             self.assertFalse(await cut_off.access.read_current(0.5))
             other = next(name for name in "abc" if name != old)
-            await self.confirm(cluster, other, b"after")
+            await self.commit(cluster, other, b"after")
             self.assertNotEqual((await lost).verdict, COMMITTED)
             cluster.heal(old)
             self.assertTrue(await cut_off.access.read_current(10.0))
@@ -101,7 +101,7 @@
         await cluster.start("a", files)
         await cluster.start("b")
         await cluster.start("c")
-        await cluster.settled(3)
+        await cluster.wait_for_voters(3)
         try:
             files.broken = True
             # When the broken replica led, whether this is committed is not known.
@@ -113,7 +113,7 @@
             self.assertFalse(broken.replica.is_current)
             outcome = await broken.access.propose(b"two", 1.0)
             self.assertEqual(outcome.verdict, CommitVerdict.REFUSED)
-            await self.confirm(cluster, "c", b"three")
+            await self.commit(cluster, "c", b"three")
             held = cluster.running["c"].machine.payloads
             self.assertEqual(held[-1], b"three")
             if first.verdict is COMMITTED:
--- a/packages/control/src/damaskwind/control/replica/tests/test_cluster_members.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_cluster_members.py
@@ -16,7 +16,7 @@
             payloads = [b"%d" % number for number in range(1000)]
             for first in range(0, 1000, 50):
                 some = payloads[first : first + 50]
-                await asyncio.gather(*(self.confirm(cluster, leader, item) for item in some))
+                await asyncio.gather(*(self.commit(cluster, leader, item) for item in some))
             await cluster.stop_all()
             for name in "abc":
                 await cluster.start(name)
@@ -33,7 +33,7 @@
         await cluster.start_all()
         try:
             for number in range(12):
-                await self.confirm(cluster, "a", b"%d" % number)
+                await self.commit(cluster, "a", b"%d" % number)
             old = cluster.running["c"].replica.member
             await cluster.stop("c")
             shutil.rmtree(cluster.path / "c")
@@ -47,7 +47,7 @@
             self.assertNotEqual(new.member, old)
             self.assertTrue(await keeps.wait_until(replaced, 15.0), keeps.core.membership)
             await cluster.stop("b")
-            await self.confirm(cluster, "a", b"after the second loss")
+            await self.commit(cluster, "a", b"after the second loss")
             self.assertTrue(await cluster.running["c"].access.read_current(10.0))
             self.assertEqual(len(cluster.running["c"].machine.payloads), 13)
         finally:
@@ -58,7 +58,7 @@
         cluster = self.make()
         await cluster.start_all()
         try:
-            await self.confirm(cluster, "b", b"kept")
+            await self.commit(cluster, "b", b"kept")
             await cluster.stop("a")
             shutil.rmtree(cluster.path / "a")
             back = await cluster.start("a")
@@ -72,13 +72,13 @@
         cluster = self.make()
         await cluster.start_all()
         try:
-            await self.confirm(cluster, "a", b"one")
+            await self.commit(cluster, "a", b"one")
             new = await cluster.start("d")
             address = cluster.addresses["d"]
             access = cluster.running["b"].access
             outcome = await access.change_membership("add", "d", address, "domain-d", 10.0)
             self.assertEqual(outcome.verdict, COMMITTED, outcome)
-            await cluster.settled(4)
+            await cluster.wait_for_voters(4)
             self.assertTrue(await new.access.read_current(10.0))
             self.assertEqual(new.machine.payloads, [b"one"])
             outcome = await access.change_membership("remove", "c", "", "", 10.0)
--- a/packages/control/src/damaskwind/control/replica/tests/test_joining.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_joining.py
@@ -13,7 +13,7 @@
 from damaskwind.runtime.clock import read_clock
 from damaskwind.wire.authentication import CallSigner
 
-LEFT_OUT_S = 0.4
+REJOIN_AFTER_S = 0.4
 
 
 class StayMemberTest(TestCase):
@@ -43,17 +43,17 @@
         access = SimpleNamespace(replica=self.replica)
         service = SimpleNamespace(address="127.0.0.1:1")
         with (
-            patch.object(joining, "LEFT_OUT_S", LEFT_OUT_S),
+            patch.object(joining, "REJOIN_AFTER_S", REJOIN_AFTER_S),
             patch.object(joining, "_ask_to_join", self.ask),
         ):
-            staying = joining.stay_member(access, service, (), "d", None)
+            staying = joining.rejoin_if_removed(access, service, (), "d", None)
             task = asyncio.ensure_future(staying)
             await asyncio.sleep(duration_s)
             self.replica.is_leader = False
             asked_while_leading = self.asked
-            await asyncio.sleep(LEFT_OUT_S / 2)
+            await asyncio.sleep(REJOIN_AFTER_S / 2)
             asked_soon = self.asked
-            await asyncio.sleep(2 * LEFT_OUT_S)
+            await asyncio.sleep(2 * REJOIN_AFTER_S)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
         return asked_while_leading, asked_soon, self.asked
@@ -64,7 +64,7 @@
         port = silent.sockets[0].getsockname()[1]
         channels = joining.Channels()
         begun_s = read_clock()
-        found = await joining._answering(
+        found = await joining._reachable(
             [Address("127.0.0.1", port)] * 3, channels, CallSigner("c", "k", "a")
         )
         self.assertEqual(found, [])
@@ -74,12 +74,12 @@
 
     @asyncio_test
     async def test_replica_that_hears_no_leader_asks(self):
-        while_following, _, _ = await self.run_for(2 * LEFT_OUT_S)
+        while_following, _, _ = await self.run_for(2 * REJOIN_AFTER_S)
         self.assertGreater(while_following, 0)
 
     @asyncio_test
     async def test_leader_that_steps_down_waits_like_one_that_has_heard_a_leader(self):
         self.replica.is_leader = True
-        while_leading, soon, in_the_end = await self.run_for(2 * LEFT_OUT_S)
+        while_leading, soon, in_the_end = await self.run_for(2 * REJOIN_AFTER_S)
         self.assertEqual((while_leading, soon), (0, 0))
         self.assertGreater(in_the_end, 0)
--- a/packages/control/src/damaskwind/control/replica/transport.py
+++ b/packages/control/src/damaskwind/control/replica/transport.py
@@ -27,7 +27,7 @@
 QUEUE_LIMIT_MESSAGES = 512
 BATCH_LIMIT_BYTES = 8 * 1024 * 1024
 CALL_TIMEOUT_S = 2.0
-SLOWEST_BYTES_PER_S = 1024 * 1024
+MIN_BYTES_PER_S = 1024 * 1024
 BACKOFF_FIRST_S = 0.05
 BACKOFF_LIMIT_S = 1.0
 
@@ -62,10 +62,10 @@
 
     def __init__(self) -> None:
         self.bodies: deque[bytes] = deque(maxlen=QUEUE_LIMIT_MESSAGES)
-        self.waiting = asyncio.Event()
+        self.has_messages = asyncio.Event()
         self.task: asyncio.Task | None = None
-        self.called_s: float | None = None
-        self.last_call_s = 0.0
+        self.call_started_s: float | None = None
+        self.last_call_duration_s = 0.0
 
 
 class Transport:
@@ -97,13 +97,17 @@
             queue = self._queues[replica_id] = _PeerQueue()
             queue.task = asyncio.ensure_future(self._run(replica_id, queue))
         queue.bodies.append(encode_envelope(envelope))
-        queue.waiting.set()
+        queue.has_messages.set()
 
     def slowest_call_s(self) -> float:
         """Return the longest of each peer's call under way, or else its last one."""
         now_s = read_clock()
         spans = (
-            queue.last_call_s if queue.called_s is None else now_s - queue.called_s
+            (
+                queue.last_call_duration_s
+                if queue.call_started_s is None
+                else now_s - queue.call_started_s
+            )
             for queue in self._queues.values()
         )
         return max(spans, default=0.0)
@@ -139,14 +143,14 @@
         """Send batch after batch; after a failure wait, with full jitter."""
         backoff_s = BACKOFF_FIRST_S
         while not self._is_closed:
-            await queue.waiting.wait()
-            queue.waiting.clear()
+            await queue.has_messages.wait()
+            queue.has_messages.clear()
             while queue.bodies and not self._is_closed:
-                queue.called_s = read_clock()
-                has_arrived = await self._send_batch(replica_id, queue)
-                queue.last_call_s = read_clock() - queue.called_s
-                queue.called_s = None
-                if has_arrived:
+                queue.call_started_s = read_clock()
+                is_delivered = await self._send_batch(replica_id, queue)
+                queue.last_call_duration_s = read_clock() - queue.call_started_s
+                queue.call_started_s = None
+                if is_delivered:
                     backoff_s = BACKOFF_FIRST_S
                     continue
                 queue.bodies.clear()
@@ -160,7 +164,7 @@
         if address is None:
             return False
         size_bytes = batch.ByteSize()
-        timeout_s = CALL_TIMEOUT_S + size_bytes / SLOWEST_BYTES_PER_S
+        timeout_s = CALL_TIMEOUT_S + size_bytes / MIN_BYTES_PER_S
         self.sent_bytes += size_bytes
         if self.on_sent is not None:
             self.on_sent(size_bytes)
--- a/packages/control/src/damaskwind/control/state/command.py
+++ b/packages/control/src/damaskwind/control/state/command.py
@@ -28,7 +28,7 @@
 COMMAND_KINDS: dict[str, type] = {}
 
 
-def _command(kind: str) -> Callable[[type], type]:
+def _register_command(kind: str) -> Callable[[type], type]:
     """Register a command under the name that stands in the log."""
 
     def register(command: type) -> type:
@@ -53,7 +53,7 @@
     models: tuple[str, ...] = ()
 
 
-@_command("plan")
+@_register_command("plan")
 class PlanCommand(NamedTuple):
     """Store a plan. `change` was checked against exactly `base_revision`.
 
@@ -72,7 +72,7 @@
     warnings: tuple[str, ...]
 
 
-@_command("confirm")
+@_register_command("confirm")
 class ConfirmCommand(NamedTuple):
     """Confirm a plan; safe to repeat."""
 
@@ -80,7 +80,7 @@
     plan_id: str
 
 
-@_command("order")
+@_register_command("order")
 class OrderCommand(NamedTuple):
     """Order a target into a wanted state; safe to repeat under its `order_id`.
 
@@ -94,7 +94,7 @@
     address: str = ""
 
 
-@_command("record")
+@_register_command("record")
 class RecordCommand(NamedTuple):
     """Put an operator's act that changes no configuration on the audit trail."""
 
--- a/packages/control/src/damaskwind/control/state/configuration_machine.py
+++ b/packages/control/src/damaskwind/control/state/configuration_machine.py
@@ -23,7 +23,7 @@
 from damaskwind.control.state.order_book import OrderBook
 from damaskwind.control.state.outcome import (
     ApplyResult,
-    ChangeNote,
+    ChangeRecord,
     PlanOutcome,
     ResultStatus,
     encode_result,
@@ -35,16 +35,16 @@
 from damaskwind.model.configuration_checks import BOOTSTRAP_OPERATOR
 from damaskwind.model.exception import ConfigurationError, MessageError
 
-__all__ = ["KEPT_CHANGES", "ConfigurationMachine", "operator_roles"]
+__all__ = ["MAX_CHANGES", "ConfigurationMachine", "operator_roles"]
 
-KEPT_CHANGES = 1000
-_NAMED_CONFLICTS = 20
+MAX_CHANGES = 1000
+_MAX_REPORTED_CONFLICTS = 20
 
 Handler = Callable[[Any, Any], ApplyResult]
 _HANDLERS: dict[type, Handler] = {}
 
 
-def _handles(command: type) -> Callable[[Handler], Handler]:
+def _handler_for(command: type) -> Callable[[Handler], Handler]:
     """Register the method that applies one kind of command."""
 
     def register(handler: Handler) -> Handler:
@@ -102,7 +102,7 @@
         """Return the audit trail; only to be read."""
         return self._trail
 
-    def changes_after(self, revision: int) -> tuple[ChangeNote, ...]:
+    def changes_after(self, revision: int) -> tuple[ChangeRecord, ...]:
         """Return who brought about each later revision, as far as it is remembered."""
         return tuple(note for note in self._changes if note.revision > revision)
 
@@ -136,7 +136,7 @@
         """Replace the whole state by a snapshot's."""
         self._load(decode_state(payload))
 
-    def _record(
+    def _append_to_trail(
         self, actor: Actor, action: str, subject: str, result: str, detail: tuple[str, ...] = ()
     ) -> None:
         """Put an act on the audit trail."""
@@ -150,11 +150,11 @@
         """Tell whether the actor lacks a role, and put it on the trail if so."""
         if role in operator_roles(self._configuration, actor.operator):
             return False
-        self._record(actor, action, subject, ResultStatus.FORBIDDEN)
+        self._append_to_trail(actor, action, subject, ResultStatus.FORBIDDEN)
         return True
 
-    @_handles(PlanCommand)
-    def _plan(self, command: PlanCommand) -> ApplyResult:
+    @_handler_for(PlanCommand)
+    def _store_plan(self, command: PlanCommand) -> ApplyResult:
         """Store a plan on the current revision."""
         revision = self._configuration.revision
         known = self._plans.plan(command.plan_id) or self._plans.outcome(command.plan_id)
@@ -179,11 +179,11 @@
             warnings=command.warnings,
         )
         self._plans.open(plan)
-        self._record(actor, "plan", plan.plan_id, ResultStatus.PLANNED, plan.difference)
+        self._append_to_trail(actor, "plan", plan.plan_id, ResultStatus.PLANNED, plan.difference)
         return ApplyResult(ResultStatus.PLANNED, revision)
 
-    @_handles(ConfirmCommand)
-    def _confirm(self, command: ConfirmCommand) -> ApplyResult:
+    @_handler_for(ConfirmCommand)
+    def _confirm_plan(self, command: ConfirmCommand) -> ApplyResult:
         """Confirm a plan once; later confirmations are given the first outcome."""
         actor, plan_id = command
         revision = self._configuration.revision
@@ -196,62 +196,62 @@
             return ApplyResult(first.status, first.revision, repeated=True, outcome=first)
         plan = self._plans.plan(plan_id)
         if plan is None:
-            self._record(actor, "confirm", plan_id, ResultStatus.UNKNOWN_PLAN)
+            self._append_to_trail(actor, "confirm", plan_id, ResultStatus.UNKNOWN_PLAN)
             return ApplyResult(ResultStatus.UNKNOWN_PLAN, revision)
         if plan_has_expired(plan, actor.now_s):
-            return self._close(actor, plan, ResultStatus.EXPIRED)
+            return self._close_plan(actor, plan, ResultStatus.EXPIRED)
         if self._is_stale(plan):
-            return self._close(actor, plan, ResultStatus.CONFLICT)
-        return self._commit(actor, plan)
+            return self._close_plan(actor, plan, ResultStatus.CONFLICT)
+        return self._commit_plan(actor, plan)
 
     def _is_stale(self, plan: Plan) -> bool:
         """Tell whether another change came between a plan and its confirmation."""
         return plan.base_revision != self._configuration.revision
 
-    def _commit(self, actor: Actor, plan: Plan) -> ApplyResult:
+    def _commit_plan(self, actor: Actor, plan: Plan) -> ApplyResult:
         """Bring a plan's change into the configuration."""
         try:
             change = change_from_table(plan.change)
         except ConfigurationError:
             return ApplyResult(ResultStatus.MALFORMED, self._configuration.revision)
         self._configuration = apply_change(self._configuration, change)
-        note = ChangeNote(
+        note = ChangeRecord(
             self._configuration.revision, plan.plan_id, actor.operator, actor.now_s, plan.touches
         )
         self._changes.append(note)
-        del self._changes[:-KEPT_CHANGES]
-        return self._close(actor, plan, ResultStatus.CONFIRMED)
+        del self._changes[:-MAX_CHANGES]
+        return self._close_plan(actor, plan, ResultStatus.CONFIRMED)
 
-    def _close(self, actor: Actor, plan: Plan, status: ResultStatus) -> ApplyResult:
+    def _close_plan(self, actor: Actor, plan: Plan, status: ResultStatus) -> ApplyResult:
         """Keep a plan's outcome and put it on the trail."""
-        conflicts: tuple[ChangeNote, ...] = ()
+        conflicts: tuple[ChangeRecord, ...] = ()
         if status is ResultStatus.CONFLICT:
-            conflicts = self.changes_after(plan.base_revision)[-_NAMED_CONFLICTS:]
+            conflicts = self.changes_after(plan.base_revision)[-_MAX_REPORTED_CONFLICTS:]
         revision = self._configuration.revision
         outcome = PlanOutcome(
             plan.plan_id, status, actor.operator, actor.now_s, revision, conflicts
         )
         self._plans.close(outcome)
         detail = tuple(f"revision {note.revision} by {note.operator}" for note in conflicts)
-        self._record(actor, "confirm", plan.plan_id, status, detail or plan.difference)
+        self._append_to_trail(actor, "confirm", plan.plan_id, status, detail or plan.difference)
         return ApplyResult(status, revision, outcome=outcome)
 
-    @_handles(OrderCommand)
-    def _order(self, command: OrderCommand) -> ApplyResult:
+    @_handler_for(OrderCommand)
+    def _issue_order(self, command: OrderCommand) -> ApplyResult:
         """Give an order its fencing number, the first one when it is repeated."""
         actor = command.actor
         if self._is_forbidden(actor, "confirmer", "order", command.target_id):
             return ApplyResult(ResultStatus.FORBIDDEN)
-        first = self._orders.number_of(command.order_id)
+        first = self._orders.fencing_number_of(command.order_id)
         if first is not None:
             return ApplyResult(ResultStatus.ORDERED, repeated=True, fencing_number=first)
         number = self._orders.issue(command)
         wanted = (f"role {command.wanted.role}", *command.wanted.models)
-        self._record(actor, "order", command.target_id, f"fencing number {number}", wanted)
+        self._append_to_trail(actor, "order", command.target_id, f"fencing number {number}", wanted)
         return ApplyResult(ResultStatus.ORDERED, fencing_number=number)
 
-    @_handles(RecordCommand)
-    def _note(self, command: RecordCommand) -> ApplyResult:
+    @_handler_for(RecordCommand)
+    def _record_action(self, command: RecordCommand) -> ApplyResult:
         """Put an act that changes no configuration on the trail."""
-        self._record(command.actor, command.action, command.subject, command.result)
+        self._append_to_trail(command.actor, command.action, command.subject, command.result)
         return ApplyResult(ResultStatus.RECORDED, self._configuration.revision)
--- a/packages/control/src/damaskwind/control/state/evacuation_orders.py
+++ b/packages/control/src/damaskwind/control/state/evacuation_orders.py
@@ -15,7 +15,7 @@
 
 __all__ = [
     "EvacuationOrders",
-    "HeldEvacuation",
+    "EvacuationOrder",
     "OrderOutcome",
     "OrderResult",
     "decode_order_result",
@@ -31,7 +31,7 @@
     """What became of an order."""
 
     STORED = "stored"
-    KEPT = "kept"
+    UNCHANGED = "kept"
     OTHER_BASE = "other-base"
 
 
@@ -42,7 +42,7 @@
     revision: int
 
 
-class HeldEvacuation(NamedTuple):
+class EvacuationOrder(NamedTuple):
     """A failure domain, whether it is emptied, and the revision at which that changed."""
 
     failure_domain: str
@@ -94,7 +94,7 @@
     """
 
     def __init__(self) -> None:
-        self._held: dict[str, HeldEvacuation] = {}
+        self._orders: dict[str, EvacuationOrder] = {}
         self._revision = 0
 
     def apply(self, payload: bytes) -> bytes:
@@ -104,31 +104,31 @@
     def _apply(self, payload: bytes) -> OrderResult:
         command = msgspec.msgpack.decode(payload, type=_OrderCommand)
         failure_domain = command["failure_domain"]
-        held = self.held(failure_domain)
+        held = self.last_order(failure_domain)
         if command["is_evacuated"] == held.is_evacuated:
-            return OrderResult(OrderOutcome.KEPT, held.revision)
+            return OrderResult(OrderOutcome.UNCHANGED, held.revision)
         if command["base_revision"] != held.revision:
             return OrderResult(OrderOutcome.OTHER_BASE, held.revision)
         self._revision += 1
-        self._held[failure_domain] = HeldEvacuation(
+        self._orders[failure_domain] = EvacuationOrder(
             failure_domain, command["is_evacuated"], self._revision
         )
         return OrderResult(OrderOutcome.STORED, self._revision)
 
-    def held(self, failure_domain: str) -> HeldEvacuation:
+    def last_order(self, failure_domain: str) -> EvacuationOrder:
         """Return the last order for a failure domain; revision 0 when there was none."""
-        return self._held.get(failure_domain, HeldEvacuation(failure_domain, False, 0))
+        return self._orders.get(failure_domain, EvacuationOrder(failure_domain, False, 0))
 
     def evacuations(self) -> Evacuations:
         """Return which failure domains are emptied now."""
-        emptied = (item.failure_domain for item in self._held.values() if item.is_evacuated)
+        emptied = (item.failure_domain for item in self._orders.values() if item.is_evacuated)
         return Evacuations(self._revision, tuple(sorted(emptied)))
 
-    def snapshot(self) -> tuple[HeldEvacuation, ...]:
+    def snapshot(self) -> tuple[EvacuationOrder, ...]:
         """Return all that is held, in the order of its revisions."""
-        return tuple(sorted(self._held.values(), key=lambda item: item.revision))
+        return tuple(sorted(self._orders.values(), key=lambda item: item.revision))
 
-    def restore(self, held: tuple[HeldEvacuation, ...]) -> None:
+    def restore(self, held: tuple[EvacuationOrder, ...]) -> None:
         """Replace all that is held; the last to change has the newest revision."""
-        self._held = {item.failure_domain: item for item in held}
+        self._orders = {item.failure_domain: item for item in held}
         self._revision = max((item.revision for item in held), default=0)
--- a/packages/control/src/damaskwind/control/state/fleet_state.py
+++ b/packages/control/src/damaskwind/control/state/fleet_state.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from damaskwind.control.state.evacuation_orders import (
+    EvacuationOrder,
     EvacuationOrders,
-    HeldEvacuation,
     is_order_command,
 )
 from damaskwind.control.state.published_configuration import PublishedConfiguration
@@ -22,7 +22,7 @@
 
     version: int = 0
     packed: bytes = b""
-    orders: tuple[HeldEvacuation, ...] = ()
+    orders: tuple[EvacuationOrder, ...] = ()
 
 
 class FleetState:
@@ -57,5 +57,5 @@
     def restore(self, payload: bytes) -> None:
         """Replace the whole state."""
         held = msgspec.msgpack.decode(payload, type=_Snapshot)
-        self.configuration.hold(held.version, held.packed)
+        self.configuration.restore(held.version, held.packed)
         self.orders.restore(held.orders)
--- a/packages/control/src/damaskwind/control/state/order_book.py
+++ b/packages/control/src/damaskwind/control/state/order_book.py
@@ -4,9 +4,9 @@
 
 from damaskwind.control.state.command import OrderCommand, WantedState
 
-__all__ = ["KEPT_ORDERS", "OrderBook", "OrderBookState", "TargetOrder"]
+__all__ = ["MAX_ORDERS", "OrderBook", "OrderBookState", "TargetOrder"]
 
-KEPT_ORDERS = 4096
+MAX_ORDERS = 4096
 
 
 class TargetOrder(NamedTuple):
@@ -46,7 +46,7 @@
         """Return the highest number given out."""
         return self._fencing_number
 
-    def number_of(self, order_id: str) -> int | None:
+    def fencing_number_of(self, order_id: str) -> int | None:
         """Return the number that an order was given, while it is remembered."""
         return self._issued.get(order_id)
 
@@ -66,7 +66,7 @@
         self._orders[command.target_id] = order
         self._issued[command.order_id] = self._fencing_number
         for book in (self._orders, self._issued):
-            if len(book) > KEPT_ORDERS:
+            if len(book) > MAX_ORDERS:
                 del book[next(iter(book))]
         return self._fencing_number
 
--- a/packages/control/src/damaskwind/control/state/outcome.py
+++ b/packages/control/src/damaskwind/control/state/outcome.py
@@ -7,7 +7,7 @@
 
 __all__ = [
     "ApplyResult",
-    "ChangeNote",
+    "ChangeRecord",
     "PlanOutcome",
     "ResultStatus",
     "decode_result",
@@ -30,7 +30,7 @@
     MALFORMED = "malformed"
 
 
-class ChangeNote(NamedTuple):
+class ChangeRecord(NamedTuple):
     """Who brought about one revision, when, and which objects it touched."""
 
     revision: int
@@ -52,7 +52,7 @@
     operator: str
     at_s: float
     revision: int
-    conflicts: tuple[ChangeNote, ...] = ()
+    conflicts: tuple[ChangeRecord, ...] = ()
 
 
 class ApplyResult(NamedTuple):
--- a/packages/control/src/damaskwind/control/state/plan_book.py
+++ b/packages/control/src/damaskwind/control/state/plan_book.py
@@ -8,20 +8,20 @@
 
 __all__ = [
     "CLOCK_TOLERANCE_S",
-    "KEPT_OUTCOMES",
-    "OPEN_PLANS",
-    "OPEN_PLANS_BYTES",
-    "OPEN_PLANS_PER_OPERATOR",
+    "MAX_OUTCOMES",
+    "MAX_OPEN_PLANS",
+    "MAX_OPEN_PLANS_BYTES",
+    "MAX_OPEN_PLANS_PER_OPERATOR",
     "Plan",
     "PlanBook",
     "PlanBookState",
     "plan_has_expired",
 ]
 
-OPEN_PLANS = 256
-OPEN_PLANS_PER_OPERATOR = 64
-OPEN_PLANS_BYTES = 8_388_608
-KEPT_OUTCOMES = 10_000
+MAX_OPEN_PLANS = 256
+MAX_OPEN_PLANS_PER_OPERATOR = 64
+MAX_OPEN_PLANS_BYTES = 8_388_608
+MAX_OUTCOMES = 10_000
 CLOCK_TOLERANCE_S = 60.0
 
 
@@ -88,14 +88,14 @@
         self._sizes_bytes[plan.plan_id] = _size_bytes(plan)
         self._total_bytes += self._sizes_bytes[plan.plan_id]
         own = [key for key, item in self._plans.items() if item.operator == plan.operator]
-        for plan_id in own[:-OPEN_PLANS_PER_OPERATOR]:
+        for plan_id in own[:-MAX_OPEN_PLANS_PER_OPERATOR]:
             self._remove(plan_id)
-        while len(self._plans) > OPEN_PLANS or self._is_too_large():
+        while len(self._plans) > MAX_OPEN_PLANS or self._is_too_large():
             self._remove(next(iter(self._plans)))
 
     def _is_too_large(self) -> bool:
         """Tell whether the open plans take too much; the newest one always fits."""
-        return self._total_bytes > OPEN_PLANS_BYTES and len(self._plans) > 1
+        return self._total_bytes > MAX_OPEN_PLANS_BYTES and len(self._plans) > 1
 
     def _remove(self, plan_id: str) -> None:
         """Forget an open plan."""
@@ -106,7 +106,7 @@
         """Replace a plan by its outcome and forget the oldest outcome beyond the bound."""
         self._remove(outcome.plan_id)
         self._outcomes[outcome.plan_id] = outcome
-        if len(self._outcomes) > KEPT_OUTCOMES:
+        if len(self._outcomes) > MAX_OUTCOMES:
             del self._outcomes[next(iter(self._outcomes))]
 
     def open_plans(self) -> tuple[Plan, ...]:
--- a/packages/control/src/damaskwind/control/state/published_configuration.py
+++ b/packages/control/src/damaskwind/control/state/published_configuration.py
@@ -24,7 +24,7 @@
     """What became of a command."""
 
     STORED = "stored"
-    KEPT = "kept"
+    UNCHANGED = "kept"
     OTHER_BASE = "other-base"
 
 
@@ -72,23 +72,23 @@
         """Apply a command and return its outcome."""
         command = msgspec.msgpack.decode(payload, type=_Command)
         if command.version <= self.version:
-            return PublishOutcome.KEPT.encode()
+            return PublishOutcome.UNCHANGED.encode()
         if command.base_version not in (0, self.version):
             return PublishOutcome.OTHER_BASE.encode()
         if not command.base_version:
-            self._hold(command.version, unpack_document(command.packed), command.packed)
+            self._store(command.version, unpack_document(command.packed), command.packed)
             return PublishOutcome.STORED.encode()
         try:
             document = apply_difference(self.document, command.packed)
         except MessageError:
             # The same at every replica: they hold the same base.
             return PublishOutcome.OTHER_BASE.encode()
-        self._hold(command.version, document, None)
+        self._store(command.version, document, None)
         return PublishOutcome.STORED.encode()
 
-    def _hold(self, version: int, document: bytes, packed: bytes | None) -> None:
+    def _store(self, version: int, document: bytes, packed: bytes | None) -> None:
         self.version, self.document, self._packed = version, document, packed
 
-    def hold(self, version: int, packed: bytes) -> None:
+    def restore(self, version: int, packed: bytes) -> None:
         """Replace what is held by a version and its document, packed."""
-        self._hold(version, unpack_document(packed) if packed else b"", packed)
+        self._store(version, unpack_document(packed) if packed else b"", packed)
--- a/packages/control/src/damaskwind/control/state/snapshot.py
+++ b/packages/control/src/damaskwind/control/state/snapshot.py
@@ -6,7 +6,7 @@
 
 from damaskwind.control.audit.trail import TrailState
 from damaskwind.control.state.order_book import OrderBookState
-from damaskwind.control.state.outcome import ChangeNote
+from damaskwind.control.state.outcome import ChangeRecord
 from damaskwind.control.state.plan_book import PlanBookState
 from damaskwind.model.configuration import Configuration
 from damaskwind.model.exception import CorruptLogError
@@ -21,7 +21,7 @@
     """All that the machine knows."""
 
     configuration: Configuration = Configuration()
-    changes: tuple[ChangeNote, ...] = ()
+    changes: tuple[ChangeRecord, ...] = ()
     plans: PlanBookState = PlanBookState()
     orders: OrderBookState = OrderBookState()
     trail: TrailState = TrailState()
--- a/packages/control/src/damaskwind/control/state/tests/histories.py
+++ b/packages/control/src/damaskwind/control/state/tests/histories.py
@@ -39,7 +39,7 @@
     return {"priority_classes": {name: {"name": name, "rank": 0, "weight": weight}}}
 
 
-class Driven:
+class DrivenMachine:
     """A machine with the index of its next command."""
 
     def __init__(self):
@@ -65,12 +65,12 @@
 class MachineAgainstOracle(RuleBasedStateMachine):
     """Plan, confirm, resend and restart two replicas; a dict is the oracle."""
 
-    made = 0
+    run_count = 0
 
     def __init__(self):
         super().__init__()
-        MachineAgainstOracle.made += 1
-        self.driven = Driven()
+        MachineAgainstOracle.run_count += 1
+        self.driven = DrivenMachine()
         self.follower = ConfigurationMachine()
         self.payloads = []
         self.objects = {}
@@ -128,7 +128,7 @@
     @rule()
     def restart_from_snapshot(self):
         snapshot = self.driven.machine.snapshot()
-        self.driven = Driven()
+        self.driven = DrivenMachine()
         self.driven.machine.restore(snapshot)
 
     @rule()
@@ -149,8 +149,8 @@
         self.follow()
         trail = list(self.driven.machine.trail.entries())
         assert not verify_chain(trail).faults
-        told = [entry.subject for entry in trail if entry.result == "confirmed"]
-        assert told == self.confirmed
+        confirmed_subjects = [entry.subject for entry in trail if entry.result == "confirmed"]
+        assert confirmed_subjects == self.confirmed
         assert to_table(self.follower.configuration) == to_table(self.driven.machine.configuration)
 
 
--- a/packages/control/src/damaskwind/control/state/tests/test_configuration_machine.py
+++ b/packages/control/src/damaskwind/control/state/tests/test_configuration_machine.py
@@ -7,7 +7,7 @@
 from damaskwind.control.state.outcome import ResultStatus
 from damaskwind.control.state.tests.histories import (
     SEEDED_BUGS,
-    Driven,
+    DrivenMachine,
     actor,
     fuzz_machine,
     plan_command,
@@ -19,7 +19,7 @@
 
 class ConfigurationMachineTest(TestCase):
     def setUp(self):
-        self.driven = Driven()
+        self.driven = DrivenMachine()
 
     def test_commands_that_are_none_change_nothing_and_are_survived(self):
         for payload in (b"", b"\xff", b"[]", b'{"kind":"drop"}', b'{"kind":"confirm","x":1}'):
@@ -60,24 +60,24 @@
         self.assertEqual(result.status, ResultStatus.CONFIRMED)
 
     def test_open_plans_are_bounded_by_number_and_by_size(self):
-        for number in range(plan_book.OPEN_PLANS_PER_OPERATOR + 5):
+        for number in range(plan_book.MAX_OPEN_PLANS_PER_OPERATOR + 5):
             self.driven.apply(plan_command(f"p{number}", 0, put("batch", 1)))
         plans = self.driven.machine.plans
-        self.assertEqual(len(plans.open_plans()), plan_book.OPEN_PLANS_PER_OPERATOR)
+        self.assertEqual(len(plans.open_plans()), plan_book.MAX_OPEN_PLANS_PER_OPERATOR)
         forgotten = self.driven.apply(ConfirmCommand(actor(), "p0"))
         self.assertEqual(forgotten.status, ResultStatus.UNKNOWN_PLAN)
-        large = {"policy": {"placement": "x" * (plan_book.OPEN_PLANS_BYTES // 3)}}
+        large = {"policy": {"placement": "x" * (plan_book.MAX_OPEN_PLANS_BYTES // 3)}}
         for number in range(4):
             self.driven.apply(plan_command(f"large{number}", 0, large))
         self.assertLess(len(plans.open_plans()), 4)
 
     def test_outcomes_and_changes_are_bounded(self):
-        self.addCleanup(setattr, plan_book, "KEPT_OUTCOMES", plan_book.KEPT_OUTCOMES)
+        self.addCleanup(setattr, plan_book, "MAX_OUTCOMES", plan_book.MAX_OUTCOMES)
         self.addCleanup(
-            setattr, configuration_machine, "KEPT_CHANGES", configuration_machine.KEPT_CHANGES
+            setattr, configuration_machine, "MAX_CHANGES", configuration_machine.MAX_CHANGES
         )
-        plan_book.KEPT_OUTCOMES = 3
-        configuration_machine.KEPT_CHANGES = 2
+        plan_book.MAX_OUTCOMES = 3
+        configuration_machine.MAX_CHANGES = 2
         for number in range(5):
             self.driven.apply(plan_command(f"p{number}", number, put("batch", number + 1)))
             self.driven.apply(ConfirmCommand(actor(), f"p{number}"))
--- a/packages/control/src/damaskwind/control/state/tests/test_evacuation_orders.py
+++ b/packages/control/src/damaskwind/control/state/tests/test_evacuation_orders.py
@@ -16,7 +16,7 @@
 from damaskwind.control.state.published_configuration import publish_command
 
 
-def give(orders, failure_domain, is_evacuated, base_revision):
+def apply_order(orders, failure_domain, is_evacuated, base_revision):
     command = order_command(failure_domain, is_evacuated, base_revision)
     return decode_order_result(orders.apply(command))
 
@@ -25,8 +25,8 @@
     def test_proposal_that_was_held_back_undoes_no_later_order(self):
         orders = EvacuationOrders()
         late = order_command("a", True, 0)
-        emptied = give(orders, "a", True, 0)
-        taken_back = give(orders, "a", False, emptied.revision)
+        emptied = apply_order(orders, "a", True, 0)
+        taken_back = apply_order(orders, "a", False, emptied.revision)
         result = decode_order_result(orders.apply(late))
         self.assertEqual(result.outcome, OrderOutcome.OTHER_BASE)
         self.assertEqual(result.revision, taken_back.revision)
@@ -34,9 +34,9 @@
 
     def test_repeats_change_nothing(self):
         orders = EvacuationOrders()
-        self.assertEqual(give(orders, "a", False, 0).outcome, OrderOutcome.KEPT)
-        give(orders, "a", True, 0)
-        self.assertEqual(give(orders, "a", True, 0).outcome, OrderOutcome.KEPT)
+        self.assertEqual(apply_order(orders, "a", False, 0).outcome, OrderOutcome.UNCHANGED)
+        apply_order(orders, "a", True, 0)
+        self.assertEqual(apply_order(orders, "a", True, 0).outcome, OrderOutcome.UNCHANGED)
         self.assertEqual(orders.evacuations().revision, 1)
 
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=20))
@@ -44,15 +44,17 @@
         state, restored = FleetState(), FleetState()
         state.apply(1, publish_command(3, b"{}"))
         for domain, is_evacuated in given_orders:
-            give(state.orders, domain, is_evacuated, state.orders.held(domain).revision)
+            apply_order(
+                state.orders, domain, is_evacuated, state.orders.last_order(domain).revision
+            )
         restored.restore(state.snapshot())
         self.assertEqual(restored.snapshot(), state.snapshot())
         for one in (state, restored):
-            give(
+            apply_order(
                 one.orders,
                 "a",
-                not one.orders.held("a").is_evacuated,
-                one.orders.held("a").revision,
+                not one.orders.last_order("a").is_evacuated,
+                one.orders.last_order("a").revision,
             )
         self.assertEqual(restored.orders.evacuations(), state.orders.evacuations())
 
--- a/packages/control/src/damaskwind/control/storage/files.py
+++ b/packages/control/src/damaskwind/control/storage/files.py
@@ -17,7 +17,7 @@
 
 
 @contextmanager
-def _named(action: str, path: object) -> Iterator[None]:
+def _as_storage_error(action: str, path: object) -> Iterator[None]:
     """Turn an `OSError` into a `StorageError` that names the action and the file."""
     try:
         yield
@@ -32,13 +32,13 @@
         """Create a folder and make its entry durable; one that exists is kept."""
         if path.is_dir():
             return
-        with _named("create folder", path):
+        with _as_storage_error("create folder", path):
             path.mkdir(parents=True, exist_ok=True)
         self.sync_folder(path.parent)
 
     def lock(self, path: Path) -> int:
         """Lock a file against other processes and return its descriptor."""
-        with _named("open lock file", path):
+        with _as_storage_error("open lock file", path):
             descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -49,30 +49,30 @@
 
     def open_append(self, path: Path) -> int:
         """Open a file to add to its end; create it when it does not exist."""
-        with _named("open", path):
+        with _as_storage_error("open", path):
             flags = os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
             return os.open(path, flags, 0o600)
 
     def close(self, descriptor: int) -> None:
         """Close a descriptor."""
-        with _named("close", f"descriptor {descriptor}"):
+        with _as_storage_error("close", f"descriptor {descriptor}"):
             os.close(descriptor)
 
     def write(self, descriptor: int, data: bytes) -> None:
         """Write all of `data`."""
         view = memoryview(data)
-        with _named("write", f"descriptor {descriptor}"):
+        with _as_storage_error("write", f"descriptor {descriptor}"):
             while view:
                 view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
         """Make what was written durable."""
-        with _named("fsync", f"descriptor {descriptor}"):
+        with _as_storage_error("fsync", f"descriptor {descriptor}"):
             os.fsync(descriptor)
 
     def sync_folder(self, path: Path) -> None:
         """Make creations, renames and removals in a folder durable."""
-        with _named("fsync folder", path):
+        with _as_storage_error("fsync folder", path):
             descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
             try:
                 os.fsync(descriptor)
@@ -81,27 +81,27 @@
 
     def truncate(self, descriptor: int, size_bytes: int) -> None:
         """Cut a file."""
-        with _named("truncate", f"descriptor {descriptor}"):
+        with _as_storage_error("truncate", f"descriptor {descriptor}"):
             os.ftruncate(descriptor, size_bytes)
 
     def rename(self, source: Path, target: Path) -> None:
         """Give a file another name, in place of what had it."""
-        with _named("rename", source):
+        with _as_storage_error("rename", source):
             os.replace(source, target)
 
     def remove(self, path: Path) -> None:
         """Remove a file."""
-        with _named("remove", path):
+        with _as_storage_error("remove", path):
             path.unlink(missing_ok=True)
 
     def read(self, path: Path) -> bytes:
         """Return a file's content."""
-        with _named("read", path):
+        with _as_storage_error("read", path):
             return path.read_bytes()
 
-    def names(self, path: Path) -> list[str]:
+    def list_names(self, path: Path) -> list[str]:
         """Return the names in a folder, in order."""
-        with _named("list", path):
+        with _as_storage_error("list", path):
             return sorted(os.listdir(path))
 
 
--- a/packages/control/src/damaskwind/control/storage/folder.py
+++ b/packages/control/src/damaskwind/control/storage/folder.py
@@ -48,7 +48,7 @@
     @property
     def is_founding(self) -> bool:
         """Tell whether this replica was there before its cluster was founded."""
-        return _FOUNDING_NAME in self.files.names(self.path)
+        return _FOUNDING_NAME in self.files.list_names(self.path)
 
     def mark_founding(self) -> None:
         """Keep, for the life of the disk, that there was no cluster before this replica."""
@@ -78,7 +78,7 @@
 
 def _load_identity(files: FileSystem, path: Path, cluster: str, replica_id: str) -> Identity:
     """Return the folder's identity; a folder with a log and without one is refused."""
-    names = files.names(path)
+    names = files.list_names(path)
     if _IDENTITY_NAME not in names:
         leftover = [name for name in names if name.endswith((".log", ".snapshot"))]
         if leftover:
--- a/packages/control/src/damaskwind/control/storage/frames.py
+++ b/packages/control/src/damaskwind/control/storage/frames.py
@@ -65,13 +65,13 @@
     return payload if _checksum(payload) == checksum else None
 
 
-def _sound_frame_after(data: bytes, offset: int) -> int | None:
+def _next_valid_frame(data: bytes, offset: int) -> int | None:
     """Return the offset of the first sound frame after `offset`."""
-    place = data.find(_MARKER, offset + 1)
-    while place >= 0:
-        if _frame_at(data, place) is not None:
-            return place
-        place = data.find(_MARKER, place + 1)
+    position = data.find(_MARKER, offset + 1)
+    while position >= 0:
+        if _frame_at(data, position) is not None:
+            return position
+        position = data.find(_MARKER, position + 1)
     return None
 
 
@@ -104,10 +104,10 @@
         payloads.append(payload)
         offset += _FRAME.size + len(payload)
     if offset < len(data):
-        sound = _sound_frame_after(data, offset)
-        if sound is not None:
+        next_valid = _next_valid_frame(data, offset)
+        if next_valid is not None:
             raise CorruptLogError(
                 f"{path} at offset {offset}: bad checksum or length, and a sound frame follows"
-                f" at offset {sound}; restore this replica as a new member"
+                f" at offset {next_valid}; restore this replica as a new member"
             )
     return FramedFile(payloads, offset, len(data) - offset)
--- a/packages/control/src/damaskwind/control/storage/journal.py
+++ b/packages/control/src/damaskwind/control/storage/journal.py
@@ -59,7 +59,7 @@
 
 
 _Group = tuple[_Change, ...]
-_CHANGE_OF = {
+_CHANGE_FROM_WRITE = {
     WriteState: lambda write: _Change(state=write.state),
     TruncateFrom: lambda write: _Change(truncate_from=write.index),
     AppendEntries: lambda write: _Change(entries=write.entries),
@@ -123,7 +123,7 @@
                 group = []
                 self._replace_snapshot(write)
             else:
-                group.append(_CHANGE_OF[type(write)](write))
+                group.append(_CHANGE_FROM_WRITE[type(write)](write))
         self._append_group(group)
 
     def _append_group(self, group: list[_Change]) -> None:
@@ -148,7 +148,7 @@
 
     def _replace_snapshot(self, write: InstallSnapshot | TakeSnapshot) -> None:
         """Make a snapshot durable and start a log file upon it."""
-        keeps = isinstance(write, TakeSnapshot) or write.keep_suffix
+        keeps_suffix = isinstance(write, TakeSnapshot) or write.keep_suffix
         if write.snapshot.index < self.snapshot.index:
             return
         kept = [entry for entry in self.entries if entry.index > write.snapshot.index]
@@ -156,28 +156,28 @@
         _write_snapshot(self._files, self._folder, write.snapshot, write.data)
         self.snapshot = write.snapshot
         self.snapshot_bytes = len(write.data)
-        self.entries = kept if keeps else []
+        self.entries = kept if keeps_suffix else []
         self._number += 1
-        self.start_file()
+        self.create_log_file()
         self._files.remove(self._folder / _log_name(old_number))
-        remove_others(self._files, self._folder, self._number, self.snapshot)
+        remove_stale_files(self._files, self._folder, self._number, self.snapshot)
 
-    def start_file(self) -> None:
+    def create_log_file(self) -> None:
         """Create the log file that starts from the present state."""
         path = self._folder / _log_name(self._number)
         base = _Base(self.state, self.snapshot, tuple(self.entries))
         data = file_header(_KIND_LOG) + encode_frame(msgspec.msgpack.encode(base))
         write_file_durably(self._files, path, data)
-        self.open_file(len(data))
+        self.open_log_file(len(data))
 
-    def open_file(self, size_bytes: int) -> None:
+    def open_log_file(self, size_bytes: int) -> None:
         """Open the log file to add to it; cut what lies behind `size_bytes`."""
         self.close()
         path = self._folder / _log_name(self._number)
         self._descriptor = self._files.open_append(path)
         self.size_bytes = size_bytes
 
-    def cut(self, size_bytes: int) -> None:
+    def truncate_tail(self, size_bytes: int) -> None:
         """Cut a torn tail off the log file, durably."""
         self._files.truncate(self._descriptor, size_bytes)
         self._files.sync(self._descriptor)
@@ -203,10 +203,10 @@
     return framed.payloads[1]
 
 
-def remove_others(files: FileSystem, folder: Path, number: int, snapshot: Snapshot) -> None:
+def remove_stale_files(files: FileSystem, folder: Path, number: int, snapshot: Snapshot) -> None:
     """Remove files that recovery no longer needs."""
     kept = {_log_name(number), _snapshot_name(snapshot)}
-    for name in files.names(folder):
+    for name in files.list_names(folder):
         if name.endswith((".log", ".snapshot", ".tmp")) and name not in kept:
             files.remove(folder / name)
     files.sync_folder(folder)
@@ -226,10 +226,10 @@
     A torn tail is cut. Raises `CorruptLogError` when anything before the tail,
     or the snapshot, is damaged: nothing is skipped.
     """
-    numbers = [int(name[:-4]) for name in files.names(folder) if name.endswith(".log")]
+    numbers = [int(name[:-4]) for name in files.list_names(folder) if name.endswith(".log")]
     if not numbers:
         journal = Journal(folder, files, 1, _Base(PersistentState(), Snapshot(), ()))
-        journal.start_file()
+        journal.create_log_file()
         return journal
     number = max(numbers)
     path = folder / _log_name(number)
@@ -241,8 +241,8 @@
         for change in _decode(payload, _Group, path):
             journal.apply(change)
     journal.snapshot_bytes = len(_read_snapshot(files, folder, journal.snapshot))
-    journal.open_file(framed.size_bytes)
+    journal.open_log_file(framed.size_bytes)
     if framed.torn_bytes:
-        journal.cut(framed.size_bytes)
-    remove_others(files, folder, number, journal.snapshot)
+        journal.truncate_tail(framed.size_bytes)
+    remove_stale_files(files, folder, number, journal.snapshot)
     return journal
--- a/packages/control/src/damaskwind/control/storage/writer.py
+++ b/packages/control/src/damaskwind/control/storage/writer.py
@@ -35,19 +35,19 @@
         self._on_failure = on_failure
         self._pending: list[JournalWrite] = []
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="journal")
-        self._running: asyncio.Task | None = None
-        self._failed = False
+        self._drain_task: asyncio.Task | None = None
+        self._has_failed = False
         self.group_count = 0
         self.sync_durations_s: list[float] = []
         self.on_synced: list[Callable[[float], None]] = []
 
     def submit(self, write: JournalWrite) -> None:
         """Queue one write."""
-        if self._failed:
+        if self._has_failed:
             return
         self._pending.append(write)
-        if self._running is None:
-            self._running = asyncio.ensure_future(self._drain())
+        if self._drain_task is None:
+            self._drain_task = asyncio.ensure_future(self._drain())
 
     async def read_snapshot(self) -> Any:
         """Return the newest durable snapshot with its data."""
@@ -56,8 +56,8 @@
 
     async def close(self) -> None:
         """Finish what was queued and close the journal."""
-        while self._running is not None:
-            await asyncio.wait([self._running])
+        while self._drain_task is not None:
+            await asyncio.wait([self._drain_task])
         self._thread.shutdown(wait=True)
         self._journal.close()
 
@@ -65,20 +65,20 @@
         """Write group after group until nothing is queued."""
         loop = asyncio.get_running_loop()
         try:
-            while self._pending and not self._failed:
+            while self._pending and not self._has_failed:
                 group, self._pending = self._pending, []
                 started_s = read_clock()
                 await loop.run_in_executor(self._thread, self._journal.write, group)
-                self._note_duration(read_clock() - started_s)
+                self._record_duration(read_clock() - started_s)
                 self._on_durable(group)
         except StorageError as error:
-            self._failed = True
+            self._has_failed = True
             self._pending.clear()
             self._on_failure(error)
         finally:
-            self._running = None
+            self._drain_task = None
 
-    def _note_duration(self, duration_s: float) -> None:
+    def _record_duration(self, duration_s: float) -> None:
         """Keep the durations of recent groups."""
         self.group_count += 1
         self.sync_durations_s.append(duration_s)
