--- a/packages/control/src/damaskwind/control/replica/__init__.py
+++ b/packages/control/src/damaskwind/control/replica/__init__.py
@@ -1,1 +1,4 @@
-"""The shell around the replicated log's core: network, disk, timers, state machine."""
+"""The imperative shell around the core of the replicated log.
+
+It connects the core to the network, the disk, timers and the state machine.
+"""
--- a/packages/control/src/damaskwind/control/replica/address_book.py
+++ b/packages/control/src/damaskwind/control/replica/address_book.py
@@ -1,8 +1,9 @@
-"""Where the replicas can be reached: what the log holds, and what was heard since.
+"""Addresses of the replicas: from the settings, from the log and as announced.
 
-A replica's address is in the log, so that it outlasts a restart of all. What a
-replica says of itself with each message comes first: it may have moved. Fixed
-addresses come before both: behind forwarded ports no replica knows its own.
+Addresses are stored in the log, so that they survive a restart of all
+replicas. The address that a replica announces with each message takes
+precedence, since the replica may have moved. Fixed addresses take precedence
+over both: behind forwarded ports, a replica doesn't know its own address.
 """
 
 from typing import NamedTuple
@@ -16,7 +17,7 @@
 
 
 class AddressRecord(NamedTuple):
-    """Where one replica listens for calls, and in which failure domain it is."""
+    """The address at which one replica listens, and its failure domain."""
 
     replica_id: str
     address: Address
@@ -33,29 +34,29 @@
         self._announced: dict[str, Address] = {}
 
     def apply(self, payload: bytes) -> None:
-        """Take a record from the log; what was heard before is older."""
+        """Apply a record from the log; it replaces an address announced earlier."""
         record = msgspec.msgpack.decode(payload, type=AddressRecord)
         self._logged[record.replica_id] = record
         self._announced.pop(record.replica_id, None)
 
     def record_announced(self, member: Member, address: Address) -> None:
-        """Take note of what a replica says of itself."""
+        """Record the address that a replica announced for itself."""
         self._announced[member.replica_id] = address
 
     def address_of(self, replica_id: str) -> Address | None:
-        """Return the best known address of a replica."""
-        current = self._fixed.get(replica_id) or self._announced.get(replica_id)
+        """Return the address of a replica with the highest precedence, or `None`."""
+        preferred = self._fixed.get(replica_id) or self._announced.get(replica_id)
         record = self.record_of(replica_id)
-        return current or (record.address if record else None)
+        return preferred or (record.address if record else None)
 
     def record_of(self, replica_id: str) -> AddressRecord | None:
-        """Return what the log, or else the settings, say of a replica."""
+        """Return the record of a replica from the log, or else from the settings."""
         return self._logged.get(replica_id) or self._configured.get(replica_id)
 
     def snapshot(self) -> tuple[AddressRecord, ...]:
-        """Return what the log holds."""
+        """Return the records from the log."""
         return tuple(self._logged.values())
 
     def restore(self, records: tuple[AddressRecord, ...]) -> None:
-        """Replace what the log holds."""
+        """Replace the records from the log."""
         self._logged = {record.replica_id: record for record in records}
--- a/packages/control/src/damaskwind/control/replica/codec.py
+++ b/packages/control/src/damaskwind/control/replica/codec.py
@@ -1,4 +1,4 @@
-"""Code the log's messages and the shell's own records as msgpack."""
+"""Encode and decode the messages of the replicated log as msgpack."""
 
 from typing import Any
 
@@ -35,13 +35,13 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return a message with its sender and recipient as bytes."""
+    """Encode a message with its sender and recipient."""
     kind = type(envelope.message).__name__
     return msgspec.msgpack.encode((kind, *envelope))
 
 
 def decode_envelope(body: bytes) -> Envelope:
-    """Read a message back; raise `MessageError` when it is malformed."""
+    """Decode a message; raise `MessageError` when it is malformed."""
     try:
         kind, sender, recipient, raw = msgspec.msgpack.decode(body, type=_FRAME)
         message: Any = msgspec.msgpack.decode(raw, type=_KINDS[kind])
--- a/packages/control/src/damaskwind/control/replica/forwarding.py
+++ b/packages/control/src/damaskwind/control/replica/forwarding.py
@@ -1,8 +1,9 @@
-"""Propose and read through whichever replica leads.
+"""Propose and read through the current leader, wherever it is.
 
-What the intent API and the calls of other replicas use. A refusal is certain:
-nothing was changed, and as long as there is time it is tried again at the next
-leader. Anything else than an answer from the leader is `UNKNOWN`.
+The intent API and the calls of other replicas use this module. A refusal
+certainly changed nothing, so the request is retried, at the next leader if
+there is one, until its timeout. A request without a reply from the leader has
+the outcome `UNKNOWN` and is not retried.
 """
 
 import asyncio
@@ -44,7 +45,7 @@
 
 
 class _NotSentError(DamaskwindError):
-    """A call certainly had no effect."""
+    """A call failed and certainly had no effect."""
 
 
 def _is_not_sent(error: BaseException) -> bool:
@@ -55,7 +56,7 @@
 
 
 class LogAccess:
-    """The replicated log as the rest of the process uses it."""
+    """Access to the replicated log for the rest of the process."""
 
     def __init__(self, replica: Replica, signer: CallSigner) -> None:
         self.replica = replica
@@ -64,13 +65,16 @@
         self._channels = Channels()
 
     async def propose(self, payload: bytes, timeout_s: float) -> CommitOutcome:
-        """Propose a command for the state machine and wait until it is applied here."""
+        """Propose a command to the state machine and wait until it is applied locally."""
         deadline_s = read_clock() + timeout_s
         outcome = await self.commit(machine_command(payload), timeout_s)
         return await self._wait_for_result(outcome, deadline_s)
 
     async def read_current(self, timeout_s: float) -> bool:
-        """Wait until the state here holds all that a majority had confirmed."""
+        """Wait until the local state includes everything committed before this call.
+
+        Returns whether it did in time.
+        """
         deadline_s = read_clock() + timeout_s
         while self.replica.failure is None:
             left_s = deadline_s - read_clock()
@@ -104,7 +108,7 @@
     async def change_membership(
         self, action: str, replica_id: str, address: str, failure_domain: str, timeout_s: float
     ) -> CommitOutcome:
-        """Add or remove one replica; a newcomer learns first and then votes."""
+        """Add or remove one replica; a new one is a learner before it is a voter."""
         request = replication_pb2.ChangeRequest(
             action=action,
             replica_id=replica_id,
@@ -124,7 +128,7 @@
     async def change(
         self, request: replication_pb2.ChangeRequest, timeout_s: float
     ) -> ProposalOutcome:
-        """Change the members through the leader."""
+        """Change the membership through the leader."""
         return await self._request_leader("Change", request, timeout_s)
 
     async def close(self) -> None:
@@ -132,7 +136,7 @@
         self._channels.close()
 
     async def propose_locally(self, request: Any, timeout_s: float) -> ProposalOutcome:
-        """Propose an entry at this replica, which must lead."""
+        """Propose an entry at this replica; refused unless it leads."""
         started_s = read_clock()
         outcome = await self.replica.propose(request.payload, timeout_s)
         for callback in self.on_proposed:
@@ -140,7 +144,7 @@
         return outcome
 
     async def change_locally(self, request: Any, timeout_s: float) -> ProposalOutcome:
-        """Change the members at this replica, which must lead."""
+        """Change the membership at this replica; refused unless it leads."""
         if not self.replica.is_leader:
             return _refused(RefusalReason.NOT_LEADER)
         if request.action == "remove":
@@ -150,12 +154,12 @@
         return await self._add_member(request, timeout_s)
 
     async def read_index_locally(self, timeout_s: float) -> int | None:
-        """Return the index at which a read is current, if this replica leads."""
-        answer = await self.replica.read_index(timeout_s)
-        return answer.index if isinstance(answer, ReadReady) else None
+        """Return the read index if this replica leads, else `None`."""
+        result = await self.replica.read_index(timeout_s)
+        return result.index if isinstance(result, ReadReady) else None
 
     async def _add_member(self, request: Any, timeout_s: float) -> ProposalOutcome:
-        """Put a newcomer's address in the log, then add it as a learner."""
+        """Commit the address of a new replica, then add it as a learner."""
         try:
             address = parse_address(request.address)
         except ValueError:
@@ -167,14 +171,14 @@
         if member in _members(self.replica.core.membership):
             return _refused(RefusalReason.INVALID_CHANGE)
         record = AddressRecord(request.replica_id, address, request.failure_domain)
-        noted = await self.replica.propose(address_command(record), timeout_s)
-        if noted.outcome is not Outcome.COMMITTED:
-            return noted
+        address_outcome = await self.replica.propose(address_command(record), timeout_s)
+        if address_outcome.outcome is not Outcome.COMMITTED:
+            return address_outcome
         change = MembershipChange(ChangeKind.ADD_LEARNER, member)
         return await self.replica.propose_change(change, timeout_s)
 
     async def _remove_member(self, replica_id: str, timeout_s: float) -> ProposalOutcome:
-        """Remove the member with an id, the voter first."""
+        """Remove the member with this id; prefer a voter to a learner."""
         members = _members(self.replica.core.membership)
         member = next((item for item in members if item.replica_id == replica_id), None)
         if member is None:
@@ -183,7 +187,7 @@
         return await self.replica.propose_change(change, timeout_s)
 
     async def _fetch_identity(self, replica_id: str, address: Address) -> str:
-        """Ask the replica at an address who it is; empty when it is another one."""
+        """Fetch the identity of the replica at an address; empty if its id differs."""
         stub = ReplicationStub(self._channels.get(address))
         try:
             call = call_unary(
@@ -196,7 +200,7 @@
         return reply.identity if reply.replica_id == replica_id else ""
 
     async def _read_index(self, timeout_s: float) -> int | None:
-        """Return a current index from the leader, wherever it is."""
+        """Return the read index from the leader, or `None` without one."""
         if self.replica.is_leader:
             return await self.read_index_locally(timeout_s)
         request = replication_pb2.ReadIndexRequest(timeout_ms=int(timeout_s * 1000))
@@ -207,7 +211,7 @@
         return reply.index if reply is not None and reply.is_current else None
 
     async def _request_leader(self, method: str, request: Any, timeout_s: float) -> ProposalOutcome:
-        """Have the leader carry a request out; try the next one after a sure refusal."""
+        """Execute a request at the leader; retry after a retryable refusal."""
         deadline_s = read_clock() + timeout_s
         outcome = _refused(RefusalReason.NO_QUORUM)
         while self.replica.failure is None:
@@ -223,10 +227,10 @@
         return outcome
 
     async def _attempt(self, method: str, request: Any, timeout_s: float) -> ProposalOutcome:
-        """Try once, here or at the leader."""
+        """Execute a request once, locally if this replica leads, else at the leader."""
         if self.replica.is_leader:
-            here = {"Propose": self.propose_locally, "Change": self.change_locally}[method]
-            return await here(request, timeout_s)
+            execute = {"Propose": self.propose_locally, "Change": self.change_locally}[method]
+            return await execute(request, timeout_s)
         if self._leader_address() is None:
             return _refused(RefusalReason.NOT_LEADER)
         try:
@@ -239,10 +243,10 @@
         return ProposalOutcome("", Outcome(reply.state), reply.index, reason)
 
     async def _call_leader(self, method: str, request: Any, timeout_s: float) -> Any:
-        """Call the leader; return `None` when no answer came.
+        """Call the leader; return `None` when no reply came.
 
-        Raises `_NotSentError` when it is certain that nothing was done: the
-        connection was refused, or the replica said that it has stopped.
+        Raises `_NotSentError` when the call certainly had no effect: the
+        connection was refused, or the replica replied that it has stopped.
         """
         address = self._leader_address()
         if address is None:
@@ -258,33 +262,33 @@
             return None
 
     def _leader_address(self) -> Address | None:
-        """Return where the leader listens, unless it is this replica."""
+        """Return the address of the leader; `None` if unknown or this replica."""
         leader = self.replica.core.leader
         if leader is None or leader == self.replica.member:
             return None
         return self.replica.state.addresses.address_of(leader.replica_id)
 
     async def _wait_until_applied(self, index: int, timeout_s: float) -> bool:
-        """Wait until the state here is as far as an index."""
+        """Wait until the local state has applied an index; return whether it has."""
         state = self.replica.state
         return await self.replica.wait_until(lambda: state.applied_index >= index, timeout_s)
 
     async def _wait_for_result(self, outcome: ProposalOutcome, deadline_s: float) -> CommitOutcome:
-        """Wait until a committed entry is applied here and return its result."""
+        """Wait until a committed entry is applied locally and return its result."""
         leader = self.replica.core.leader
-        hint = leader.replica_id if leader is not None else ""
+        leader_hint = leader.replica_id if leader is not None else ""
         if outcome.outcome is not Outcome.COMMITTED:
             verdict = CommitVerdict(outcome.outcome.value)
-            return CommitOutcome(verdict, b"", hint, str(outcome.reason or ""))
+            return CommitOutcome(verdict, b"", leader_hint, str(outcome.reason or ""))
         left_s = deadline_s - read_clock()
         if not await self._wait_until_applied(outcome.index, left_s):
             detail = "committed, but not applied here yet"
-            return CommitOutcome(CommitVerdict.UNKNOWN, b"", hint, detail)
+            return CommitOutcome(CommitVerdict.UNKNOWN, b"", leader_hint, detail)
         result = self.replica.state.result_at(outcome.index) or b""
-        return CommitOutcome(CommitVerdict.COMMITTED, result, hint)
+        return CommitOutcome(CommitVerdict.COMMITTED, result, leader_hint)
 
     def _describe(self, member: Member) -> dict[str, str]:
-        """Describe a member."""
+        """Return a member's ids, address and failure domain."""
         addresses = self.replica.state.addresses
         record = addresses.record_of(member.replica_id)
         return {
@@ -301,5 +305,5 @@
 
 
 def _refused(reason: RefusalReason) -> ProposalOutcome:
-    """Return a sure refusal."""
+    """Return the outcome of a request that was refused and had no effect."""
     return ProposalOutcome("", Outcome.REFUSED, 0, reason)
--- a/packages/control/src/damaskwind/control/replica/joining.py
+++ b/packages/control/src/damaskwind/control/replica/joining.py
@@ -1,11 +1,12 @@
-"""Found a new cluster, or join one that exists.
-
-A bootstrap replica is founding once it has heard every other one say that it
-has no log. Only the first of them founds, alone, and only after all others are
-founding too: so a replica that lost its disk never founds a second cluster
-beside the first, and each knows whether it was there from the beginning. All
-others, and any that comes back without its disk, ask to be added; they learn
-first and vote later, under the identity that their disk has now.
+"""Found a new cluster or join an existing one.
+
+A bootstrap replica is founding once every other bootstrap replica has reported
+that it has no log. Only the first in the list founds the cluster, with itself
+as the only voter, and only after all others are founding too. A replica that
+lost its disk therefore never founds a second cluster, and each replica records
+whether it was present from the beginning. All other replicas, and any that
+restarts without its disk, ask to be added: first as a learner, later as a
+voter, under the identity in their current data folder.
 """
 
 import asyncio
@@ -31,7 +32,7 @@
 RETRY_S = 0.5
 HELLO_TIMEOUT_S = 1.0
 JOIN_TIMEOUT_S = 5.0
-# A replica that has heard no leader for several elections may have been left out.
+# A replica without contact to a leader for several elections may have been removed.
 REJOIN_AFTER_S = 4.0
 
 
@@ -47,11 +48,11 @@
     may_found: bool = True,
     joins_unlisted: bool = False,
 ) -> None:
-    """Return once this replica is part of a log.
+    """Found or join a cluster; return once this replica is part of a log.
 
-    A replica that is not among the bootstrap ones waits until it is added,
-    unless `joins_unlisted` has it ask them. Without `may_found` it never
-    founds: there was a cluster before it.
+    A replica that is not in the bootstrap list waits until an operator adds it,
+    unless `joins_unlisted` lets it ask the listed ones. Without `may_found` it
+    never founds a cluster, because one existed before it.
     """
     replica = access.replica
     own_id = replica.member.replica_id
@@ -89,9 +90,10 @@
     failure_domain: str,
     signer: CallSigner,
 ) -> None:
-    """Ask to be added again when the others seem to have gone on without this replica.
+    """Ask to be added again when this replica has had no contact to a leader.
 
-    Whoever still counts it as a member refuses, which changes nothing.
+    The others may have removed it from the membership. A leader for which it
+    is still a member refuses the request, which changes nothing.
     """
     replica = access.replica
     own_id = replica.member.replica_id
@@ -110,13 +112,13 @@
             addresses = [replica.state.addresses.address_of(item) for item in sorted(others)]
             addresses += [parse_address(item.address) for item in bootstrap]
             known = [address for address in dict.fromkeys(addresses) if address is not None]
-            # A call into a cut takes its whole time, long after the cut has healed: only
-            # those are asked that answer a short one.
-            targets = await _reachable(known, channels, signer)
+            # A call into a network partition lasts for its whole timeout, even long after
+            # the partition has healed. So only replicas that answer a short call are asked.
+            reachable = await _reachable(known, channels, signer)
             logger.info(
-                "asking to be added again", silent_s=round(silent_s, 1), answering=len(targets)
+                "asking to be added again", silent_s=round(silent_s, 1), answering=len(reachable)
             )
-            await _ask_to_join(access, targets, channels, signer, service.address, failure_domain)
+            await _ask_to_join(access, reachable, channels, signer, service.address, failure_domain)
     finally:
         channels.close()
 
@@ -124,21 +126,21 @@
 def _can_found_cluster(
     bootstrap: tuple[ReplicaSettings, ...], own_id: str, hellos: list[Any]
 ) -> bool:
-    """Tell whether this replica is the founder and all others are founding."""
+    """Tell whether this replica is the founder and all others are ready for it."""
     return bootstrap[0].replica_id == own_id and all(reply.is_founding for reply in hellos)
 
 
 async def _greet_bootstrap_replicas(
     others: list[ReplicaSettings], channels: Channels, signer: CallSigner
 ) -> list[Any]:
-    """Ask all others who they are; `None` for those that don't answer."""
+    """Call `Hello` at the other bootstrap replicas; `None` for those without a reply."""
     return await _call_hello([parse_address(item.address) for item in others], channels, signer)
 
 
 async def _reachable(
     addresses: list[Address], channels: Channels, signer: CallSigner
 ) -> list[Address]:
-    """Return the addresses at which a replica answers now."""
+    """Return the addresses at which a replica replies now."""
     hellos = await _call_hello(addresses, channels, signer)
     return [address for address, reply in zip(addresses, hellos, strict=True) if reply is not None]
 
@@ -146,7 +148,7 @@
 async def _call_hello(
     addresses: list[Address], channels: Channels, signer: CallSigner
 ) -> list[Any]:
-    """Say hello at all addresses at once; `None` where nobody answers in time."""
+    """Call `Hello` at all addresses concurrently; `None` where no reply came in time."""
     calls = [
         _call(address, "Hello", replication_pb2.HelloRequest(), channels, signer, HELLO_TIMEOUT_S)
         for address in addresses
@@ -156,13 +158,13 @@
 
 async def _ask_to_join(
     access: LogAccess,
-    targets: list[Address],
+    peers: list[Address],
     channels: Channels,
     signer: CallSigner,
     address: str,
     failure_domain: str,
 ) -> None:
-    """Ask one replica after another to have this one added."""
+    """Ask one replica after another to add this one, until a change is committed."""
     member = access.replica.member
     request = replication_pb2.ChangeRequest(
         action="add",
@@ -172,8 +174,8 @@
         failure_domain=failure_domain,
         timeout_ms=int(JOIN_TIMEOUT_S * 1000),
     )
-    for target in targets:
-        reply = await _call(target, "Change", request, channels, signer, JOIN_TIMEOUT_S)
+    for peer in peers:
+        reply = await _call(peer, "Change", request, channels, signer, JOIN_TIMEOUT_S)
         if reply is not None and reply.state == "committed":
             logger.info("joined as a learner", replica=member.replica_id)
             return
@@ -187,7 +189,7 @@
     signer: CallSigner,
     timeout_s: float,
 ) -> Any:
-    """Make one call; return `None` when it fails."""
+    """Make one call and return its reply, or `None` when it fails."""
     stub = ReplicationStub(channels.get(address))
     try:
         call = call_unary(getattr(stub, method), request, signer, timeout_s)
--- a/packages/control/src/damaskwind/control/replica/node.py
+++ b/packages/control/src/damaskwind/control/replica/node.py
@@ -1,4 +1,4 @@
-"""Put one replica together: folder, journal, core, service."""
+"""Assemble one replica from its data folder, journal, core and service."""
 
 import asyncio
 from pathlib import Path
@@ -23,7 +23,7 @@
 
 
 class ReplicaNode(NamedTuple):
-    """A replica that is open but does not run yet."""
+    """An opened replica with its parts; `start` runs it."""
 
     folder: DataFolder
     journal: Journal
@@ -36,7 +36,7 @@
     tasks: list[asyncio.Task]
 
     def start(self, node: NodeSettings, control: ControlSettings, address: str) -> None:
-        """Run the replica, whose service listens at `address`."""
+        """Start the replica; its service listens at `address`."""
         self.replica.transport.own_address = address
         self.service.address = address
         self.replica.start()
@@ -54,17 +54,17 @@
         )
         self.tasks.append(asyncio.ensure_future(joining))
         if control.joins_unlisted:
-            staying = rejoin_if_removed(
+            rejoining = rejoin_if_removed(
                 self.access,
                 self.service,
                 control.bootstrap_replicas,
                 node.failure_domain,
                 self.signer,
             )
-            self.tasks.append(asyncio.ensure_future(staying))
+            self.tasks.append(asyncio.ensure_future(rejoining))
 
     async def stop(self) -> None:
-        """Stop the replica and give its folder back."""
+        """Stop the replica and release the lock on its folder."""
         for task in self.tasks:
             task.cancel()
         await self.replica.stop()
@@ -74,7 +74,7 @@
 
 
 def _make_timing(control: ControlSettings) -> Timing:
-    """Return the log's periods from the settings."""
+    """Return the timing parameters of the log from the settings."""
     return Timing(
         heartbeat_s=control.heartbeat_s,
         election_timeout_min_s=control.election_timeout_s,
@@ -86,7 +86,7 @@
 
 
 def _bootstrap_addresses(control: ControlSettings) -> AddressBook:
-    """Return the addresses that the settings name."""
+    """Return an address book with the bootstrap replicas of the settings."""
     records = (
         AddressRecord(item.replica_id, parse_address(item.address), item.failure_domain)
         for item in control.bootstrap_replicas
@@ -104,8 +104,8 @@
 ) -> ReplicaNode:
     """Recover a replica from its data folder; raise `StorageError` when that fails.
 
-    `silent_since_s` is a monotonic time after which this replica has surely
-    answered no leader; by default now.
+    `silent_since_s` is a monotonic time since which this replica has certainly
+    not responded to any leader; by default the current time.
     """
     folder = open_data_folder(Path(control.data_folder), node.cluster, node.node_id, files)
     try:
--- a/packages/control/src/damaskwind/control/replica/replica.py
+++ b/packages/control/src/damaskwind/control/replica/replica.py
@@ -1,8 +1,8 @@
-"""Drive the replicated log's core: carry its outputs out, in order.
+"""Drive the core of the replicated log and execute its outputs in order.
 
-Everything runs in the loop's one thread but the journal's writes. A
-`StorageError` stops the replica for good: it neither votes nor answers any
-more, since it does not know what its disk holds.
+Everything except the journal's writes runs on the event loop's thread. A
+`StorageError` stops the replica permanently: the content of its disk is then
+unknown, so it must neither vote nor answer requests.
 """
 
 import asyncio
@@ -64,7 +64,7 @@
 
 
 class Replica:
-    """One replica of the log, from its journal up."""
+    """One replica of the log: journal, consensus core, transport and state machine."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
         self.writer = GroupCommitWriter(journal, self._handle_durable, self._fail)
 
     def _make_core(self, journal: Journal) -> ReplicaCore:
-        """Build the core upon what is durable."""
+        """Build the core from the durable state."""
         log = recover_log(journal.snapshot, journal.entries)
         return ReplicaCore(
             self.member,
@@ -125,7 +125,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether this replica still takes part."""
+        """Tell whether this replica has neither failed nor been stopped."""
         return self.failure is None and not self._is_stopped
 
     @property
@@ -134,16 +134,16 @@
         return self.is_running and self.core.role == "leader"
 
     def leading_term(self) -> int | None:
-        """Return the term that this replica leads under its lease, or `None`."""
+        """Return the term in which this replica leads with a valid lease, or `None`."""
         has_lease = self.is_leader and self.core.holds_lease(read_clock())
         return self.core.term if has_lease else None
 
     @property
     def is_current(self) -> bool:
-        """Tell whether this replica believes that it holds all that is confirmed.
+        """Tell whether this replica presumably has all committed state.
 
-        It is a belief bounded in time: by the lease of a leader, or by having
-        heard from one less than an election timeout ago.
+        The staleness is bounded in time: by the lease if this replica leads,
+        else by a message from the leader less than an election timeout ago.
         """
         if not self.is_running:
             return False
@@ -154,13 +154,13 @@
         return is_fresh and self.state.applied_index >= self.core.commit_index
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start the periodic ticks."""
         self._tick()
 
     async def found_cluster(self, journal: Journal) -> None:
-        """Write the first log of a new cluster whose only voter is this replica.
+        """Write the initial log of a new cluster whose only voter is this replica.
 
-        Only for a journal that holds nothing; the other replicas join.
+        The journal must be empty. The other replicas join afterwards.
         """
         state, entries = initial_log((self.member,))
         writes: list[JournalWrite] = [WriteState(0, state), AppendEntries(0, entries)]
@@ -170,7 +170,7 @@
         logger.info("cluster founded", replica=self.member.replica_id)
 
     async def stop(self) -> None:
-        """Stop ticking, finish the journal's writes and close connections."""
+        """Stop the ticks, finish pending journal writes and close connections."""
         self._is_stopped = True
         if self._ticker is not None:
             self._ticker.cancel()
@@ -182,35 +182,36 @@
         await self.transport.close()
 
     def receive(self, envelope: Envelope) -> None:
-        """Take a message from another replica."""
+        """Process a message from another replica."""
         is_from_leader = isinstance(envelope.message, AppendRequest | SnapshotRequest)
         self.feed(Received(envelope))
         if is_from_leader and envelope.message.term == self.core.term:
             self._leader_seen_s = read_clock()
 
     async def propose(self, payload: bytes, timeout_s: float) -> ProposalOutcome:
-        """Propose a command here; only a leader takes it."""
+        """Propose a command at this replica; refused unless it leads."""
         proposal_id = uuid4().hex
         return await self._request(proposal_id, Propose(proposal_id, payload), timeout_s)
 
     async def propose_change(self, change: MembershipChange, timeout_s: float) -> ProposalOutcome:
-        """Propose a change of members here; only a leader takes it."""
+        """Propose a membership change at this replica; refused unless it leads."""
         proposal_id = uuid4().hex
         return await self._request(proposal_id, ProposeMembership(proposal_id, change), timeout_s)
 
     async def read_index(self, timeout_s: float) -> ReadReady | ReadRefused:
-        """Ask a majority for the index at which a read is current."""
+        """Confirm leadership with a majority and return the read index."""
         read_id = uuid4().hex
         return await self._request(read_id, ReadRequest(read_id), timeout_s)
 
     async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
-        """Wait until a condition of this replica holds; tell whether it did in time."""
+        """Wait until a condition holds; return whether it did within the timeout."""
         return await self._waiters.wait_until(condition, timeout_s)
 
     def feed(self, event: Input) -> None:
-        """Feed the core one input and carry out what it returns.
+        """Pass one input to the core and execute its outputs.
 
-        An input that arises meanwhile waits its turn; after the end all are dropped.
+        Inputs that arise meanwhile are queued; once the replica has stopped,
+        inputs are dropped.
         """
         if not self.is_running:
             return
@@ -229,7 +230,7 @@
         self._waiters.wake()
 
     def _log_member_changes(self) -> None:
-        """Say who votes and who learns, whenever that has changed."""
+        """Log the voters and learners when the membership has changed."""
         members = self.core.membership
         if members == self._members:
             return
@@ -242,39 +243,39 @@
         )
 
     async def _request(self, request_id: str, event: Input, timeout_s: float) -> Any:
-        """Feed a question and wait for its answer."""
+        """Pass a request to the core and wait for its result."""
         if not self.is_running:
             return _failure_result(event)
-        answer = asyncio.get_running_loop().create_future()
-        self._pending[request_id] = answer
+        result = asyncio.get_running_loop().create_future()
+        self._pending[request_id] = result
         self.feed(event)
         try:
-            return await asyncio.wait_for(answer, max(timeout_s, 0.0))
+            return await asyncio.wait_for(result, max(timeout_s, 0.0))
         except TimeoutError:
             return _timeout_result(event)
         finally:
             self._pending.pop(request_id, None)
 
     def _tick(self) -> None:
-        """Feed a tick and arrange for the next."""
+        """Pass a tick to the core and schedule the next one."""
         loop = asyncio.get_running_loop()
         period_s = self.timing.heartbeat_s / TICKS_PER_HEARTBEAT
         self._ticker = loop.call_later(period_s, self._tick)
         self.feed(Tick())
 
-    def _resolve(self, request_id: str, answer: Any) -> None:
-        """Answer the question with this id."""
+    def _resolve(self, request_id: str, result: Any) -> None:
+        """Set the result of the pending request with this id."""
         waiter = self._pending.get(request_id)
         if waiter is not None and not waiter.done():
-            waiter.set_result(answer)
+            waiter.set_result(result)
 
     def _resolve_pending_as_unknown(self) -> None:
-        """Leave no one waiting: whether a proposal commits is not known any more."""
+        """Resolve all pending requests as unknown: proposals may still commit elsewhere."""
         for request_id in list(self._pending):
             self._resolve(request_id, ProposalOutcome(request_id, Outcome.UNKNOWN))
 
     def _take_snapshot_if_due(self) -> None:
-        """Take a snapshot when enough entries were applied since the last."""
+        """Take a snapshot if enough entries were applied since the last one."""
         index = self.state.applied_index
         if self._is_taking_snapshot or index - self._snapshot_index < self._snapshot_every_entries:
             return
@@ -283,10 +284,10 @@
         self.writer.submit(write)
 
     def _handle_durable(self, group: list[JournalWrite]) -> None:
-        """Tell the core what is durable."""
-        numbers = [write.write_id for write in group if not isinstance(write, TakeSnapshot)]
-        if numbers:
-            self.feed(WritesDurable(max(numbers)))
+        """Report durable writes and snapshots to the core."""
+        write_ids = [write.write_id for write in group if not isinstance(write, TakeSnapshot)]
+        if write_ids:
+            self.feed(WritesDurable(max(write_ids)))
         for write in group:
             if isinstance(write, TakeSnapshot):
                 self._is_taking_snapshot = False
@@ -294,7 +295,7 @@
                 self.feed(SnapshotTaken(write.snapshot.index))
 
     def _fail(self, error: StorageError) -> None:
-        """Stop for good."""
+        """Stop this replica permanently after a storage failure."""
         logger.critical("storage failed; this replica stops", error=str(error))
         self.failure = error
         if self._ticker is not None:
@@ -316,7 +317,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _load_and_send_snapshot(self, envelope: Envelope) -> None:
-        """Send the newest durable snapshot."""
+        """Read the newest durable snapshot and send it."""
         try:
             snapshot, data = await self.writer.read_snapshot()
         except StorageError as error:
@@ -333,11 +334,11 @@
             self._announce_commit()
 
     def _announce_commit(self) -> None:
-        """Have the leader begin a round, which carries the commit index.
+        """Start a round of append requests, which carries the commit index.
 
-        The others would learn of it with the next heartbeat only. A read
-        begins a round as soon as none is under way, so that many commits share
-        one.
+        Otherwise the followers would learn the commit index only with the next
+        heartbeat. A read request starts a round as soon as none is in flight,
+        so that many commits share one round.
         """
         if not self._is_announcing and self.state.applied_index > self._announced_index:
             self._is_announcing = True
@@ -366,7 +367,7 @@
         logger.info("became leader", replica=self.member.replica_id, term=output.term)
 
     def _log_step_down(self, output: SteppedDown) -> None:
-        """Say why, with what the last rounds came to."""
+        """Log the cause, the peers' last responses and the slowest call."""
         logger.info(
             "stepped down",
             replica=self.member.replica_id,
@@ -379,14 +380,14 @@
 
 
 def _timeout_result(event: Input) -> ProposalOutcome | ReadRefused:
-    """Return what a question without an answer in time comes to."""
+    """Return the result of a request that timed out."""
     if isinstance(event, ReadRequest):
         return ReadRefused(event.read_id, RefusalReason.NO_QUORUM, None)
     return ProposalOutcome(event.proposal_id, Outcome.UNKNOWN)
 
 
 def _failure_result(event: Input) -> ProposalOutcome | ReadRefused:
-    """Return what a question to a replica that failed comes to."""
+    """Return the result of a request to a replica that is not running."""
     if isinstance(event, ReadRequest):
         return ReadRefused(event.read_id, RefusalReason.NO_QUORUM, None)
     refused = RefusalReason.STEPPED_DOWN
--- a/packages/control/src/damaskwind/control/replica/replicated_state.py
+++ b/packages/control/src/damaskwind/control/replica/replicated_state.py
@@ -1,6 +1,6 @@
-"""What the log's commands act on: the state machine and the address book.
+"""The state that the log's commands change: the state machine and the address book.
 
-The first byte of a command's payload tells which of the two it is for.
+The first byte of a command's payload selects one of the two.
 """
 
 from collections import OrderedDict
@@ -20,7 +20,7 @@
 
 
 class StateMachine(Protocol):
-    """A deterministic machine that the log drives."""
+    """A deterministic state machine driven by the log."""
 
     def apply(self, index: int, payload: bytes) -> bytes:
         """Apply a command and return its result."""
@@ -53,7 +53,7 @@
 
 
 class ReplicatedState:
-    """Apply entries in order and keep the results of the latest ones."""
+    """Apply entries in order and keep the most recent results."""
 
     def __init__(self, machine: StateMachine, addresses: AddressBook) -> None:
         self.addresses = addresses
@@ -67,8 +67,8 @@
             self.applied_index = entry.index
             if entry.kind is not EntryKind.COMMAND:
                 continue
-            target, payload = entry.payload[:1], entry.payload[1:]
-            if target == _FOR_ADDRESSES:
+            component, payload = entry.payload[:1], entry.payload[1:]
+            if component == _FOR_ADDRESSES:
                 self.addresses.apply(payload)
                 continue
             self._results[entry.index] = self._machine.apply(entry.index, payload)
@@ -76,7 +76,7 @@
                 self._results.popitem(last=False)
 
     def result_at(self, index: int) -> bytes | None:
-        """Return the result of the command at `index`, if it was applied here lately."""
+        """Return the result of the command at `index`, or `None` if it is no longer kept."""
         return self._results.get(index)
 
     def snapshot(self) -> bytes:
@@ -85,7 +85,7 @@
         return msgspec.msgpack.encode(content)
 
     def restore(self, index: int, data: bytes) -> None:
-        """Replace the whole state by that of a snapshot at `index`."""
+        """Replace the whole state with that of a snapshot at `index`."""
         content = msgspec.msgpack.decode(data, type=_Snapshot)
         self.addresses.restore(content.addresses)
         self._machine.restore(content.machine)
--- a/packages/control/src/damaskwind/control/replica/service.py
+++ b/packages/control/src/damaskwind/control/replica/service.py
@@ -1,4 +1,4 @@
-"""Answer the calls of the other replicas."""
+"""The gRPC service that handles calls from the other replicas."""
 
 from typing import Any
 
@@ -33,7 +33,7 @@
         self._failure_domain = failure_domain
 
     async def Deliver(self, stream: Any) -> None:  # noqa: N802
-        """Take messages of the log."""
+        """Receive a batch of messages of the log."""
         batch = await self._receive(stream, "Deliver")
         replica = self._access.replica
         if batch.recipient_id != replica.member.replica_id:
@@ -58,7 +58,7 @@
         await stream.send_message(self._reply(outcome))
 
     async def Change(self, stream: Any) -> None:  # noqa: N802
-        """Change the members if this replica leads, else pass it to the leader."""
+        """Change the membership if this replica leads, else forward to the leader."""
         request = await self._receive(stream, "Change")
         timeout_s = request.timeout_ms / 1000
         access = self._access
@@ -67,14 +67,14 @@
         await stream.send_message(self._reply(outcome))
 
     async def ReadIndex(self, stream: Any) -> None:  # noqa: N802
-        """Return the index at which a read is current."""
+        """Return the read index if this replica leads."""
         request = await self._receive(stream, "ReadIndex")
         index = await self._access.read_index_locally(request.timeout_ms / 1000)
         reply = replication_pb2.ReadIndexReply(is_current=index is not None, index=index or 0)
         await stream.send_message(reply)
 
     async def Hello(self, stream: Any) -> None:  # noqa: N802
-        """Say who answers here."""
+        """Return this replica's ids, address and whether it has a log."""
         await self._receive(stream, "Hello")
         replica = self._access.replica
         reply = replication_pb2.HelloReply(
@@ -88,14 +88,14 @@
         await stream.send_message(reply)
 
     async def _receive(self, stream: Any, method: str) -> Any:
-        """Receive and verify a call; a replica that has stopped answers none."""
+        """Receive and verify a call; refuse it if this replica has stopped."""
         request = await receive_call(stream, _PATH + method, self._verifier)
         if not self._access.replica.is_running:
             raise GRPCError(Status.UNAVAILABLE, STOPPED)
         return request
 
     def _reply(self, outcome: ProposalOutcome) -> replication_pb2.ProposalOutcome:
-        """Return an outcome as a message."""
+        """Convert an outcome to its wire message."""
         leader = self._access.replica.core.leader
         return replication_pb2.ProposalOutcome(
             state=outcome.outcome.value,
--- a/packages/control/src/damaskwind/control/replica/tests/cluster.py
+++ b/packages/control/src/damaskwind/control/replica/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Start replicas of a small machine in this process, on loopback."""
+"""Run clusters of replicas with a small state machine in this process, on loopback."""
 
 import tempfile
 from pathlib import Path
@@ -23,12 +23,12 @@
 
 
 def free_address():
-    """Return an address that is free now."""
+    """Return a loopback address whose port is free now."""
     return free_addresses(1)[0]
 
 
 class ListMachine:
-    """Keep the payloads that were applied."""
+    """A state machine that keeps the list of applied payloads."""
 
     def __init__(self):
         self.payloads = []
@@ -67,7 +67,7 @@
 
 
 class ReplicaCluster:
-    """Replicas named a, b, c; every one can be stopped and started again."""
+    """Replicas named a, b, c that can be stopped and started individually."""
 
     def __init__(self, case, names="abc", snapshot_every_entries=1000):
         folder = tempfile.TemporaryDirectory()
@@ -107,7 +107,7 @@
         await self.running.pop(name).stop()
 
     def isolate(self, name):
-        """Cut a replica off silently: nothing gets in or out, no call fails."""
+        """Partition a replica silently: its messages are dropped and no call fails."""
         replica = self.running[name].replica
         replica.transport.send = lambda envelope: None
         replica.receive = lambda envelope: None
@@ -123,17 +123,17 @@
             await self.stop(name)
 
     async def leader(self, timeout_s=15.0):
-        """Return the name of the one leader whose lease holds."""
-        named = []
+        """Wait for a leader with a valid lease and return its name."""
+        leaders = []
 
-        def is_led():
-            named.append(self._leader())
-            return named[-1] is not None
+        def has_leader():
+            leaders.append(self._leader())
+            return leaders[-1] is not None
 
         first = next(iter(self.running.values()))
-        if not await first.replica.wait_until(is_led, timeout_s):
-            raise AssertionError("nobody leads")
-        return named[-1]
+        if not await first.replica.wait_until(has_leader, timeout_s):
+            raise AssertionError("no replica leads")
+        return leaders[-1]
 
     def _leader(self):
         for name, item in self.running.items():
@@ -142,18 +142,18 @@
         return None
 
     async def wait_for_voters(self, voters, timeout_s=15.0):
-        """Wait until every running replica knows that so many vote."""
+        """Wait until every running replica has this number of voters."""
         for item in self.running.values():
-            core = item.replica
-            held = await core.wait_until(
-                lambda core=core: len(core.core.membership.voters) == voters, timeout_s
+            replica = item.replica
+            is_reached = await replica.wait_until(
+                lambda replica=replica: len(replica.core.membership.voters) == voters, timeout_s
             )
-            if not held:
-                raise AssertionError(f"voters: {core.core.membership}")
+            if not is_reached:
+                raise AssertionError(f"voters: {replica.core.membership}")
 
 
 class ClusterTestCase(TestCase):
-    """A small cluster for each test."""
+    """A base class for tests on small clusters."""
 
     timeout = 60
 
--- a/packages/control/src/damaskwind/control/replica/tests/test_cluster.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_cluster.py
@@ -9,7 +9,7 @@
 
 
 class BreakableFileSystem(FileSystem):
-    """A disk that can break: from then on every sync fails."""
+    """A file system whose syncs fail once `broken` is set."""
 
     broken = False
 
@@ -21,7 +21,7 @@
 
 class ClusterTest(ClusterTestCase):
     @asyncio_test
-    async def test_every_replica_confirms_and_reads_what_others_confirmed(self):
+    async def test_every_replica_commits_and_reads_commits_of_the_others(self):
         cluster = self.make()
         await cluster.start_all()
         try:
@@ -36,7 +36,7 @@
             await cluster.stop_all()
 
     @asyncio_test
-    async def test_confirms_go_on_after_the_leader_stopped_and_it_catches_up(self):
+    async def test_commits_continue_after_the_leader_stops_and_it_catches_up(self):
         cluster = self.make()
         await cluster.start_all()
         try:
@@ -53,14 +53,14 @@
             await cluster.stop_all()
 
     @asyncio_test
-    async def test_without_a_majority_nothing_is_confirmed_or_read_as_current(self):
+    async def test_without_a_majority_nothing_is_committed_or_read_as_current(self):
         cluster = self.make()
         await cluster.start_all()
         try:
-            lone = await cluster.leader()
-            for name in set("abc") - {lone}:
+            remaining = await cluster.leader()
+            for name in set("abc") - {remaining}:
                 await cluster.stop(name)
-            item = cluster.running[lone]
+            item = cluster.running[remaining]
             outcome = await item.access.propose(b"lost", 1.5)
             self.assertNotEqual(outcome.verdict, COMMITTED)
             self.assertFalse(await item.access.read_current(1.0))
@@ -71,31 +71,31 @@
             await cluster.stop_all()
 
     @asyncio_test
-    async def test_leader_that_is_cut_off_silently_stops_confirming_and_loses_nothing(self):
+    async def test_silently_partitioned_leader_stops_committing_and_loses_nothing(self):
         cluster = self.make()
         await cluster.start_all()
         try:
             old = await cluster.leader()
             await self.commit(cluster, old, b"before")
             cluster.isolate(old)
-            cut_off = cluster.running[old]
-            lost = asyncio.ensure_future(cut_off.access.propose(b"lost", 10.0))
-            stepped_down = await cut_off.replica.wait_until(
-                lambda: not cut_off.replica.is_leader and not cut_off.replica.is_current, 10.0
+            isolated = cluster.running[old]
+            lost = asyncio.ensure_future(isolated.access.propose(b"lost", 10.0))
+            stepped_down = await isolated.replica.wait_until(
+                lambda: not isolated.replica.is_leader and not isolated.replica.is_current, 10.0
             )
             self.assertTrue(stepped_down)
-            self.assertFalse(await cut_off.access.read_current(0.5))
+            self.assertFalse(await isolated.access.read_current(0.5))
             other = next(name for name in "abc" if name != old)
             await self.commit(cluster, other, b"after")
             self.assertNotEqual((await lost).verdict, COMMITTED)
             cluster.heal(old)
-            self.assertTrue(await cut_off.access.read_current(10.0))
-            self.assertEqual(cut_off.machine.payloads, [b"before", b"after"])
+            self.assertTrue(await isolated.access.read_current(10.0))
+            self.assertEqual(isolated.machine.payloads, [b"before", b"after"])
         finally:
             await cluster.stop_all()
 
     @asyncio_test
-    async def test_failed_fsync_stops_that_replica_and_no_other(self):
+    async def test_failed_fsync_stops_only_that_replica(self):
         cluster = self.make()
         files = BreakableFileSystem()
         await cluster.start("a", files)
@@ -104,7 +104,7 @@
         await cluster.wait_for_voters(3)
         try:
             files.broken = True
-            # When the broken replica led, whether this is committed is not known.
+            # The outcome is unknown if the broken replica was the leader.
             first = await cluster.running["b"].access.propose(b"one", 5.0)
             self.assertIn(first.verdict, (COMMITTED, CommitVerdict.UNKNOWN))
             broken = cluster.running["a"]
@@ -114,9 +114,9 @@
             outcome = await broken.access.propose(b"two", 1.0)
             self.assertEqual(outcome.verdict, CommitVerdict.REFUSED)
             await self.commit(cluster, "c", b"three")
-            held = cluster.running["c"].machine.payloads
-            self.assertEqual(held[-1], b"three")
+            payloads = cluster.running["c"].machine.payloads
+            self.assertEqual(payloads[-1], b"three")
             if first.verdict is COMMITTED:
-                self.assertEqual(held, [b"one", b"three"])
+                self.assertEqual(payloads, [b"one", b"three"])
         finally:
             await cluster.stop_all()
--- a/packages/control/src/damaskwind/control/replica/tests/test_cluster_members.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_cluster_members.py
@@ -8,15 +8,15 @@
 
 class MembersTest(ClusterTestCase):
     @asyncio_test
-    async def test_all_restart_after_a_thousand_changes_with_snapshots(self):
+    async def test_all_replicas_restart_from_snapshots_after_a_thousand_changes(self):
         cluster = self.make(snapshot_every_entries=150)
         await cluster.start_all()
         try:
             leader = await cluster.leader()
             payloads = [b"%d" % number for number in range(1000)]
             for first in range(0, 1000, 50):
-                some = payloads[first : first + 50]
-                await asyncio.gather(*(self.commit(cluster, leader, item) for item in some))
+                batch = payloads[first : first + 50]
+                await asyncio.gather(*(self.commit(cluster, leader, item) for item in batch))
             await cluster.stop_all()
             for name in "abc":
                 await cluster.start(name)
@@ -28,7 +28,7 @@
             await cluster.stop_all()
 
     @asyncio_test
-    async def test_lost_disk_comes_back_under_a_new_identity_and_a_second_loss_is_borne(self):
+    async def test_replica_with_lost_disk_gets_a_new_identity_and_a_second_loss_is_tolerated(self):
         cluster = self.make(snapshot_every_entries=5)
         await cluster.start_all()
         try:
@@ -38,14 +38,16 @@
             await cluster.stop("c")
             shutil.rmtree(cluster.path / "c")
             new = (await cluster.start("c")).replica
-            keeps = cluster.running["a"].replica
+            remaining = cluster.running["a"].replica
 
-            def replaced():
-                voters = keeps.core.membership.voters
+            def is_replaced():
+                voters = remaining.core.membership.voters
                 return new.member in voters and old not in voters
 
             self.assertNotEqual(new.member, old)
-            self.assertTrue(await keeps.wait_until(replaced, 15.0), keeps.core.membership)
+            self.assertTrue(
+                await remaining.wait_until(is_replaced, 15.0), remaining.core.membership
+            )
             await cluster.stop("b")
             await self.commit(cluster, "a", b"after the second loss")
             self.assertTrue(await cluster.running["c"].access.read_current(10.0))
@@ -54,7 +56,7 @@
             await cluster.stop_all()
 
     @asyncio_test
-    async def test_founder_without_its_disk_founds_no_second_cluster(self):
+    async def test_founder_that_lost_its_disk_founds_no_second_cluster(self):
         cluster = self.make()
         await cluster.start_all()
         try:
@@ -91,13 +93,13 @@
             await cluster.stop_all()
 
     @asyncio_test
-    async def test_replica_with_a_wrong_key_is_not_heard(self):
+    async def test_replica_with_a_wrong_key_cannot_join(self):
         cluster = self.make()
         await cluster.start("a", cluster_key="other")
         await cluster.start("b")
         await cluster.start("c")
         try:
-            lone = cluster.running["a"].replica
-            self.assertFalse(await lone.wait_until(lambda: lone.has_log, 2.0))
+            rejected = cluster.running["a"].replica
+            self.assertFalse(await rejected.wait_until(lambda: rejected.has_log, 2.0))
         finally:
             await cluster.stop_all()
--- a/packages/control/src/damaskwind/control/replica/tests/test_forwarding.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_forwarding.py
@@ -10,18 +10,18 @@
 
 
 class ScriptedLeader:
-    """A replica that leads and gives the outcomes of a list, then commits."""
+    """A leading replica that returns a list of outcomes, then commits."""
 
     failure = None
     is_leader = True
 
     def __init__(self, *outcomes):
         self.outcomes = list(outcomes)
-        self.asked = 0
+        self.proposal_count = 0
         self.state = SimpleNamespace(applied_index=9)
 
     async def propose(self, payload, timeout_s):
-        self.asked += 1
+        self.proposal_count += 1
         if self.outcomes:
             return self.outcomes.pop(0)
         return ProposalOutcome("", Outcome.COMMITTED, 9)
@@ -37,24 +37,26 @@
         return await access.commit(b"payload", timeout_s)
 
     @asyncio_test
-    async def test_refusal_that_passes_is_tried_again_while_there_is_time(self):
-        passing = set(RefusalReason) - {RefusalReason.INVALID_CHANGE}
-        for reason in passing:
+    async def test_temporary_refusal_is_retried_until_the_timeout(self):
+        temporary = set(RefusalReason) - {RefusalReason.INVALID_CHANGE}
+        for reason in temporary:
             leader = ScriptedLeader(refused(reason), refused(reason))
             outcome = await self.commit(leader)
-            self.assertEqual((outcome.outcome, leader.asked), (Outcome.COMMITTED, 3), reason)
+            self.assertEqual(
+                (outcome.outcome, leader.proposal_count), (Outcome.COMMITTED, 3), reason
+            )
 
     @asyncio_test
-    async def test_refusal_that_lasts_is_told_once_the_time_is_over(self):
+    async def test_persistent_refusal_is_returned_after_the_timeout(self):
         leader = ScriptedLeader(*[refused(RefusalReason.NO_QUORUM)] * 1000)
         outcome = await self.commit(leader, 0.2)
         self.assertEqual(outcome.reason, RefusalReason.NO_QUORUM)
-        self.assertGreater(leader.asked, 1)
+        self.assertGreater(leader.proposal_count, 1)
 
     @asyncio_test
-    async def test_unknown_outcome_and_invalid_change_are_never_tried_again(self):
-        lasting = [ProposalOutcome("", Outcome.UNKNOWN), refused(RefusalReason.INVALID_CHANGE)]
-        for first in lasting:
+    async def test_unknown_outcome_and_invalid_change_are_never_retried(self):
+        final = [ProposalOutcome("", Outcome.UNKNOWN), refused(RefusalReason.INVALID_CHANGE)]
+        for first in final:
             leader = ScriptedLeader(first)
             self.assertEqual(await self.commit(leader), first)
-            self.assertEqual(leader.asked, 1)
+            self.assertEqual(leader.proposal_count, 1)
--- a/packages/control/src/damaskwind/control/replica/tests/test_joining.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_joining.py
@@ -1,4 +1,4 @@
-"""Tests of when a replica asks to be added again."""
+"""Tests of the conditions under which a replica asks to be added again."""
 
 import asyncio
 from types import SimpleNamespace
@@ -17,7 +17,7 @@
 
 
 class StayMemberTest(TestCase):
-    """A replica that follows nobody, in front of others that are asked in vain."""
+    """A replica without a leader, whose requests to be added have no effect."""
 
     timeout = 20
 
@@ -33,52 +33,56 @@
             is_leader=False,
             has_log=True,
         )
-        self.asked = 0
+        self.request_count = 0
 
     async def ask(self, *_):
-        self.asked += 1
+        self.request_count += 1
 
     async def run_for(self, duration_s):
-        """Run the watch for a while; the time that it waits is cut short."""
+        """Run `rejoin_if_removed` with a shortened `REJOIN_AFTER_S`.
+
+        Returns the numbers of requests after `duration_s`, soon after the replica
+        stopped leading, and at the end.
+        """
         access = SimpleNamespace(replica=self.replica)
         service = SimpleNamespace(address="127.0.0.1:1")
         with (
             patch.object(joining, "REJOIN_AFTER_S", REJOIN_AFTER_S),
             patch.object(joining, "_ask_to_join", self.ask),
         ):
-            staying = joining.rejoin_if_removed(access, service, (), "d", None)
-            task = asyncio.ensure_future(staying)
+            rejoining = joining.rejoin_if_removed(access, service, (), "d", None)
+            task = asyncio.ensure_future(rejoining)
             await asyncio.sleep(duration_s)
             self.replica.is_leader = False
-            asked_while_leading = self.asked
+            while_leading = self.request_count
             await asyncio.sleep(REJOIN_AFTER_S / 2)
-            asked_soon = self.asked
+            soon = self.request_count
             await asyncio.sleep(2 * REJOIN_AFTER_S)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-        return asked_while_leading, asked_soon, self.asked
+        return while_leading, soon, self.request_count
 
     @asyncio_test
-    async def test_replica_that_takes_calls_and_answers_none_holds_nobody_up(self):
+    async def test_replica_that_accepts_calls_without_replying_delays_no_other(self):
         silent = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         port = silent.sockets[0].getsockname()[1]
         channels = joining.Channels()
-        begun_s = read_clock()
-        found = await joining._reachable(
+        started_s = read_clock()
+        reachable = await joining._reachable(
             [Address("127.0.0.1", port)] * 3, channels, CallSigner("c", "k", "a")
         )
-        self.assertEqual(found, [])
-        self.assertLess(read_clock() - begun_s, joining.HELLO_TIMEOUT_S + 0.5)
+        self.assertEqual(reachable, [])
+        self.assertLess(read_clock() - started_s, joining.HELLO_TIMEOUT_S + 0.5)
         channels.close()
         silent.close()
 
     @asyncio_test
-    async def test_replica_that_hears_no_leader_asks(self):
+    async def test_replica_without_a_leader_asks(self):
         while_following, _, _ = await self.run_for(2 * REJOIN_AFTER_S)
         self.assertGreater(while_following, 0)
 
     @asyncio_test
-    async def test_leader_that_steps_down_waits_like_one_that_has_heard_a_leader(self):
+    async def test_leader_that_steps_down_waits_as_if_it_had_just_seen_a_leader(self):
         self.replica.is_leader = True
         while_leading, soon, in_the_end = await self.run_for(2 * REJOIN_AFTER_S)
         self.assertEqual((while_leading, soon), (0, 0))
--- a/packages/control/src/damaskwind/control/replica/tests/test_service.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_service.py
@@ -20,12 +20,12 @@
 from damaskwind.wire.replication_grpc import ReplicationStub
 from damaskwind.wire.replication_pb2 import CoreMessages
 
-STRANGER = Member("x", "1")
+NON_MEMBER = Member("x", "1")
 
 
 def batch(member, **changes):
-    """Return a batch from a stranger, who asks for a vote in a high term."""
-    body = encode_envelope(Envelope(STRANGER, member, VoteRequest(99, 10_000, 99)))
+    """Return a batch from a non-member that requests a vote in a high term."""
+    body = encode_envelope(Envelope(NON_MEMBER, member, VoteRequest(99, 10_000, 99)))
     fields = {
         "sender_id": "x",
         "recipient_id": member.replica_id,
@@ -38,37 +38,42 @@
 class ServiceTest(TestCase):
     timeout = 40
 
-    def test_messages_come_back_as_they_went(self):
+    def test_decoding_reverses_encoding(self):
         entry = LogEntry(3, 2, EntryKind.COMMAND, b"\x00\xff")
         message = AppendRequest(2, 5, 2, 1, (entry,), 2)
-        envelope = Envelope(STRANGER, Member("a", "2"), message)
+        envelope = Envelope(NON_MEMBER, Member("a", "2"), message)
         self.assertEqual(decode_envelope(encode_envelope(envelope)), envelope)
 
     def test_malformed_messages_are_refused(self):
-        sound = encode_envelope(Envelope(STRANGER, STRANGER, VoteRequest(1, 1, 1)))
-        for body in (b"", b"junk", sound[:-1], sound.replace(b"VoteRequest", b"NoteRequest")):
+        valid = encode_envelope(Envelope(NON_MEMBER, NON_MEMBER, VoteRequest(1, 1, 1)))
+        for body in (b"", b"junk", valid[:-1], valid.replace(b"VoteRequest", b"NoteRequest")):
             with self.assertRaises(MessageError):
                 decode_envelope(body)
 
     @asyncio_test
-    async def test_bad_calls_have_a_named_outcome_and_change_nothing(self):
+    async def test_invalid_calls_are_refused_with_a_reason_and_change_nothing(self):
         cluster = ReplicaCluster(self, names="a")
         await cluster.start_all()
         running = cluster.running["a"]
         member = running.replica.member
         channel = Channel(*parse_address(cluster.addresses["a"]))
         deliver = ReplicationStub(channel).Deliver
-        sound = CallSigner("kl", "key", "x")
+        valid_signer = CallSigner("kl", "key", "x")
         try:
             await cluster.leader()
             term = running.replica.core.term
             for signer, request, status, message in (
                 (CallSigner("hcm", "key", "x"), batch(member), "UNAUTHENTICATED", "wrong_cluster"),
                 (CallSigner("kl", "no", "x"), batch(member), "UNAUTHENTICATED", "wrong_mac"),
-                (sound, batch(member, recipient_id="b"), "FAILED_PRECONDITION", "other_replica"),
-                (sound, batch(member, sender_id="y"), "INVALID_ARGUMENT", "other_sender"),
-                (sound, batch(member, bodies=[b"junk"]), "INVALID_ARGUMENT", "malformed"),
-                (sound, batch(member, sender_address="?"), "INVALID_ARGUMENT", "malformed"),
+                (
+                    valid_signer,
+                    batch(member, recipient_id="b"),
+                    "FAILED_PRECONDITION",
+                    "other_replica",
+                ),
+                (valid_signer, batch(member, sender_id="y"), "INVALID_ARGUMENT", "other_sender"),
+                (valid_signer, batch(member, bodies=[b"junk"]), "INVALID_ARGUMENT", "malformed"),
+                (valid_signer, batch(member, sender_address="?"), "INVALID_ARGUMENT", "malformed"),
             ):
                 with self.assertRaises(GRPCError) as caught:
                     await call_unary(deliver, request, signer, 5.0)
--- a/packages/control/src/damaskwind/control/replica/transport.py
+++ b/packages/control/src/damaskwind/control/replica/transport.py
@@ -1,7 +1,7 @@
-"""Send the log's messages to the other replicas, a call at a time for each.
+"""Send the log's messages to the other replicas, with one call at a time to each.
 
-What is queued while a call is under way goes with the next one. Messages may
-be lost: the log's protocol sends again whatever matters.
+Messages queued during a call are batched into the next one. Messages may be
+lost; the replication protocol retransmits what matters.
 """
 
 import asyncio
@@ -33,20 +33,20 @@
 
 
 class Channels:
-    """One connection to each address, made when first needed."""
+    """One channel per address, created on first use."""
 
     def __init__(self) -> None:
         self._channels: dict[Address, Channel] = {}
 
     def get(self, address: Address) -> Channel:
-        """Return the channel to an address."""
+        """Return the channel to an address; create it if there is none."""
         channel = self._channels.get(address)
         if channel is None:
             channel = self._channels[address] = Channel(address.host, address.port)
         return channel
 
     def drop(self, address: Address) -> None:
-        """Close the channel to an address; the next use makes another."""
+        """Close the channel to an address; the next use creates a new one."""
         channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
@@ -58,7 +58,7 @@
 
 
 class _PeerQueue:
-    """The messages that wait for one replica, and the task that sends them."""
+    """The queued messages for one replica and the task that sends them."""
 
     def __init__(self) -> None:
         self.bodies: deque[bytes] = deque(maxlen=QUEUE_LIMIT_MESSAGES)
@@ -69,7 +69,7 @@
 
 
 class Transport:
-    """Send envelopes to replicas by id."""
+    """Send envelopes to other replicas, addressed by replica id."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self._queues: dict[str, _PeerQueue] = {}
 
     def send(self, envelope: Envelope) -> None:
-        """Queue a message."""
+        """Queue a message for its recipient; the oldest is dropped from a full queue."""
         if self._is_closed:
             return
         replica_id = envelope.recipient.replica_id
@@ -100,9 +100,13 @@
         queue.has_messages.set()
 
     def slowest_call_s(self) -> float:
-        """Return the longest of each peer's call under way, or else its last one."""
+        """Return the longest call duration over all peers, in seconds.
+
+        For each peer, this is the time so far of the call in flight, or the
+        duration of the last call if there is none.
+        """
         now_s = read_clock()
-        spans = (
+        durations_s = (
             (
                 queue.last_call_duration_s
                 if queue.call_started_s is None
@@ -110,13 +114,13 @@
             )
             for queue in self._queues.values()
         )
-        return max(spans, default=0.0)
+        return max(durations_s, default=0.0)
 
     async def close(self) -> None:
         """Stop all tasks and close all connections.
 
-        A call that ends while it is cancelled may swallow the cancellation, so
-        the tasks look at a flag too.
+        A call that completes while it is cancelled may swallow the
+        cancellation, so the tasks check a flag as well.
         """
         self._is_closed = True
         tasks = [queue.task for queue in self._queues.values() if queue.task is not None]
@@ -126,7 +130,7 @@
         self.channels.close()
 
     def _next_batch(self, replica_id: str, queue: _PeerQueue) -> CoreMessages:
-        """Take what is queued, up to a size."""
+        """Dequeue messages up to the batch size limit."""
         batch = CoreMessages(
             sender_id=self._signer.sender,
             recipient_id=replica_id,
@@ -140,7 +144,7 @@
         return batch
 
     async def _run(self, replica_id: str, queue: _PeerQueue) -> None:
-        """Send batch after batch; after a failure wait, with full jitter."""
+        """Send batches until closed; back off with full jitter after a failure."""
         backoff_s = BACKOFF_FIRST_S
         while not self._is_closed:
             await queue.has_messages.wait()
@@ -158,7 +162,7 @@
                 backoff_s = min(2 * backoff_s, BACKOFF_LIMIT_S)
 
     async def _send_batch(self, replica_id: str, queue: _PeerQueue) -> bool:
-        """Send one batch and tell whether it arrived."""
+        """Send one batch and return whether it was delivered."""
         batch = self._next_batch(replica_id, queue)
         address = self._address_of(replica_id)
         if address is None:
--- a/packages/control/src/damaskwind/control/replica/waiters.py
+++ b/packages/control/src/damaskwind/control/replica/waiters.py
@@ -1,4 +1,4 @@
-"""Wait in a task until a condition of a replica holds."""
+"""Let tasks wait until a condition on a replica holds."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,13 +7,13 @@
 
 
 class ConditionWaiters:
-    """Tasks that wait, each with its condition; `wake` looks at all of them."""
+    """Waiting tasks, each with its condition; `wake` checks all conditions."""
 
     def __init__(self) -> None:
         self._waiters: list[tuple[Callable[[], bool], asyncio.Future]] = []
 
     async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
-        """Wait until a condition holds; tell whether it did in time."""
+        """Wait until a condition holds; return whether it did within the timeout."""
         if condition():
             return True
         waiter = asyncio.get_running_loop().create_future()
@@ -29,7 +29,7 @@
         return True
 
     def wake(self) -> None:
-        """Let those go on whose condition holds now."""
+        """Resume every task whose condition holds now."""
         for pair in list(self._waiters):
             condition, waiter = pair
             if condition():
