--- a/packages/control/src/damaskwind/control/state/__init__.py
+++ b/packages/control/src/damaskwind/control/state/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated state: configuration, plans, outcomes, orders; deterministic and pure."""
+"""The replicated state: configuration, plans, outcomes and orders; deterministic and pure."""
--- a/packages/control/src/damaskwind/control/state/command.py
+++ b/packages/control/src/damaskwind/control/state/command.py
@@ -1,7 +1,7 @@
-"""The commands of the replicated log and their coding.
+"""The commands of the replicated log and their encoding.
 
-A command carries all that its outcome depends on, the time included, so that
-every replica decides alike whatever its own clock says.
+A command contains everything that its outcome depends on, including the time,
+so that all replicas reach the same result regardless of their own clocks.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 
 def _register_command(kind: str) -> Callable[[type], type]:
-    """Register a command under the name that stands in the log."""
+    """Register a command under the name that identifies it in the log."""
 
     def register(command: type) -> type:
         COMMAND_KINDS[kind] = command
@@ -39,7 +39,7 @@
 
 
 class Actor(NamedTuple):
-    """Who asks, from where, and when by the clock of the replica that was asked."""
+    """The operator, the origin of the request and the receiving replica's clock."""
 
     operator: str
     origin: str
@@ -47,7 +47,7 @@
 
 
 class WantedState(NamedTuple):
-    """The end state that an order wants of a target: its role and loaded models."""
+    """The desired end state of a target: its role and loaded models."""
 
     role: str
     models: tuple[str, ...] = ()
@@ -55,10 +55,10 @@
 
 @_register_command("plan")
 class PlanCommand(NamedTuple):
-    """Store a plan. `change` was checked against exactly `base_revision`.
+    """Store a plan. `change` was validated against exactly `base_revision`.
 
-    `touches` names the objects it puts or deletes, `affects` those that depend
-    on them.
+    `touches` names the objects that it puts or deletes, `affects` those that
+    depend on them.
     """
 
     actor: Actor
@@ -74,7 +74,7 @@
 
 @_register_command("confirm")
 class ConfirmCommand(NamedTuple):
-    """Confirm a plan; safe to repeat."""
+    """Confirm a plan; idempotent."""
 
     actor: Actor
     plan_id: str
@@ -82,9 +82,9 @@
 
 @_register_command("order")
 class OrderCommand(NamedTuple):
-    """Order a target into a wanted state; safe to repeat under its `order_id`.
+    """Order a target into a wanted state; idempotent under its `order_id`.
 
-    Without an `address` the order is only put on record.
+    Without an `address` the order is only recorded, not sent.
     """
 
     actor: Actor
@@ -96,7 +96,7 @@
 
 @_register_command("record")
 class RecordCommand(NamedTuple):
-    """Put an operator's act that changes no configuration on the audit trail."""
+    """Record an operator's action that changes no configuration on the audit trail."""
 
     actor: Actor
     action: str
@@ -108,7 +108,7 @@
 
 
 def encode_command(command: Any) -> bytes:
-    """Return a command as the log keeps it.
+    """Encode a command as it is stored in the log.
 
     >>> actor = Actor("mei", "127.0.0.1", 0.0)
     >>> decode_command(encode_command(ConfirmCommand(actor, "plan-1"))).plan_id
@@ -118,7 +118,7 @@
 
 
 def decode_command(payload: bytes) -> Any:
-    """Read a command back; raise `MessageError` when it is none that is known."""
+    """Decode a command; raise `MessageError` when it is malformed or of unknown kind."""
     try:
         raw = msgspec.json.decode(payload)
     except msgspec.DecodeError as error:
--- a/packages/control/src/damaskwind/control/state/configuration_machine.py
+++ b/packages/control/src/damaskwind/control/state/configuration_machine.py
@@ -1,10 +1,10 @@
-"""The replicated state machine: the same commands give the same state everywhere.
+"""The replicated state machine: the same commands give the same state on every replica.
 
-It reads no clock and no random generator, and it checks a plan against nothing
-but its base revision: the replica that took the intent checked the change
-against exactly that revision, so confirming it is a plain replacement. Rules
-of checking may thus differ between versions of the program without two
-replicas ever deciding differently.
+It is deterministic: it reads no clock and no random generator. It checks a plan
+only against its base revision. The replica that received the intent validated
+the change against exactly that revision, so confirming a plan is a plain
+replacement. Validation rules may therefore differ between program versions
+without the replicas diverging.
 """
 
 from collections.abc import Callable
@@ -45,7 +45,7 @@
 
 
 def _handler_for(command: type) -> Callable[[Handler], Handler]:
-    """Register the method that applies one kind of command."""
+    """Register the decorated method as the handler of one kind of command."""
 
     def register(handler: Handler) -> Handler:
         _HANDLERS[command] = handler
@@ -55,11 +55,14 @@
 
 
 def operator_roles(configuration: Configuration, operator: str) -> tuple[str, ...]:
-    """Return the roles of an operator; the bootstrap one has all until others exist."""
+    """Return the roles of an operator.
+
+    The bootstrap operator has all roles until other operators exist, then none.
+    """
     if operator == BOOTSTRAP_OPERATOR:
         return () if configuration.operators else ("viewer", "planner", "confirmer")
-    held = configuration.operators.get(operator)
-    return held.roles if held is not None else ()
+    entry = configuration.operators.get(operator)
+    return entry.roles if entry is not None else ()
 
 
 class ConfigurationMachine:
@@ -69,7 +72,7 @@
         self._load(state or MachineState())
 
     def _load(self, state: MachineState) -> None:
-        """Replace everything by a state."""
+        """Replace the whole state."""
         self._configuration = state.configuration
         self._changes = list(state.changes)
         self._plans = PlanBook(state.plans)
@@ -89,27 +92,27 @@
 
     @property
     def plans(self) -> PlanBook:
-        """Return the plans; only to be read."""
+        """Return the plans; callers must not modify them."""
         return self._plans
 
     @property
     def orders(self) -> OrderBook:
-        """Return the orders; only to be read."""
+        """Return the orders; callers must not modify them."""
         return self._orders
 
     @property
     def trail(self) -> AuditTrail:
-        """Return the audit trail; only to be read."""
+        """Return the audit trail; callers must not modify it."""
         return self._trail
 
     def changes_after(self, revision: int) -> tuple[ChangeRecord, ...]:
-        """Return who brought about each later revision, as far as it is remembered."""
-        return tuple(note for note in self._changes if note.revision > revision)
+        """Return the kept change records of revisions after `revision`, oldest first."""
+        return tuple(record for record in self._changes if record.revision > revision)
 
     def apply(self, index: int, payload: bytes) -> bytes:
         """Apply the command at an index of the log and return its encoded result.
 
-        An index that was applied already changes nothing.
+        A command at an index that was already applied changes nothing.
         """
         if index <= self._applied_index:
             return encode_result(ApplyResult(ResultStatus.MALFORMED, detail="applied before"))
@@ -133,13 +136,13 @@
         return encode_state(state)
 
     def restore(self, payload: bytes) -> None:
-        """Replace the whole state by a snapshot's."""
+        """Replace the whole state with that of a snapshot."""
         self._load(decode_state(payload))
 
     def _append_to_trail(
         self, actor: Actor, action: str, subject: str, result: str, detail: tuple[str, ...] = ()
     ) -> None:
-        """Put an act on the audit trail."""
+        """Append an operator's action to the audit trail."""
         revision = self._configuration.revision
         event = AuditEvent(
             actor.now_s, actor.operator, actor.origin, action, subject, result, revision, detail
@@ -147,7 +150,7 @@
         self._trail.append(event)
 
     def _is_forbidden(self, actor: Actor, role: str, action: str, subject: str) -> bool:
-        """Tell whether the actor lacks a role, and put it on the trail if so."""
+        """Tell whether the actor lacks a role; if so, record that on the audit trail."""
         if role in operator_roles(self._configuration, actor.operator):
             return False
         self._append_to_trail(actor, action, subject, ResultStatus.FORBIDDEN)
@@ -155,10 +158,10 @@
 
     @_handler_for(PlanCommand)
     def _store_plan(self, command: PlanCommand) -> ApplyResult:
-        """Store a plan on the current revision."""
+        """Store a plan if its base is the current revision."""
         revision = self._configuration.revision
-        known = self._plans.plan(command.plan_id) or self._plans.outcome(command.plan_id)
-        if known is not None:
+        existing = self._plans.plan(command.plan_id) or self._plans.outcome(command.plan_id)
+        if existing is not None:
             return ApplyResult(ResultStatus.PLANNED, revision, repeated=True)
         if self._is_forbidden(command.actor, "planner", "plan", command.plan_id):
             return ApplyResult(ResultStatus.FORBIDDEN, revision)
@@ -184,11 +187,11 @@
 
     @_handler_for(ConfirmCommand)
     def _confirm_plan(self, command: ConfirmCommand) -> ApplyResult:
-        """Confirm a plan once; later confirmations are given the first outcome."""
+        """Confirm a plan once; later confirmations return the first outcome."""
         actor, plan_id = command
         revision = self._configuration.revision
         first = self._plans.outcome(plan_id)
-        # The plan may have taken the role, or the key, of the one who confirmed it.
+        # The plan itself may have removed the role or key of the operator who confirmed it.
         is_own = first is not None and first.operator == actor.operator
         if not is_own and self._is_forbidden(actor, "confirmer", "confirm", plan_id):
             return ApplyResult(ResultStatus.FORBIDDEN, revision)
@@ -205,25 +208,25 @@
         return self._commit_plan(actor, plan)
 
     def _is_stale(self, plan: Plan) -> bool:
-        """Tell whether another change came between a plan and its confirmation."""
+        """Tell whether the configuration has changed since the plan's base revision."""
         return plan.base_revision != self._configuration.revision
 
     def _commit_plan(self, actor: Actor, plan: Plan) -> ApplyResult:
-        """Bring a plan's change into the configuration."""
+        """Apply a plan's change to the configuration."""
         try:
             change = change_from_table(plan.change)
         except ConfigurationError:
             return ApplyResult(ResultStatus.MALFORMED, self._configuration.revision)
         self._configuration = apply_change(self._configuration, change)
-        note = ChangeRecord(
+        record = ChangeRecord(
             self._configuration.revision, plan.plan_id, actor.operator, actor.now_s, plan.touches
         )
-        self._changes.append(note)
+        self._changes.append(record)
         del self._changes[:-MAX_CHANGES]
         return self._close_plan(actor, plan, ResultStatus.CONFIRMED)
 
     def _close_plan(self, actor: Actor, plan: Plan, status: ResultStatus) -> ApplyResult:
-        """Keep a plan's outcome and put it on the trail."""
+        """Store a plan's outcome and record it on the audit trail."""
         conflicts: tuple[ChangeRecord, ...] = ()
         if status is ResultStatus.CONFLICT:
             conflicts = self.changes_after(plan.base_revision)[-_MAX_REPORTED_CONFLICTS:]
@@ -232,13 +235,13 @@
             plan.plan_id, status, actor.operator, actor.now_s, revision, conflicts
         )
         self._plans.close(outcome)
-        detail = tuple(f"revision {note.revision} by {note.operator}" for note in conflicts)
+        detail = tuple(f"revision {record.revision} by {record.operator}" for record in conflicts)
         self._append_to_trail(actor, "confirm", plan.plan_id, status, detail or plan.difference)
         return ApplyResult(status, revision, outcome=outcome)
 
     @_handler_for(OrderCommand)
     def _issue_order(self, command: OrderCommand) -> ApplyResult:
-        """Give an order its fencing number, the first one when it is repeated."""
+        """Issue a fencing number for an order; a repeated order keeps its first one."""
         actor = command.actor
         if self._is_forbidden(actor, "confirmer", "order", command.target_id):
             return ApplyResult(ResultStatus.FORBIDDEN)
@@ -252,6 +255,6 @@
 
     @_handler_for(RecordCommand)
     def _record_action(self, command: RecordCommand) -> ApplyResult:
-        """Put an act that changes no configuration on the trail."""
+        """Record an action that changes no configuration on the audit trail."""
         self._append_to_trail(command.actor, command.action, command.subject, command.result)
         return ApplyResult(ResultStatus.RECORDED, self._configuration.revision)
--- a/packages/control/src/damaskwind/control/state/evacuation_orders.py
+++ b/packages/control/src/damaskwind/control/state/evacuation_orders.py
@@ -1,8 +1,8 @@
-"""The state machine of evacuation orders: which failure domains are emptied.
+"""The state machine of evacuation orders: which failure domains are evacuated.
 
-An order is written for what its proposer believed of the failure domain: the revision at which
-that one last changed. One that was written for another revision changes nothing and is to be
-written anew. So a proposal that a broken link held back can't undo an order that was
+An order is a compare-and-set: it names the revision at which its failure domain last changed in
+the proposer's view. An order with another base revision changes nothing and must be proposed
+again upon the current one. So a proposal delayed by a broken link can't undo an order that was
 acknowledged after it.
 """
 
@@ -23,12 +23,12 @@
     "order_command",
 ]
 
-# What msgpack writes before a map of up to 15 fields; other commands are arrays.
+# The msgpack type byte of a map of up to 15 fields; other commands are arrays.
 _MAP_MASK, _MAP = 0xF0, 0x80
 
 
 class OrderOutcome(StrEnum):
-    """What became of an order."""
+    """The outcome of an evacuation order."""
 
     STORED = "stored"
     UNCHANGED = "kept"
@@ -36,14 +36,14 @@
 
 
 class OrderResult(NamedTuple):
-    """The outcome of an order, and the revision at which its failure domain last changed."""
+    """The outcome of an order and the revision at which its failure domain last changed."""
 
     outcome: OrderOutcome
     revision: int
 
 
 class EvacuationOrder(NamedTuple):
-    """A failure domain, whether it is emptied, and the revision at which that changed."""
+    """A failure domain, whether it is evacuated, and the revision at which that changed."""
 
     failure_domain: str
     is_evacuated: bool
@@ -51,7 +51,7 @@
 
 
 class _OrderCommand(TypedDict):
-    """Empty a failure domain, or take it back, if it last changed at `base_revision`."""
+    """Evacuate a failure domain, or end that, if it last changed at `base_revision`."""
 
     failure_domain: str
     is_evacuated: bool
@@ -59,7 +59,7 @@
 
 
 def order_command(failure_domain: str, is_evacuated: bool, base_revision: int) -> bytes:
-    """Return the command that empties a failure domain or takes it back."""
+    """Return the command that evacuates a failure domain or ends its evacuation."""
     return msgspec.msgpack.encode(
         _OrderCommand(
             failure_domain=failure_domain,
@@ -70,17 +70,17 @@
 
 
 def is_order_command(payload: bytes) -> bool:
-    """Tell whether a command of the log is an order of this module."""
+    """Tell whether a command of the log is an evacuation order."""
     return payload[:1] != b"" and payload[0] & _MAP_MASK == _MAP
 
 
 def decode_order_result(result: bytes) -> OrderResult:
-    """Decode what `EvacuationOrders.apply` returned."""
+    """Decode a result of `EvacuationOrders.apply`."""
     return msgspec.msgpack.decode(result, type=OrderResult)
 
 
 class EvacuationOrders:
-    """Hold the last order for each failure domain.
+    """The last order for each failure domain.
 
     >>> orders = EvacuationOrders()
     >>> decode_order_result(orders.apply(order_command("a", True, 0))).outcome.value
@@ -98,17 +98,17 @@
         self._revision = 0
 
     def apply(self, payload: bytes) -> bytes:
-        """Apply a command and return its result, encoded."""
+        """Apply a command and return its encoded result."""
         return msgspec.msgpack.encode(self._apply(payload))
 
     def _apply(self, payload: bytes) -> OrderResult:
         command = msgspec.msgpack.decode(payload, type=_OrderCommand)
         failure_domain = command["failure_domain"]
-        held = self.last_order(failure_domain)
-        if command["is_evacuated"] == held.is_evacuated:
-            return OrderResult(OrderOutcome.UNCHANGED, held.revision)
-        if command["base_revision"] != held.revision:
-            return OrderResult(OrderOutcome.OTHER_BASE, held.revision)
+        last = self.last_order(failure_domain)
+        if command["is_evacuated"] == last.is_evacuated:
+            return OrderResult(OrderOutcome.UNCHANGED, last.revision)
+        if command["base_revision"] != last.revision:
+            return OrderResult(OrderOutcome.OTHER_BASE, last.revision)
         self._revision += 1
         self._orders[failure_domain] = EvacuationOrder(
             failure_domain, command["is_evacuated"], self._revision
@@ -116,19 +116,19 @@
         return OrderResult(OrderOutcome.STORED, self._revision)
 
     def last_order(self, failure_domain: str) -> EvacuationOrder:
-        """Return the last order for a failure domain; revision 0 when there was none."""
+        """Return the last order for a failure domain; its revision is 0 if there was none."""
         return self._orders.get(failure_domain, EvacuationOrder(failure_domain, False, 0))
 
     def evacuations(self) -> Evacuations:
-        """Return which failure domains are emptied now."""
-        emptied = (item.failure_domain for item in self._orders.values() if item.is_evacuated)
-        return Evacuations(self._revision, tuple(sorted(emptied)))
+        """Return the failure domains that are currently evacuated."""
+        evacuated = (item.failure_domain for item in self._orders.values() if item.is_evacuated)
+        return Evacuations(self._revision, tuple(sorted(evacuated)))
 
     def snapshot(self) -> tuple[EvacuationOrder, ...]:
-        """Return all that is held, in the order of its revisions."""
+        """Return all orders, sorted by revision."""
         return tuple(sorted(self._orders.values(), key=lambda item: item.revision))
 
-    def restore(self, held: tuple[EvacuationOrder, ...]) -> None:
-        """Replace all that is held; the last to change has the newest revision."""
-        self._orders = {item.failure_domain: item for item in held}
-        self._revision = max((item.revision for item in held), default=0)
+    def restore(self, orders: tuple[EvacuationOrder, ...]) -> None:
+        """Replace all orders; the highest revision among them becomes the current one."""
+        self._orders = {item.failure_domain: item for item in orders}
+        self._revision = max((item.revision for item in orders), default=0)
--- a/packages/control/src/damaskwind/control/state/fleet_state.py
+++ b/packages/control/src/damaskwind/control/state/fleet_state.py
@@ -1,4 +1,4 @@
-"""All that the log of a fleet of replicas drives: the configuration and operators' orders."""
+"""The state machine of a fleet's log: the configuration and evacuation orders."""
 
 from typing import NamedTuple
 
@@ -15,9 +15,10 @@
 
 
 class _Snapshot(NamedTuple):
-    """The configuration's version and packed document, and the orders.
+    """The configuration's version and packed document, and the evacuation orders.
 
-    Logs that were written before there were orders have the first two fields.
+    Snapshots written before the introduction of orders have only the first two
+    fields.
     """
 
     version: int = 0
@@ -26,7 +27,7 @@
 
 
 class FleetState:
-    """One state machine of two parts, so that both share a log and its snapshots.
+    """A state machine of two parts that share a log and its snapshots.
 
     >>> from damaskwind.control.state.evacuation_orders import order_command
     >>> from damaskwind.control.state.published_configuration import publish_command
@@ -44,18 +45,20 @@
         self.orders = EvacuationOrders()
 
     def apply(self, index: int, payload: bytes) -> bytes:
-        """Apply a command to the part that it is for, and return its outcome."""
+        """Apply a command to the part that it addresses and return its outcome."""
         if is_order_command(payload):
             return self.orders.apply(payload)
         return self.configuration.apply(index, payload)
 
     def snapshot(self) -> bytes:
         """Return the whole state."""
-        held = self.configuration
-        return msgspec.msgpack.encode(_Snapshot(held.version, held.packed, self.orders.snapshot()))
+        stored = self.configuration
+        return msgspec.msgpack.encode(
+            _Snapshot(stored.version, stored.packed, self.orders.snapshot())
+        )
 
     def restore(self, payload: bytes) -> None:
         """Replace the whole state."""
-        held = msgspec.msgpack.decode(payload, type=_Snapshot)
-        self.configuration.restore(held.version, held.packed)
-        self.orders.restore(held.orders)
+        content = msgspec.msgpack.decode(payload, type=_Snapshot)
+        self.configuration.restore(content.version, content.packed)
+        self.orders.restore(content.orders)
--- a/packages/control/src/damaskwind/control/state/order_book.py
+++ b/packages/control/src/damaskwind/control/state/order_book.py
@@ -1,4 +1,4 @@
-"""Orders to targets under fencing numbers that only grow."""
+"""Orders to targets with monotonically increasing fencing numbers."""
 
 from typing import NamedTuple
 
@@ -10,9 +10,9 @@
 
 
 class TargetOrder(NamedTuple):
-    """The end state last wanted of a target, under its fencing number.
+    """The latest wanted end state of a target, with its fencing number.
 
-    `address` is where the leader sends it; without one it is only on record.
+    The leader sends it to `address`; without one it is only recorded.
     """
 
     target_id: str
@@ -25,7 +25,10 @@
 
 
 class OrderBookState(NamedTuple):
-    """The book as a snapshot keeps it, oldest first; `issued` maps ids to numbers."""
+    """The content of an order book in a snapshot, oldest first.
+
+    `issued` maps order ids to fencing numbers.
+    """
 
     fencing_number: int = 0
     orders: tuple[TargetOrder, ...] = ()
@@ -33,25 +36,25 @@
 
 
 class OrderBook:
-    """The latest order of each target. A repeated order keeps its first number."""
+    """The latest order of each target; a repeated order keeps its first number."""
 
     def __init__(self, state: OrderBookState | None = None) -> None:
-        start = state or OrderBookState()
-        self._fencing_number = start.fencing_number
-        self._orders = {order.target_id: order for order in start.orders}
-        self._issued = dict(start.issued)
+        initial = state or OrderBookState()
+        self._fencing_number = initial.fencing_number
+        self._orders = {order.target_id: order for order in initial.orders}
+        self._issued = dict(initial.issued)
 
     @property
     def fencing_number(self) -> int:
-        """Return the highest number given out."""
+        """Return the highest fencing number issued."""
         return self._fencing_number
 
     def fencing_number_of(self, order_id: str) -> int | None:
-        """Return the number that an order was given, while it is remembered."""
+        """Return the fencing number issued for an order, or `None` if it is not kept."""
         return self._issued.get(order_id)
 
     def issue(self, command: OrderCommand) -> int:
-        """Give an order the next number and make it the target's latest."""
+        """Issue the next fencing number for an order and make it the target's latest."""
         self._fencing_number += 1
         order = TargetOrder(
             command.target_id,
@@ -65,9 +68,9 @@
         self._orders.pop(command.target_id, None)
         self._orders[command.target_id] = order
         self._issued[command.order_id] = self._fencing_number
-        for book in (self._orders, self._issued):
-            if len(book) > MAX_ORDERS:
-                del book[next(iter(book))]
+        for table in (self._orders, self._issued):
+            if len(table) > MAX_ORDERS:
+                del table[next(iter(table))]
         return self._fencing_number
 
     def orders(self) -> tuple[TargetOrder, ...]:
@@ -75,5 +78,5 @@
         return tuple(self._orders.values())
 
     def state(self) -> OrderBookState:
-        """Return what a snapshot keeps."""
+        """Return the content for a snapshot."""
         return OrderBookState(self._fencing_number, self.orders(), tuple(self._issued.items()))
--- a/packages/control/src/damaskwind/control/state/outcome.py
+++ b/packages/control/src/damaskwind/control/state/outcome.py
@@ -1,4 +1,4 @@
-"""What came of a command, as every replica says it."""
+"""Results of commands, identical on every replica."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 
 
 class ResultStatus(StrEnum):
-    """Name what came of a command."""
+    """The status of a command's result."""
 
     PLANNED = "planned"
     CONFIRMED = "confirmed"
@@ -31,7 +31,7 @@
 
 
 class ChangeRecord(NamedTuple):
-    """Who brought about one revision, when, and which objects it touched."""
+    """The author and time of one revision, and the objects that it changed."""
 
     revision: int
     plan_id: str
@@ -41,10 +41,10 @@
 
 
 class PlanOutcome(NamedTuple):
-    """The first outcome of a plan's confirmation, which later ones are given too.
+    """The outcome of a plan's first confirmation, returned to repeated ones too.
 
-    `revision` is the one that the plan brought about or, when it brought about
-    none, the one that was found. `conflicts` says who changed what in between.
+    `revision` is the revision that the plan created or, if it created none, the
+    current one. `conflicts` lists the changes made since the plan's base revision.
     """
 
     plan_id: str
@@ -56,7 +56,7 @@
 
 
 class ApplyResult(NamedTuple):
-    """What `apply` returns; `repeated` marks an outcome that stood already."""
+    """The result of `apply`; `repeated` marks the result of an earlier command."""
 
     status: ResultStatus
     revision: int = 0
@@ -67,12 +67,12 @@
 
 
 def encode_result(result: ApplyResult) -> bytes:
-    """Return a result as bytes, to be passed between processes."""
+    """Encode a result as JSON for another process."""
     return msgspec.json.encode(result)
 
 
 def decode_result(payload: bytes) -> ApplyResult:
-    """Read a result back.
+    """Decode a result.
 
     >>> decode_result(encode_result(ApplyResult(ResultStatus.PLANNED))).status
     <ResultStatus.PLANNED: 'planned'>
--- a/packages/control/src/damaskwind/control/state/plan_book.py
+++ b/packages/control/src/damaskwind/control/state/plan_book.py
@@ -1,4 +1,4 @@
-"""Open plans and the outcomes of closed ones, both bounded the same on every replica."""
+"""Open plans and the outcomes of closed ones, bounded identically on every replica."""
 
 from typing import Any, NamedTuple
 
@@ -26,7 +26,7 @@
 
 
 class Plan(NamedTuple):
-    """A plan as it was proposed; `change` is the table that states what is wanted."""
+    """A plan as it was proposed; `change` is the table of the requested change."""
 
     plan_id: str
     base_revision: int
@@ -42,48 +42,48 @@
 
 
 class PlanBookState(NamedTuple):
-    """The book as a snapshot keeps it, oldest first."""
+    """The content of a plan book in a snapshot, oldest first."""
 
     plans: tuple[Plan, ...] = ()
     outcomes: tuple[PlanOutcome, ...] = ()
 
 
 def plan_has_expired(plan: Plan, now_s: float) -> bool:
-    """Tell whether a plan's life is over at a time that a command carries.
+    """Tell whether a plan has expired at `now_s`, the time in a command.
 
-    Both times are those of the replicas that took the requests. When the later
-    one lies before the earlier by more than the tolerance, a clock has jumped,
-    the plan's age is not known, and it counts as expired.
+    Both times come from the clocks of the replicas that received the requests.
+    If `now_s` is earlier than the plan's time by more than the tolerance, a clock
+    has jumped; the plan's age is then unknown and it counts as expired.
     """
     age_s = now_s - plan.planned_at_s
     return not -CLOCK_TOLERANCE_S <= age_s <= plan.ttl_s
 
 
 def _size_bytes(plan: Plan) -> int:
-    """Return the size of a plan, the same on every replica."""
+    """Return the encoded size of a plan, which is the same on every replica."""
     return len(msgspec.json.encode(plan))
 
 
 class PlanBook:
-    """Plans by id. Beyond its bounds, the oldest plan or outcome is forgotten."""
+    """Plans and outcomes by plan id; the oldest are evicted beyond the bounds."""
 
     def __init__(self, state: PlanBookState | None = None) -> None:
-        start = state or PlanBookState()
-        self._plans = {plan.plan_id: plan for plan in start.plans}
-        self._sizes_bytes = {plan.plan_id: _size_bytes(plan) for plan in start.plans}
+        initial = state or PlanBookState()
+        self._plans = {plan.plan_id: plan for plan in initial.plans}
+        self._sizes_bytes = {plan.plan_id: _size_bytes(plan) for plan in initial.plans}
         self._total_bytes = sum(self._sizes_bytes.values())
-        self._outcomes = {outcome.plan_id: outcome for outcome in start.outcomes}
+        self._outcomes = {outcome.plan_id: outcome for outcome in initial.outcomes}
 
     def plan(self, plan_id: str) -> Plan | None:
-        """Return an open plan."""
+        """Return an open plan, or `None`."""
         return self._plans.get(plan_id)
 
     def outcome(self, plan_id: str) -> PlanOutcome | None:
-        """Return the outcome of a closed plan that is still remembered."""
+        """Return the outcome of a closed plan, or `None` if it is not kept."""
         return self._outcomes.get(plan_id)
 
     def open(self, plan: Plan) -> None:
-        """Add a plan and forget the oldest ones beyond the bounds."""
+        """Add a plan and evict the oldest ones beyond the bounds."""
         self._plans[plan.plan_id] = plan
         self._sizes_bytes[plan.plan_id] = _size_bytes(plan)
         self._total_bytes += self._sizes_bytes[plan.plan_id]
@@ -94,16 +94,16 @@
             self._remove(next(iter(self._plans)))
 
     def _is_too_large(self) -> bool:
-        """Tell whether the open plans take too much; the newest one always fits."""
+        """Tell whether the open plans exceed the size limit; one plan alone always fits."""
         return self._total_bytes > MAX_OPEN_PLANS_BYTES and len(self._plans) > 1
 
     def _remove(self, plan_id: str) -> None:
-        """Forget an open plan."""
+        """Remove an open plan."""
         del self._plans[plan_id]
         self._total_bytes -= self._sizes_bytes.pop(plan_id)
 
     def close(self, outcome: PlanOutcome) -> None:
-        """Replace a plan by its outcome and forget the oldest outcome beyond the bound."""
+        """Replace a plan with its outcome; evict the oldest outcome beyond the bound."""
         self._remove(outcome.plan_id)
         self._outcomes[outcome.plan_id] = outcome
         if len(self._outcomes) > MAX_OUTCOMES:
@@ -114,5 +114,5 @@
         return tuple(self._plans.values())
 
     def state(self) -> PlanBookState:
-        """Return what a snapshot keeps."""
+        """Return the content for a snapshot."""
         return PlanBookState(self.open_plans(), tuple(self._outcomes.values()))
--- a/packages/control/src/damaskwind/control/state/published_configuration.py
+++ b/packages/control/src/damaskwind/control/state/published_configuration.py
@@ -1,11 +1,11 @@
-"""The state machine of published configurations: the highest version holds.
-
-A command carries a version and a document as it was sent, compressed; or, since
-each goes to every replica, what it has in common with the version held. A command
-whose version is not higher than the version held changes nothing; its sender
-is told so, which counts as an acknowledgement: whatever it asked for is
-overtaken or already in force. One that was written for another version than the
-one held changes nothing either, and is to be written anew.
+"""The state machine of published configurations: the highest version wins.
+
+A command contains a version and a compressed document. Since every command goes
+to every replica, the document may instead be a difference to the stored version.
+A command whose version is not higher than the stored one changes nothing. Its
+sender receives that as an acknowledgement: the requested version is superseded
+or already in force. A difference to a version other than the stored one changes
+nothing either and must be proposed again.
 """
 
 from enum import StrEnum
@@ -21,7 +21,7 @@
 
 
 class PublishOutcome(StrEnum):
-    """What became of a command."""
+    """The outcome of a publish command."""
 
     STORED = "stored"
     UNCHANGED = "kept"
@@ -29,7 +29,7 @@
 
 
 class _Command(NamedTuple):
-    """A version with its document, packed; with a base it is a difference."""
+    """A version with its packed document, or with a difference if there is a base."""
 
     version: int
     packed: bytes
@@ -45,7 +45,7 @@
 
 
 class PublishedConfiguration:
-    """Hold the document with the highest version that was committed.
+    """The document with the highest committed version.
 
     >>> machine = PublishedConfiguration()
     >>> machine.apply(1, publish_command(7, b"a")), machine.apply(2, publish_command(7, b"b"))
@@ -63,7 +63,7 @@
 
     @property
     def packed(self) -> bytes:
-        """Return the document held, packed."""
+        """Return the stored document, packed."""
         if self._packed is None:
             self._packed = pack_document(self.document)
         return self._packed
@@ -81,7 +81,7 @@
         try:
             document = apply_difference(self.document, command.packed)
         except MessageError:
-            # The same at every replica: they hold the same base.
+            # Deterministic: all replicas have the same base.
             return PublishOutcome.OTHER_BASE.encode()
         self._store(command.version, document, None)
         return PublishOutcome.STORED.encode()
@@ -90,5 +90,5 @@
         self.version, self.document, self._packed = version, document, packed
 
     def restore(self, version: int, packed: bytes) -> None:
-        """Replace what is held by a version and its document, packed."""
+        """Replace the stored version and document; `packed` may be empty."""
         self._store(version, unpack_document(packed) if packed else b"", packed)
--- a/packages/control/src/damaskwind/control/state/snapshot.py
+++ b/packages/control/src/damaskwind/control/state/snapshot.py
@@ -1,4 +1,4 @@
-"""The state machine's whole state and its coding in snapshots."""
+"""The state machine's whole state and its encoding in snapshots."""
 
 from typing import NamedTuple
 
@@ -18,7 +18,7 @@
 
 
 class MachineState(NamedTuple):
-    """All that the machine knows."""
+    """The whole state of the machine."""
 
     configuration: Configuration = Configuration()
     changes: tuple[ChangeRecord, ...] = ()
@@ -29,12 +29,12 @@
 
 
 def encode_state(state: MachineState) -> bytes:
-    """Return a state as bytes, with the format's name and version in front."""
+    """Encode a state, prefixed by the format's magic bytes and version."""
     return _MAGIC + bytes([FORMAT_VERSION]) + msgspec.msgpack.encode(state)
 
 
 def decode_state(payload: bytes) -> MachineState:
-    """Read a state back; raise `CorruptLogError` when it is none or of another version."""
+    """Decode a state; raise `CorruptLogError` when it is malformed or of another version."""
     if not payload.startswith(_MAGIC):
         raise CorruptLogError("snapshot: not a state of this program")
     version, body = payload[len(_MAGIC) : len(_MAGIC) + 1], payload[len(_MAGIC) + 1 :]
--- a/packages/control/src/damaskwind/control/state/tests/histories.py
+++ b/packages/control/src/damaskwind/control/state/tests/histories.py
@@ -1,7 +1,7 @@
-"""Histories of the state machine against a simple oracle: a dict and a list.
+"""Random histories of the state machine, checked against a dict and a list as oracle.
 
 They plan, confirm, resend, let clocks jump and restart from snapshots, while a
-second machine follows the same log.
+second machine applies the same log.
 """
 
 from hypothesis import strategies as st
@@ -40,7 +40,7 @@
 
 
 class DrivenMachine:
-    """A machine with the index of its next command."""
+    """A machine to which commands are applied at consecutive indexes."""
 
     def __init__(self):
         self.machine = ConfigurationMachine()
@@ -52,7 +52,7 @@
 
 
 class Plan:
-    """What the oracle knows of a plan."""
+    """The oracle's record of a plan."""
 
     def __init__(self, base_revision, planned_s, name, weight):
         self.base_revision = base_revision
@@ -63,7 +63,7 @@
 
 
 class MachineAgainstOracle(RuleBasedStateMachine):
-    """Plan, confirm, resend and restart two replicas; a dict is the oracle."""
+    """Plan, confirm, resend and restart on two replicas; compare with a dict."""
 
     run_count = 0
 
@@ -138,10 +138,10 @@
         assert self.follower.snapshot() == self.driven.machine.snapshot()
 
     @invariant()
-    def state_is_the_oracle_s(self):
+    def state_equals_the_oracle(self):
         machine = self.driven.machine
-        held = {name: x.weight for name, x in machine.configuration.priority_classes.items()}
-        assert held == self.objects
+        weights = {name: x.weight for name, x in machine.configuration.priority_classes.items()}
+        assert weights == self.objects
         assert machine.configuration.revision == len(self.confirmed)
         assert [note.plan_id for note in machine.changes_after(0)] == self.confirmed
 
@@ -155,11 +155,11 @@
 
 
 def run_batch(seed, histories):
-    """Run so many histories; without a seed the same ones every time."""
+    """Run a number of histories; without a seed, the same ones every time."""
     run_machine(MachineAgainstOracle, STEPS, seed, histories)
 
 
-# Bugs to put in on purpose: the run has to find each of them.
+# Deliberately injected bugs, each of which a run has to detect.
 SEEDED_BUGS = {
     "forget_outcomes": SeededBug(PlanBook, "state", lambda book: PlanBookState(book.open_plans())),
     "ignore_base": SeededBug(ConfigurationMachine, "_is_stale", lambda machine, plan: False),
@@ -167,6 +167,6 @@
 
 
 def fuzz_machine(seed, seconds, histories, bug=None):
-    """Run histories until the time or the count is used up, or one fails."""
+    """Run histories until the time or count limit is reached or one fails."""
     with seeded_bug(SEEDED_BUGS, bug):
         return fuzz_histories(MachineAgainstOracle, STEPS, seed, seconds, histories)
--- a/packages/control/src/damaskwind/control/state/tests/test_configuration_machine.py
+++ b/packages/control/src/damaskwind/control/state/tests/test_configuration_machine.py
@@ -1,4 +1,4 @@
-"""Tests of the state machine, some against a simple oracle."""
+"""Tests of the state machine, some against an oracle."""
 
 from unittest import TestCase
 
@@ -21,14 +21,14 @@
     def setUp(self):
         self.driven = DrivenMachine()
 
-    def test_commands_that_are_none_change_nothing_and_are_survived(self):
+    def test_malformed_commands_are_refused_and_change_nothing(self):
         for payload in (b"", b"\xff", b"[]", b'{"kind":"drop"}', b'{"kind":"confirm","x":1}'):
             result = self.driven.apply(payload)
             self.assertEqual(result.status, ResultStatus.MALFORMED)
         self.assertEqual(self.driven.machine.configuration.revision, 0)
         self.assertEqual(self.driven.machine.trail.last_sequence, 0)
 
-    def test_an_index_that_was_applied_changes_nothing(self):
+    def test_command_at_an_applied_index_changes_nothing(self):
         self.driven.apply(plan_command("p", 0, put("batch", 1)))
         confirm = encode_command(ConfirmCommand(actor(), "p"))
         self.driven.apply(confirm)
@@ -37,22 +37,22 @@
         self.driven.machine.apply(1, encode_command(plan_command("other", 1, put("batch", 2))))
         self.assertEqual(self.driven.machine.snapshot(), before)
 
-    def test_a_plan_resent_with_its_id_is_stored_once(self):
+    def test_plan_resent_with_its_id_is_stored_once(self):
         first = self.driven.apply(plan_command("p", 0, put("batch", 1)))
         again = self.driven.apply(plan_command("p", 0, put("batch", 2)))
         self.assertEqual((first.repeated, again.repeated), (False, True))
         self.assertEqual(len(self.driven.machine.plans.open_plans()), 1)
 
-    def test_a_plan_on_another_revision_is_sent_back(self):
+    def test_plan_with_another_base_revision_is_refused(self):
         result = self.driven.apply(plan_command("p", 7, put("batch", 1)))
         self.assertEqual((result.status, result.revision), (ResultStatus.BASE_MOVED, 0))
 
-    def test_a_plan_by_one_without_the_role_is_not_stored(self):
+    def test_plan_by_an_operator_without_the_role_is_not_stored(self):
         command = plan_command("p", 0, put("batch", 1))._replace(actor=actor(0.0, "gone"))
         self.assertEqual(self.driven.apply(command).status, ResultStatus.FORBIDDEN)
         self.assertEqual(self.driven.machine.plans.open_plans(), ())
 
-    def test_an_operator_who_is_gone_is_forbidden_and_the_plan_stays_open(self):
+    def test_confirmation_by_a_removed_operator_is_forbidden_and_the_plan_stays_open(self):
         self.driven.apply(plan_command("p", 0, put("batch", 1)))
         result = self.driven.apply(ConfirmCommand(actor(0.0, "gone"), "p"))
         self.assertEqual(result.status, ResultStatus.FORBIDDEN)
@@ -64,8 +64,8 @@
             self.driven.apply(plan_command(f"p{number}", 0, put("batch", 1)))
         plans = self.driven.machine.plans
         self.assertEqual(len(plans.open_plans()), plan_book.MAX_OPEN_PLANS_PER_OPERATOR)
-        forgotten = self.driven.apply(ConfirmCommand(actor(), "p0"))
-        self.assertEqual(forgotten.status, ResultStatus.UNKNOWN_PLAN)
+        evicted = self.driven.apply(ConfirmCommand(actor(), "p0"))
+        self.assertEqual(evicted.status, ResultStatus.UNKNOWN_PLAN)
         large = {"policy": {"placement": "x" * (plan_book.MAX_OPEN_PLANS_BYTES // 3)}}
         for number in range(4):
             self.driven.apply(plan_command(f"large{number}", 0, large))
@@ -86,7 +86,7 @@
         self.assertEqual(statuses[2:], [ResultStatus.CONFIRMED] * 3)
         self.assertEqual(len(self.driven.machine.changes_after(0)), 2)
 
-    def test_snapshots_of_another_kind_are_refused_and_change_nothing(self):
+    def test_invalid_snapshots_are_refused_and_change_nothing(self):
         self.driven.apply(plan_command("p", 0, put("batch", 1)))
         good = self.driven.machine.snapshot()
         other_version = good.replace(b"damaskwind state \x01", b"damaskwind state \x02")
@@ -97,11 +97,11 @@
 
 
 class MachineAgainstOracleTest(TestCase):
-    # Trial finds methods that begin with `test` only, not Hypothesis' own `runTest`.
-    def test_no_change_is_lost_reverted_or_doubled(self):
+    # Trial only collects methods that begin with `test`, not the `runTest` of Hypothesis.
+    def test_no_change_is_lost_reverted_or_applied_twice(self):
         run_batch(None, 150)
 
-    def test_bugs_put_in_on_purpose_are_found(self):
+    def test_injected_bugs_are_detected(self):
         for bug in SEEDED_BUGS:
             found = fuzz_machine(1, 60.0, 400, bug)
             self.assertIsNotNone(found.failure, bug)
--- a/packages/control/src/damaskwind/control/state/tests/test_evacuation_orders.py
+++ b/packages/control/src/damaskwind/control/state/tests/test_evacuation_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders to empty failure domains, and of the state that holds them."""
+"""Tests of evacuation orders and of the state that stores them."""
 
 import unittest
 
@@ -22,17 +22,17 @@
 
 
 class EvacuationOrdersTest(unittest.TestCase):
-    def test_proposal_that_was_held_back_undoes_no_later_order(self):
+    def test_delayed_proposal_does_not_undo_a_later_order(self):
         orders = EvacuationOrders()
-        late = order_command("a", True, 0)
-        emptied = apply_order(orders, "a", True, 0)
-        taken_back = apply_order(orders, "a", False, emptied.revision)
-        result = decode_order_result(orders.apply(late))
+        delayed = order_command("a", True, 0)
+        evacuated = apply_order(orders, "a", True, 0)
+        lifted = apply_order(orders, "a", False, evacuated.revision)
+        result = decode_order_result(orders.apply(delayed))
         self.assertEqual(result.outcome, OrderOutcome.OTHER_BASE)
-        self.assertEqual(result.revision, taken_back.revision)
+        self.assertEqual(result.revision, lifted.revision)
         self.assertEqual(orders.evacuations().failure_domains, ())
 
-    def test_repeats_change_nothing(self):
+    def test_repeated_orders_change_nothing(self):
         orders = EvacuationOrders()
         self.assertEqual(apply_order(orders, "a", False, 0).outcome, OrderOutcome.UNCHANGED)
         apply_order(orders, "a", True, 0)
@@ -40,7 +40,7 @@
         self.assertEqual(orders.evacuations().revision, 1)
 
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=20))
-    def test_snapshot_holds_all_and_goes_on_as_before(self, given_orders):
+    def test_restored_state_is_equal_and_applies_orders_alike(self, given_orders):
         state, restored = FleetState(), FleetState()
         state.apply(1, publish_command(3, b"{}"))
         for domain, is_evacuated in given_orders:
@@ -49,16 +49,16 @@
             )
         restored.restore(state.snapshot())
         self.assertEqual(restored.snapshot(), state.snapshot())
-        for one in (state, restored):
+        for each in (state, restored):
             apply_order(
-                one.orders,
+                each.orders,
                 "a",
-                not one.orders.last_order("a").is_evacuated,
-                one.orders.last_order("a").revision,
+                not each.orders.last_order("a").is_evacuated,
+                each.orders.last_order("a").revision,
             )
         self.assertEqual(restored.orders.evacuations(), state.orders.evacuations())
 
-    def test_snapshot_of_before_there_were_orders_is_read(self):
+    def test_snapshot_without_orders_is_restored(self):
         restored = FleetState()
         restored.restore(msgspec.msgpack.encode((7, b"")))
         self.assertEqual(restored.configuration.version, 7)
