--- a/packages/control/src/damaskwind/control/storage/__init__.py
+++ b/packages/control/src/damaskwind/control/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The data folder of a replica: identity, write-ahead log, snapshots."""
+"""The data folder of a replica: its identity, write-ahead log and snapshots."""
--- a/packages/control/src/damaskwind/control/storage/files.py
+++ b/packages/control/src/damaskwind/control/storage/files.py
@@ -1,8 +1,8 @@
-"""The few file operations that the storage needs, behind one small interface.
+"""The file operations that the storage needs, behind a small interface.
 
-Tests put a failing one in its place. Every failure becomes a `StorageError`; a
-failed fsync is never tried again, since the kernel may have dropped the pages
-that it could not write.
+Tests substitute a failing implementation. Every failure is raised as a
+`StorageError`. A failed fsync is never retried, since the kernel may have
+discarded the pages that it could not write.
 """
 
 import fcntl
@@ -18,7 +18,7 @@
 
 @contextmanager
 def _as_storage_error(action: str, path: object) -> Iterator[None]:
-    """Turn an `OSError` into a `StorageError` that names the action and the file."""
+    """Convert an `OSError` to a `StorageError` that names the action and the file."""
     try:
         yield
     except OSError as error:
@@ -26,10 +26,10 @@
 
 
 class FileSystem:
-    """The operating system's files."""
+    """Operations on the files of the operating system."""
 
     def make_folder(self, path: Path) -> None:
-        """Create a folder and make its entry durable; one that exists is kept."""
+        """Create a folder durably unless it exists."""
         if path.is_dir():
             return
         with _as_storage_error("create folder", path):
@@ -37,7 +37,7 @@
         self.sync_folder(path.parent)
 
     def lock(self, path: Path) -> int:
-        """Lock a file against other processes and return its descriptor."""
+        """Lock a file exclusively without waiting and return its descriptor."""
         with _as_storage_error("open lock file", path):
             descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -48,7 +48,7 @@
         return descriptor
 
     def open_append(self, path: Path) -> int:
-        """Open a file to add to its end; create it when it does not exist."""
+        """Open a file for appending; create it if it does not exist."""
         with _as_storage_error("open", path):
             flags = os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
             return os.open(path, flags, 0o600)
@@ -66,7 +66,7 @@
                 view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
-        """Make what was written durable."""
+        """Make the written data of a file durable."""
         with _as_storage_error("fsync", f"descriptor {descriptor}"):
             os.fsync(descriptor)
 
@@ -80,17 +80,17 @@
                 os.close(descriptor)
 
     def truncate(self, descriptor: int, size_bytes: int) -> None:
-        """Cut a file."""
+        """Truncate a file to a size."""
         with _as_storage_error("truncate", f"descriptor {descriptor}"):
             os.ftruncate(descriptor, size_bytes)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file another name, in place of what had it."""
+        """Rename a file, replacing any file of the new name."""
         with _as_storage_error("rename", source):
             os.replace(source, target)
 
     def remove(self, path: Path) -> None:
-        """Remove a file."""
+        """Remove a file if it exists."""
         with _as_storage_error("remove", path):
             path.unlink(missing_ok=True)
 
@@ -100,13 +100,13 @@
             return path.read_bytes()
 
     def list_names(self, path: Path) -> list[str]:
-        """Return the names in a folder, in order."""
+        """Return the sorted names in a folder."""
         with _as_storage_error("list", path):
             return sorted(os.listdir(path))
 
 
 def write_file_durably(files: FileSystem, path: Path, data: bytes) -> None:
-    """Write a file so that after a crash it is there whole or not at all."""
+    """Write a file atomically and durably: after a crash it is complete or absent."""
     temporary = path.with_name(path.name + ".tmp")
     files.remove(temporary)
     descriptor = files.open_append(temporary)
--- a/packages/control/src/damaskwind/control/storage/folder.py
+++ b/packages/control/src/damaskwind/control/storage/folder.py
@@ -1,8 +1,8 @@
 """A replica's data folder: its lock and its identity.
 
-The identity is drawn when the folder is first used. A replica that lost its
-disk draws another and is another member of the log, so that it can't vote
-where its former self has voted.
+A random identity is generated when the folder is first used. A replica that
+lost its disk gets a new identity and is a different member of the log, so it
+can't vote again in a term in which it has already voted.
 """
 
 import secrets
@@ -26,9 +26,9 @@
 
 
 class Identity(NamedTuple):
-    """Whose folder it is, and which life of the disk.
+    """The owner of a data folder and the random identity of its disk.
 
-    `created_s` is the wall clock's time at which the folder was first used.
+    `created_s` is the wall-clock time at which the folder was first used.
     """
 
     cluster: str
@@ -47,21 +47,21 @@
 
     @property
     def is_founding(self) -> bool:
-        """Tell whether this replica was there before its cluster was founded."""
+        """Tell whether this replica existed before its cluster was founded."""
         return _FOUNDING_NAME in self.files.list_names(self.path)
 
     def mark_founding(self) -> None:
-        """Keep, for the life of the disk, that there was no cluster before this replica."""
+        """Record permanently that this replica existed before its cluster."""
         data = file_header(_KIND_FOUNDING)
         write_file_durably(self.files, self.path / _FOUNDING_NAME, data)
 
     def close(self) -> None:
-        """Give the lock back."""
+        """Release the lock."""
         self.files.close(self.lock_descriptor)
 
 
 def _read_identity(files: FileSystem, path: Path) -> Identity:
-    """Read the identity file, which must be whole."""
+    """Read the identity file; raise `StorageError` when it is damaged."""
     framed = read_frames(files.read(path), _KIND_IDENTITY, path)
     if len(framed.payloads) != 1 or framed.torn_bytes:
         raise StorageError(f"{path}: damaged; restore this replica as a new member")
@@ -69,7 +69,7 @@
 
 
 def _create_identity(files: FileSystem, path: Path, cluster: str, replica_id: str) -> Identity:
-    """Draw an identity and make it durable."""
+    """Generate an identity and make it durable."""
     identity = Identity(cluster, replica_id, secrets.token_hex(8), int(time()))
     data = file_header(_KIND_IDENTITY) + encode_frame(msgspec.msgpack.encode(identity))
     write_file_durably(files, path, data)
@@ -77,7 +77,11 @@
 
 
 def _load_identity(files: FileSystem, path: Path, cluster: str, replica_id: str) -> Identity:
-    """Return the folder's identity; a folder with a log and without one is refused."""
+    """Return the folder's identity; create one in an unused folder.
+
+    Raises `StorageError` when the folder has a log but no identity, or the
+    identity of another replica.
+    """
     names = files.list_names(path)
     if _IDENTITY_NAME not in names:
         leftover = [name for name in names if name.endswith((".log", ".snapshot"))]
@@ -96,7 +100,8 @@
 def open_data_folder(path: Path, cluster: str, replica_id: str, files: FileSystem) -> DataFolder:
     """Open and lock a data folder; create it and its identity when it is new.
 
-    Raises `StorageError` when another process holds it or it is not ours.
+    Raises `StorageError` when another process has locked the folder or it
+    belongs to another replica.
     """
     files.make_folder(path)
     descriptor = files.lock(path / _LOCK_NAME)
--- a/packages/control/src/damaskwind/control/storage/frames.py
+++ b/packages/control/src/damaskwind/control/storage/frames.py
@@ -1,11 +1,11 @@
 """Frames on disk: a marker, a length, a checksum and a payload.
 
-A file starts with a header that names its kind and format version. What was
-made durable by one fsync is one frame, and the next frame is only written
-after that fsync; so a crash can leave at most the last frame torn. A bad frame
-that a sound one follows is therefore not torn but corrupt. The rot of a single
-last frame can't be told from a torn one; the log of the other replicas holds
-what it held.
+A file starts with a header that names its kind and format version. Each fsync
+covers exactly one frame, and the next frame is written only after that fsync,
+so a crash can leave at most the last frame torn. An invalid frame followed by
+a valid one is therefore corrupt, not torn. Corruption of the last frame alone
+can't be distinguished from a torn write; its content is still in the logs of
+the other replicas.
 """
 
 import struct
@@ -27,7 +27,7 @@
 
 
 class FramedFile(NamedTuple):
-    """The sound frames of a file; `size_bytes` is where they end."""
+    """The valid frames of a file; `size_bytes` is the offset of their end."""
 
     payloads: list[bytes]
     size_bytes: int
@@ -35,7 +35,7 @@
 
 
 def file_header(kind: int) -> bytes:
-    """Return the header of a file of one kind.
+    """Return the header of a file of this kind.
 
     >>> len(file_header(1))
     16
@@ -44,17 +44,17 @@
 
 
 def _checksum(payload: bytes) -> int:
-    """Return the checksum of a payload with its length."""
+    """Return the checksum of a payload, seeded with its length."""
     return xxhash.xxh3_64_intdigest(payload, seed=len(payload))
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Return a payload as a frame."""
+    """Encode a payload as a frame."""
     return _FRAME.pack(_MARKER, len(payload), _checksum(payload)) + payload
 
 
 def _frame_at(data: bytes, offset: int) -> bytes | None:
-    """Return the payload of the sound frame at `offset`, or `None`."""
+    """Return the payload of the frame at `offset`, or `None` if it is invalid."""
     if offset + _FRAME.size > len(data):
         return None
     marker, length, checksum = _FRAME.unpack_from(data, offset)
@@ -66,7 +66,7 @@
 
 
 def _next_valid_frame(data: bytes, offset: int) -> int | None:
-    """Return the offset of the first sound frame after `offset`."""
+    """Return the offset of the first valid frame after `offset`, or `None`."""
     position = data.find(_MARKER, offset + 1)
     while position >= 0:
         if _frame_at(data, position) is not None:
@@ -76,7 +76,7 @@
 
 
 def _check_header(data: bytes, kind: int, path: Path) -> None:
-    """Refuse a file of another kind or version."""
+    """Raise `CorruptLogError` for a file of another kind or version."""
     if len(data) < _HEADER.size:
         raise CorruptLogError(f"{path} at offset 0: header is {len(data)} bytes, not 16")
     magic, version, found_kind = _HEADER.unpack_from(data)
@@ -89,10 +89,10 @@
 
 
 def read_frames(data: bytes, kind: int, path: Path) -> FramedFile:
-    """Return the frames of a file's content; a torn tail is left out.
+    """Return the frames of a file's content without a torn tail.
 
     Raises `CorruptLogError`, which names the file and the offset, when a frame
-    before the last one is bad.
+    before the last one is invalid.
     """
     _check_header(data, kind, path)
     payloads = []
--- a/packages/control/src/damaskwind/control/storage/journal.py
+++ b/packages/control/src/damaskwind/control/storage/journal.py
@@ -1,12 +1,14 @@
-"""The write-ahead log and the snapshot beneath it.
+"""The write-ahead log and the snapshot that it starts from.
 
 There is one log file at a time, `{number}.log`. Its first frame is the base:
-the term and vote, the head of the snapshot and the entries after it. Each
-frame after it holds a group of changes that one fsync made durable. A new
-snapshot is written and renamed into place first; then a new log file whose
-base names it; then the older files go. Recovery reads the log file with the
-highest number and the snapshot that its base names, so that a crash between
-any two of these steps loses nothing and mixes nothing.
+the term and vote, the metadata of the snapshot and the entries after it. Each
+later frame contains a group of changes that one fsync made durable.
+
+To compact the log, a new snapshot is written and renamed into place first,
+then a new log file whose base names that snapshot, and then the older files
+are removed. Recovery reads the log file with the highest number and the
+snapshot named in its base, so a crash between any two of these steps neither
+loses nor mixes data.
 """
 
 from collections.abc import Iterable
@@ -33,7 +35,7 @@
 
 
 class TakeSnapshot(NamedTuple):
-    """Make a snapshot of this replica's own state durable and drop the log up to it."""
+    """Make a snapshot of this replica's own state durable and discard the log up to it."""
 
     snapshot: Snapshot
     data: bytes
@@ -51,7 +53,7 @@
 
 
 class _Change(NamedTuple):
-    """One change in a frame: a new term and vote, a cut, or entries at the end."""
+    """One change in a frame: a new term and vote, a truncation, or appended entries."""
 
     state: PersistentState | None = None
     truncate_from: int | None = None
@@ -77,7 +79,10 @@
 
 
 class Journal:
-    """What is durable of one replica. Its methods block; call them from one thread."""
+    """The durable state of one replica.
+
+    The methods block and must all be called from the same thread.
+    """
 
     def __init__(self, folder: Path, files: FileSystem, number: int, base: _Base) -> None:
         self.state = base.state
@@ -92,10 +97,10 @@
         self._failure: StorageError | None = None
 
     def write(self, writes: Iterable[JournalWrite]) -> None:
-        """Make writes durable, in order; return when they are.
+        """Make writes durable, in order, before returning.
 
-        After a `StorageError` every further call raises it again: what the
-        disk holds is not known any more.
+        After a `StorageError` every further call raises it again, because the
+        content of the disk is then unknown.
         """
         if self._failure is not None:
             raise self._failure
@@ -138,7 +143,7 @@
             self.apply(change)
 
     def apply(self, change: _Change) -> None:
-        """Bring the state in memory up to a durable change."""
+        """Apply a durable change to the state in memory."""
         if change.state is not None:
             self.state = change.state
         if change.truncate_from is not None:
@@ -147,23 +152,23 @@
         self.entries.extend(change.entries)
 
     def _replace_snapshot(self, write: InstallSnapshot | TakeSnapshot) -> None:
-        """Make a snapshot durable and start a log file upon it."""
+        """Make a snapshot durable and start a new log file based on it."""
         keeps_suffix = isinstance(write, TakeSnapshot) or write.keep_suffix
         if write.snapshot.index < self.snapshot.index:
             return
-        kept = [entry for entry in self.entries if entry.index > write.snapshot.index]
+        suffix = [entry for entry in self.entries if entry.index > write.snapshot.index]
         old_number = self._number
         _write_snapshot(self._files, self._folder, write.snapshot, write.data)
         self.snapshot = write.snapshot
         self.snapshot_bytes = len(write.data)
-        self.entries = kept if keeps_suffix else []
+        self.entries = suffix if keeps_suffix else []
         self._number += 1
         self.create_log_file()
         self._files.remove(self._folder / _log_name(old_number))
         remove_stale_files(self._files, self._folder, self._number, self.snapshot)
 
     def create_log_file(self) -> None:
-        """Create the log file that starts from the present state."""
+        """Create the log file whose base is the current state."""
         path = self._folder / _log_name(self._number)
         base = _Base(self.state, self.snapshot, tuple(self.entries))
         data = file_header(_KIND_LOG) + encode_frame(msgspec.msgpack.encode(base))
@@ -171,27 +176,27 @@
         self.open_log_file(len(data))
 
     def open_log_file(self, size_bytes: int) -> None:
-        """Open the log file to add to it; cut what lies behind `size_bytes`."""
+        """Open the log file for appending; its valid content is `size_bytes` long."""
         self.close()
         path = self._folder / _log_name(self._number)
         self._descriptor = self._files.open_append(path)
         self.size_bytes = size_bytes
 
     def truncate_tail(self, size_bytes: int) -> None:
-        """Cut a torn tail off the log file, durably."""
+        """Truncate a torn tail of the log file, durably."""
         self._files.truncate(self._descriptor, size_bytes)
         self._files.sync(self._descriptor)
 
 
 def _write_snapshot(files: FileSystem, folder: Path, snapshot: Snapshot, data: bytes) -> None:
-    """Write a snapshot's file: its head and its data, a frame each."""
-    head = encode_frame(msgspec.msgpack.encode(snapshot))
-    content = file_header(_KIND_SNAPSHOT) + head + encode_frame(data)
+    """Write a snapshot file with two frames: the metadata and the data."""
+    metadata = encode_frame(msgspec.msgpack.encode(snapshot))
+    content = file_header(_KIND_SNAPSHOT) + metadata + encode_frame(data)
     write_file_durably(files, folder / _snapshot_name(snapshot), content)
 
 
 def _read_snapshot(files: FileSystem, folder: Path, snapshot: Snapshot) -> bytes:
-    """Return the data of a snapshot; nothing for the empty one."""
+    """Return the data of a snapshot; empty for the initial one at index 0."""
     if snapshot.index == 0:
         return b""
     path = folder / _snapshot_name(snapshot)
@@ -204,16 +209,16 @@
 
 
 def remove_stale_files(files: FileSystem, folder: Path, number: int, snapshot: Snapshot) -> None:
-    """Remove files that recovery no longer needs."""
-    kept = {_log_name(number), _snapshot_name(snapshot)}
+    """Remove the files that recovery no longer needs."""
+    current = {_log_name(number), _snapshot_name(snapshot)}
     for name in files.list_names(folder):
-        if name.endswith((".log", ".snapshot", ".tmp")) and name not in kept:
+        if name.endswith((".log", ".snapshot", ".tmp")) and name not in current:
             files.remove(folder / name)
     files.sync_folder(folder)
 
 
 def _decode(payload: bytes, kind: object, path: Path) -> object:
-    """Decode a frame whose checksum held; one that can't be read is refused."""
+    """Decode a frame with a valid checksum; raise `CorruptLogError` when that fails."""
     try:
         return msgspec.msgpack.decode(payload, type=kind)
     except msgspec.MsgspecError as error:
@@ -221,10 +226,10 @@
 
 
 def open_journal(folder: Path, files: FileSystem) -> Journal:
-    """Recover the durable state of a replica, or start an empty one.
+    """Recover the durable state of a replica, or create an empty journal.
 
-    A torn tail is cut. Raises `CorruptLogError` when anything before the tail,
-    or the snapshot, is damaged: nothing is skipped.
+    A torn tail is truncated. Raises `CorruptLogError` when anything before the
+    tail, or the snapshot, is damaged; damaged frames are never skipped.
     """
     numbers = [int(name[:-4]) for name in files.list_names(folder) if name.endswith(".log")]
     if not numbers:
--- a/packages/control/src/damaskwind/control/storage/tests/test_journal.py
+++ b/packages/control/src/damaskwind/control/storage/tests/test_journal.py
@@ -31,7 +31,7 @@
 
 
 class FailingFileSystem(FileSystem):
-    """Fail one operation once, as a disk would, and count the syncs."""
+    """A file system that fails one operation once and counts the syncs."""
 
     def __init__(self, operation="", error_number=errno.EIO):
         self.operation = operation
@@ -107,17 +107,17 @@
         self.assertEqual(recovered.entries[-1].term, 2)
         self.assertEqual(len(list(self.folder.iterdir())), 2)
 
-    def test_every_torn_tail_is_cut_and_the_log_goes_on(self):
+    def test_every_torn_tail_is_truncated_and_the_log_continues(self):
         path = self.written([append(1)], [append(2)])
         whole = path.read_bytes()
-        before = len(whole) // 2
+        padding_bytes = len(whole) // 2
         path.write_bytes(whole[:-1])
         self.assertEqual(self.indexes(), [1])
-        after_cut = path.read_bytes()
-        for size in range(len(after_cut), len(whole)):
+        truncated = path.read_bytes()
+        for size in range(len(truncated), len(whole)):
             path.write_bytes(whole[:size])
             self.assertEqual(self.indexes(), [1], size)
-        path.write_bytes(after_cut + b"\x00" * before)
+        path.write_bytes(truncated + b"\x00" * padding_bytes)
         journal = self.reopen()
         journal.write([append(2)])
         self.assertEqual(self.indexes(), [1, 2])
@@ -138,11 +138,11 @@
     def test_damaged_base_header_and_version_are_refused(self):
         path = self.written([append(1)])
         whole = path.read_bytes()
-        for offset, words in ((0, "kind"), (8, "format version"), (40, "offset 16")):
+        for offset, message in ((0, "kind"), (8, "format version"), (40, "offset 16")):
             damaged = bytearray(whole)
             damaged[offset] ^= 0x40
             path.write_bytes(bytes(damaged))
-            with self.assertRaisesRegex(CorruptLogError, words):
+            with self.assertRaisesRegex(CorruptLogError, message):
                 open_journal(self.folder, FileSystem())
 
     def test_damaged_snapshot_is_refused(self):
@@ -152,7 +152,7 @@
         with self.assertRaisesRegex(CorruptLogError, "not whole"):
             open_journal(self.folder, FileSystem())
 
-    def test_failed_fsync_is_fatal_and_never_tried_again(self):
+    def test_failed_fsync_is_fatal_and_never_retried(self):
         journal = open_journal(self.folder, self.files)
         self.addCleanup(journal.close)
         self.files.operation = "sync"
@@ -164,7 +164,7 @@
         self.assertEqual(self.files.syncs, syncs)
         self.assertEqual(journal.entries, [])
 
-    def test_full_disk_leaves_what_was_acknowledged(self):
+    def test_full_disk_preserves_acknowledged_entries(self):
         journal = open_journal(self.folder, self.files)
         journal.write([append(1)])
         self.files.operation, self.files.error_number = "write", errno.ENOSPC
@@ -188,13 +188,13 @@
                 self.assertEqual(last, 3)
                 self.assertEqual(recovered.snapshot.index + len(recovered.entries), 3)
 
-    def test_installed_snapshot_replaces_the_log_unless_its_end_is_kept(self):
-        for keeps, expected in ((True, [3]), (False, [])):
-            with self.subTest(keeps), tempfile.TemporaryDirectory() as name:
+    def test_installed_snapshot_replaces_the_log_unless_the_suffix_is_kept(self):
+        for keeps_suffix, expected in ((True, [3]), (False, [])):
+            with self.subTest(keeps_suffix), tempfile.TemporaryDirectory() as name:
                 journal = open_journal(Path(name), self.files)
                 syncs = self.files.folder_syncs
                 journal.write([append(1, 2, 3)])
-                journal.write([InstallSnapshot(0, Snapshot(2, 1), b"theirs", keeps)])
+                journal.write([InstallSnapshot(0, Snapshot(2, 1), b"theirs", keeps_suffix)])
                 self.assertGreater(self.files.folder_syncs, syncs)
                 journal.close()
                 recovered = open_journal(Path(name), FileSystem())
@@ -212,12 +212,12 @@
     def open(self, replica_id="a"):
         return open_data_folder(self.path, "kl", replica_id, FileSystem())
 
-    def test_identity_lasts_with_the_folder_and_not_beyond_it(self):
+    def test_identity_persists_with_the_folder_only(self):
         folder = self.open()
         folder.close()
-        again = self.open()
-        again.close()
-        self.assertEqual(again.identity, folder.identity)
+        reopened = self.open()
+        reopened.close()
+        self.assertEqual(reopened.identity, folder.identity)
         for path in self.path.iterdir():
             path.unlink()
         new = self.open()
--- a/packages/control/src/damaskwind/control/storage/writer.py
+++ b/packages/control/src/damaskwind/control/storage/writer.py
@@ -1,6 +1,6 @@
-"""Write the journal from a thread of its own, many changes to one fsync.
+"""Group commit: write the journal in a separate thread, many changes per fsync.
 
-While one fsync runs, what comes in waits and shares the next one.
+Writes submitted during an fsync are queued and share the next one.
 """
 
 import asyncio
@@ -18,10 +18,10 @@
 
 
 class GroupCommitWriter:
-    """Own a journal: take writes from the loop and tell when they are durable.
+    """Write submitted changes to a journal and report when they are durable.
 
-    `on_durable` gets the writes of each group in order; `on_failure` gets the
-    one `StorageError` after which nothing is written any more.
+    `on_durable` is called with the writes of each group, in order. `on_failure`
+    is called once with the `StorageError` after which nothing is written.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.on_synced: list[Callable[[float], None]] = []
 
     def submit(self, write: JournalWrite) -> None:
-        """Queue one write."""
+        """Queue one write; it is dropped after a failure."""
         if self._has_failed:
             return
         self._pending.append(write)
@@ -55,7 +55,7 @@
         return await loop.run_in_executor(self._thread, self._journal.read_snapshot)
 
     async def close(self) -> None:
-        """Finish what was queued and close the journal."""
+        """Finish the queued writes and close the journal."""
         while self._drain_task is not None:
             await asyncio.wait([self._drain_task])
         self._thread.shutdown(wait=True)
@@ -79,7 +79,7 @@
             self._drain_task = None
 
     def _record_duration(self, duration_s: float) -> None:
-        """Keep the durations of recent groups."""
+        """Record the duration of a group and notify the observers."""
         self.group_count += 1
         self.sync_durations_s.append(duration_s)
         del self.sync_durations_s[:-RECENT_SYNCS]
