--- a/packages/control/src/damaskwind/control/claims/__init__.py
+++ b/packages/control/src/damaskwind/control/claims/__init__.py
@@ -1,1 +1,1 @@
-"""The claim holder of a control process: its service, start and catch-up."""
+"""The claim holder of a control process: service, start and catch-up."""
--- a/packages/control/src/damaskwind/control/claims/catch_up.py
+++ b/packages/control/src/damaskwind/control/claims/catch_up.py
@@ -1,4 +1,4 @@
-"""Let a restarted holder read the others until it may vote."""
+"""Let a restarted claim holder read the records of the others until it may vote."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -31,18 +31,19 @@
     clock: Callable[[], float],
     pause_s: float = RETRY_PAUSE_S,
 ) -> None:
-    """Read the other holders over and over until `holder` votes.
+    """Read the other holders repeatedly until `holder` is voting.
 
-    `addresses` holds those of the other holders by id; it may change meanwhile.
+    `addresses` maps the ids of the other holders to their addresses; it may
+    change during the call.
     """
-    read: set[str] = set()
+    read_ids: set[str] = set()
     while not holder.is_voting(clock()):
         for holder_id, address in list(addresses.items()):
-            if holder_id in read or holder_id == holder.holder_id:
+            if holder_id in read_ids or holder_id == holder.holder_id:
                 continue
             reply = await _read_holder(holder, holder_id, address, signer)
             if reply is not None and reply.rejection == Rejection.NONE:
-                read.add(holder_id)
+                read_ids.add(holder_id)
                 holder.merge_catch_up(reply, clock())
         if not holder.is_voting(clock()):
             await asyncio.sleep(pause_s)
@@ -52,7 +53,7 @@
 async def _read_holder(
     holder: ClaimHolder, holder_id: str, address: Address, signer: CallSigner
 ) -> CatchUpReply | None:
-    """Read all records of one other holder; `None` when the read was not whole."""
+    """Read all records of one other holder; return `None` when that fails."""
     read = CatchUpRead(holder.holder_id, holder.incarnation)
     request = ClaimCall(holder_id=holder_id, body=encode_claim_message(read))
     channel = Channel(address.host, address.port)
@@ -68,7 +69,7 @@
 async def _read_pages(
     stub: ClaimsStub, request: ClaimCall, signer: CallSigner
 ) -> CatchUpReply | None:
-    """Read the pages of a stream and join them."""
+    """Read all pages of a stream and return them as one reply; `None` if empty."""
     method = stub.CatchUp
     metadata = signer.sign(method.name, request.SerializeToString(deterministic=True))
     pages = []
--- a/packages/control/src/damaskwind/control/claims/kept_records.py
+++ b/packages/control/src/damaskwind/control/claims/kept_records.py
@@ -1,8 +1,8 @@
-"""Keep a holder's records over a clean stop.
+"""Persist a holder's records across a clean stop.
 
-The file carries the number of the start that wrote it. It counts only at the very
-next start: numbering that one, which is synced before any answer, makes the file
-stale, so that a crash later can't bring old promises back.
+The file contains the incarnation that wrote it and is valid only for the next
+start. That start durably records a new incarnation before it answers any call,
+which makes the file stale, so a later crash can't bring old promises back.
 """
 
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 
 class _SavedRecords(NamedTuple):
-    """What the file holds after its digest."""
+    """The content of the file after its digest."""
 
     holder_id: str
     start: int
@@ -33,13 +33,13 @@
 
 
 def save_records(folder: Path, holder_id: str, start: int, memory: HolderMemory) -> None:
-    """Write what a holder that stopped must not forget; raise `OSError` when that fails."""
+    """Write the records of a holder at a clean stop; raise `OSError` when that fails."""
     body = msgspec.msgpack.encode(_SavedRecords(holder_id, start, memory))
     replace_file_synced(folder / FILE_NAME, xxhash.xxh3_64_digest(body) + body)
 
 
 def load_records(folder: Path, holder_id: str, last_start: int) -> HolderMemory | None:
-    """Return what the last start wrote when it stopped; `None` when it did not, or not whole."""
+    """Return the records that the last start wrote; `None` when missing, damaged or stale."""
     try:
         data = (folder / FILE_NAME).read_bytes()
     except FileNotFoundError:
@@ -47,15 +47,17 @@
     except OSError as error:
         logger.warning("claims of the last start not read", error=str(error))
         return None
-    kept = _decode(data)
-    if kept is None or kept.holder_id != holder_id or kept.start != last_start:
-        logger.warning("claims kept are not those of the last start", last_start=last_start)
+    saved = _decode(data)
+    if saved is None or saved.holder_id != holder_id or saved.start != last_start:
+        logger.warning(
+            "stored claims are damaged or not from the last start", last_start=last_start
+        )
         return None
-    return kept.memory
+    return saved.memory
 
 
 def _decode(data: bytes) -> _SavedRecords | None:
-    """Decode a whole file; `None` for a damaged one."""
+    """Decode the content of the file; return `None` when it is damaged."""
     body = data[DIGEST_BYTES:]
     if xxhash.xxh3_64_digest(body) != data[:DIGEST_BYTES]:
         return None
@@ -66,7 +68,7 @@
 
 
 def delete_records(folder: Path) -> None:
-    """Delete the file, which is stale by now, to free its place."""
+    """Delete the stale file to free its disk space."""
     try:
         (folder / FILE_NAME).unlink(missing_ok=True)
     except OSError as error:
--- a/packages/control/src/damaskwind/control/claims/service.py
+++ b/packages/control/src/damaskwind/control/claims/service.py
@@ -1,4 +1,4 @@
-"""Answer the calls of routers and of restarted holders by a `ClaimHolder`."""
+"""The gRPC service of a `ClaimHolder` for routers and restarted holders."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -30,9 +30,9 @@
 
 
 class ClaimHolderService(ClaimsBase):
-    """The grpclib service of one holder; `clock` gives monotonic seconds.
+    """The grpclib service of one holder; `clock` returns monotonic seconds.
 
-    `replies` counts what was answered, by call and rejection.
+    `replies` counts the replies by call and rejection.
     """
 
     def __init__(
@@ -44,35 +44,35 @@
         self._clock = clock
 
     async def Order(self, stream: Any) -> None:  # noqa: N802
-        """First phase of a claim."""
+        """Handle the first phase of a claim."""
         message = await self._receive(stream, "Order", Order)
         await self._count_and_reply(stream, "order", self.holder.order(message, self._clock()))
 
     async def Write(self, stream: Any) -> None:  # noqa: N802
-        """Second phase of a claim."""
+        """Handle the second phase of a claim."""
         message = await self._receive(stream, "Write", Write)
         await self._count_and_reply(stream, "write", self.holder.write(message, self._clock()))
 
     async def Record(self, stream: Any) -> None:  # noqa: N802
-        """Keep an outcome."""
+        """Store the outcome of a claimed request."""
         message = await self._receive(stream, "Record", Record)
         await self._count_and_reply(stream, "record", self.holder.record(message, self._clock()))
 
     async def CatchUp(self, stream: Any) -> None:  # noqa: N802
-        """Give all records to a holder that restarted."""
+        """Send all records, in pages, to a holder that restarted."""
         message = await self._receive(stream, "CatchUp", CatchUpRead)
-        whole = self.holder.read_all(message, self._clock())
+        full_reply = self.holder.read_all(message, self._clock())
         logger.info(
             "claims read by a restarted holder",
             reader=message.holder_id,
-            records=len(whole.records),
-            rejection=str(whole.rejection),
+            records=len(full_reply.records),
+            rejection=str(full_reply.rejection),
         )
-        for page in _split_pages(whole):
+        for page in _split_pages(full_reply):
             await self._reply(stream, page)
 
     async def _receive(self, stream: Any, name: str, kind: type) -> Any:
-        """Receive, verify and decode a call that is meant for this holder."""
+        """Receive, verify and decode a call; refuse one for another holder."""
         call = await receive_call(stream, _PATH + name, self._verifier)
         if call.holder_id != self.holder.holder_id:
             raise GRPCError(Status.FAILED_PRECONDITION, "other_holder")
@@ -83,7 +83,7 @@
             raise GRPCError(Status.INVALID_ARGUMENT, "malformed") from error
 
     async def _count_and_reply(self, stream: Any, call: str, reply: Any) -> None:
-        """Count and send what the holder decided."""
+        """Count and send the reply of the holder."""
         self.replies[call, reply.rejection] += 1
         await self._reply(stream, reply)
 
@@ -92,7 +92,10 @@
         await stream.send_message(ClaimReply(body=encode_claim_message(message)))
 
 
-def _split_pages(whole: CatchUpReply) -> list[CatchUpReply]:
-    """Split a reply so that no message grows large; there is at least one page."""
-    starts = range(0, max(1, len(whole.records)), PAGE_RECORDS)
-    return [whole._replace(records=whole.records[start : start + PAGE_RECORDS]) for start in starts]
+def _split_pages(full_reply: CatchUpReply) -> list[CatchUpReply]:
+    """Split a reply into at least one page, to bound the message size."""
+    starts = range(0, max(1, len(full_reply.records)), PAGE_RECORDS)
+    return [
+        full_reply._replace(records=full_reply.records[start : start + PAGE_RECORDS])
+        for start in starts
+    ]
--- a/packages/control/src/damaskwind/control/claims/start.py
+++ b/packages/control/src/damaskwind/control/claims/start.py
@@ -1,9 +1,9 @@
-"""Number the starts of a claim holder in its data folder.
+"""Record the incarnations of a claim holder in its data folder.
 
-Each start gets an incarnation above all earlier ones, synced to disk before the
-holder answers anyone. The first start of all may vote at once: a holder that
-never voted has forgotten nothing. A holder whose data folder was lost must come
-back under a new id.
+Each start gets a higher incarnation than all earlier ones, synced to disk before
+the holder answers any call. A holder that starts for the first time may vote at
+once, since it has no earlier votes to lose. A holder whose data folder was lost
+must restart under a new id.
 """
 
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 
 class HolderStart(NamedTuple):
-    """One start of a holder; `kept` is what the start before it wrote at a clean stop."""
+    """One start of a holder; `kept` is the memory saved by the previous clean stop."""
 
     incarnation: int
     is_first_start: bool
@@ -30,14 +30,14 @@
 
 
 class _StartRecord(NamedTuple):
-    """What the file holds."""
+    """The content of the file."""
 
     holder_id: str
     incarnation: int
 
 
 def _read_last_start(path: Path, holder_id: str) -> _StartRecord:
-    """Read the mark of the last start; incarnation 0 when there was none."""
+    """Read the record of the last start; its incarnation is 0 if there was none."""
     try:
         record = msgspec.json.decode(path.read_bytes(), type=_StartRecord)
     except FileNotFoundError:
@@ -50,11 +50,11 @@
 
 
 def record_start(folder: Path, holder_id: str, is_founder: bool) -> HolderStart:
-    """Number this start and sync it; raise `StorageError` when that fails.
+    """Record this start durably; raise `StorageError` when that fails.
 
-    `is_founder` says that this holder was there when its cluster began. One that
-    was added later must catch up at its first start too: it takes the place of
-    another that did vote.
+    `is_founder` tells whether this holder existed when its cluster was founded.
+    One added later must catch up even at its first start, since it replaces
+    another holder that has voted.
     """
     path = folder / FILE_NAME
     last = _read_last_start(path, holder_id)
--- a/packages/control/src/damaskwind/control/claims/tests/test_kept_records.py
+++ b/packages/control/src/damaskwind/control/claims/tests/test_kept_records.py
@@ -1,4 +1,4 @@
-"""Tests of records kept over a clean stop: they count at the very next start only."""
+"""Tests of records persisted across a clean stop: only the next start may use them."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -37,11 +37,11 @@
     def begin(self):
         return record_start(self.folder, "h0", True)
 
-    def test_next_start_has_them_and_the_file_is_gone(self):
+    def test_next_start_loads_the_records_and_deletes_the_file(self):
         self.assertEqual(self.begin().kept, MEMORY)
         self.assertFalse(self.path.exists())
 
-    def test_stale_file_after_a_crash_is_not_taken(self):
+    def test_stale_file_after_a_crash_is_ignored(self):
         stale = self.path.read_bytes()
         with patch("damaskwind.control.claims.start.delete_records"):
             self.assertEqual(self.begin().kept, MEMORY)
@@ -50,13 +50,13 @@
         self.path.write_bytes(stale)
         self.assertIsNone(self.begin().kept)
 
-    def test_crash_before_the_start_is_numbered_loses_nothing(self):
+    def test_crash_before_the_start_is_recorded_loses_nothing(self):
         crash = patch("damaskwind.control.claims.start.replace_file_synced", side_effect=SystemExit)
         with crash, self.assertRaises(SystemExit):
             self.begin()
         self.assertEqual(self.begin().kept, MEMORY)
 
-    def test_damaged_or_foreign_file_counts_as_none(self):
+    def test_damaged_or_foreign_file_is_ignored(self):
         whole = self.path.read_bytes()
         for damaged in (b"", whole[:-1], whole[:20] + b"\x00" + whole[21:]):
             self.path.write_bytes(damaged)
--- a/packages/control/src/damaskwind/control/claims/tests/test_start.py
+++ b/packages/control/src/damaskwind/control/claims/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Tests of the numbering of a holder's starts."""
+"""Tests of recording the incarnations of a holder."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -15,14 +15,14 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def test_only_a_founders_first_start_may_vote_at_once(self):
+    def test_only_the_first_start_of_a_founder_may_vote_at_once(self):
         self.assertEqual(record_start(self.folder, "h0", True), HolderStart(1, True))
         self.assertEqual(record_start(self.folder, "h0", True), HolderStart(2, False))
 
     def test_holder_added_later_catches_up_at_its_first_start(self):
         self.assertEqual(record_start(self.folder, "h0", False), HolderStart(1, False))
 
-    def test_folder_of_another_holder_and_damage_are_refused(self):
+    def test_folder_of_another_holder_and_damaged_file_are_refused(self):
         record_start(self.folder, "h0", True)
         with self.assertRaises(StorageError):
             record_start(self.folder, "h1", True)
--- a/packages/control/src/damaskwind/control/orders/delivery.py
+++ b/packages/control/src/damaskwind/control/orders/delivery.py
@@ -1,15 +1,15 @@
-"""Decide which orders go to their targets now; pure.
-
-Only a leader that holds its lease sends. Each order carries its fencing number,
-which a target that checks compares with the highest it has seen. For targets
-that don't, a leader first waits out what the sender before it may still have
-under way: its lease and the longest attempt. Within one term there is no other
-sender, so a lease that lapses and comes back costs no wait. One attempt at a
-time goes to a target, and the latest order replaces those before it. Orders
-state the wanted end state, so that a new leader may send them all again.
-
-What this can't exclude: the network holds an attempt back for longer than the
-wait and then gives it to a target that ignores numbers.
+"""Decide which orders to send to their targets now; a pure state machine.
+
+Only a leader with a valid lease sends. Each order carries its fencing number,
+which a target with fencing compares with the highest it has seen. For targets
+without fencing, a new leader first waits until no attempt of the previous
+sender can be in flight: for its lease and the longest attempt. Within one term
+there is no other sender, so a lease that lapses and is renewed causes no wait.
+There is at most one attempt in flight to a target, and a newer order replaces
+older ones. Orders state the wanted end state, so a new leader may resend all.
+
+One case remains: the network may delay an attempt for longer than the wait and
+then deliver it to a target that ignores fencing numbers.
 """
 
 from collections.abc import Sequence
@@ -23,7 +23,7 @@
 
 
 class AttemptResult(StrEnum):
-    """What came of one attempt to send an order."""
+    """The result of one attempt to send an order."""
 
     ACCEPTED = "taken"
     SUPERSEDED = "superseded"
@@ -31,7 +31,7 @@
 
 
 class DeliveryTiming(NamedTuple):
-    """Periods of the sender; `lease_s` is the longest lease of any leader."""
+    """Parameters of the sender; `lease_s` is the longest lease of any leader."""
 
     lease_s: float
     attempt_timeout_s: float = 2.0
@@ -41,12 +41,12 @@
 
     @property
     def initial_wait_s(self) -> float:
-        """Return how long a new sender waits before its first order."""
+        """Return how long a new leader waits before its first order, in seconds."""
         return self.lease_s + self.attempt_timeout_s
 
 
 class _TargetProgress:
-    """How far the orders to one target have come in this term."""
+    """The progress of the orders to one target in the current term."""
 
     def __init__(self) -> None:
         self.finished_number = 0
@@ -56,7 +56,7 @@
 
 
 class OrderDelivery:
-    """The orders of one sender, term by term."""
+    """The scheduler for the orders of one sender; it starts anew in each term."""
 
     def __init__(self, timing: DeliveryTiming, random: Random) -> None:
         self._timing = timing
@@ -68,9 +68,10 @@
     def start_due(
         self, orders: Sequence[TargetOrder], term: int | None, now_s: float
     ) -> list[TargetOrder]:
-        """Return the orders to send now; the caller starts an attempt at each.
+        """Return the orders to send now and mark them as in flight.
 
-        `term` is the term that this replica leads under its lease, or `None`.
+        The caller starts an attempt for each. `term` is the term in which this
+        replica leads with a valid lease, or `None`.
         """
         if term is None:
             return []
@@ -90,7 +91,7 @@
     def record_result(
         self, order: TargetOrder, term: int, result: AttemptResult, now_s: float
     ) -> None:
-        """Take note of what came of an attempt that was begun in `term`."""
+        """Record the result of an attempt that was started in `term`."""
         progress = self._targets.get(order.target_id)
         if term != self._term or progress is None:
             return
@@ -106,7 +107,7 @@
         progress.next_attempt_s = now_s + self._random.uniform(0, max_backoff_s)
 
     def _is_due(self, order: TargetOrder, now_s: float) -> bool:
-        """Tell whether an attempt at an order should begin."""
+        """Tell whether an attempt to send an order should start."""
         if not order.address:
             return False
         progress = self._targets.setdefault(order.target_id, _TargetProgress())
--- a/packages/control/src/damaskwind/control/orders/sender.py
+++ b/packages/control/src/damaskwind/control/orders/sender.py
@@ -1,4 +1,4 @@
-"""Send the orders of the log to targets over HTTP while this replica leads."""
+"""Send the orders in the log to targets over HTTP while this replica leads."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -22,7 +22,7 @@
 
 
 def wanted_table(wanted: WantedState) -> dict[str, Any]:
-    """Return a wanted state as engines read it, the adapters with their model.
+    """Return the table of a wanted state for engines, with adapters listed per model.
 
     >>> wanted_table(WantedState("serving", ("damask@1", "damask@1+rumi")))["models"]
     [{'model': 'damask', 'version': '1', 'adapters': ['rumi']}]
@@ -41,9 +41,9 @@
 
 
 class OrderSender:
-    """Look over and over for orders that are due, and send them.
+    """Poll for orders that are due and send them.
 
-    `leading_term` returns the term that this replica leads under its lease, or `None`.
+    `leading_term` returns the term in which this replica leads with a valid lease, or `None`.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._attempts: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        """Send until cancelled; an attempt ends when the lease does."""
+        """Send orders until cancelled; attempts are cancelled when the lease ends."""
         try:
             while True:
                 term = self._leading_term()
@@ -74,22 +74,22 @@
             self._cancel_attempts()
 
     def _start_attempt(self, order: TargetOrder, term: int) -> None:
-        """Begin an attempt."""
+        """Start an attempt to send an order."""
         task = asyncio.ensure_future(self._attempt(order, term))
         self._attempts.add(task)
         task.add_done_callback(self._attempts.discard)
 
     def _cancel_attempts(self) -> None:
-        """End every attempt under way."""
+        """Cancel every attempt in flight."""
         for task in list(self._attempts):
             task.cancel()
 
     async def _attempt(self, order: TargetOrder, term: int) -> None:
-        """Send an order once and note what came of it."""
+        """Send an order once and record the result."""
         result = AttemptResult.FAILED
         try:
             result = await asyncio.wait_for(self._send(order), self._timing.attempt_timeout_s)
-        except Exception as error:  # whatever the network or the target did, it is tried again
+        except Exception as error:  # retried whatever the cause
             logger.debug("order not sent", target=order.target_id, error=repr(error))
         finally:
             self._delivery.record_result(order, term, result, read_clock())
@@ -98,7 +98,7 @@
             logger.info("order ended", target=order.target_id, number=number, result=str(result))
 
     async def _send(self, order: TargetOrder) -> AttemptResult:
-        """Send an order and return what the target made of it."""
+        """Post an order and return the result from the status of the response."""
         body = {"fencing_number": order.fencing_number, "wanted": wanted_table(order.wanted)}
         url = f"http://{order.address}/orders"
         call = treq.post(url, json=body, persistent=False, timeout=self._timing.attempt_timeout_s)
--- a/packages/control/src/damaskwind/control/orders/tests/__init__.py
+++ b/packages/control/src/damaskwind/control/orders/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the claim holder's service."""
+"""Tests of sending orders to targets."""
--- a/packages/control/src/damaskwind/control/orders/tests/test_sender.py
+++ b/packages/control/src/damaskwind/control/orders/tests/test_sender.py
@@ -1,4 +1,4 @@
-"""Tests of sending orders to engines that check fencing numbers and to such that don't."""
+"""Tests of sending orders to engines with and without fencing."""
 
 import asyncio
 from random import Random
@@ -35,7 +35,7 @@
         return engine
 
     def start_sender(self, name, term):
-        """Run a sender that leads in a term until it is told otherwise."""
+        """Run a sender that leads in `term` until `self.terms[name]` changes."""
         self.terms[name] = term
         sender = OrderSender(lambda: self.terms[name], lambda: self.orders, TIMING, Random(name))
         task = asyncio.ensure_future(sender.run())
@@ -49,7 +49,7 @@
         return [(offer.model, offer.version, offer.adapters) for offer in engine.models]
 
     @asyncio_test
-    async def test_order_reaches_the_engine_once_and_the_next_replaces_it(self):
+    async def test_order_is_delivered_once_and_replaced_by_the_next(self):
         engine = await self.engine(FencingMode.CHECKED)
         self.orders = [self.order(3, engine.address)]
         self.start_sender("a", 1)
@@ -61,7 +61,7 @@
         self.assertEqual(engine.oracle.events["order_taken"], 2)
 
     @asyncio_test
-    async def test_engine_that_checks_refuses_a_sender_that_is_behind(self):
+    async def test_engine_with_fencing_refuses_a_stale_sender(self):
         engine = await self.engine(FencingMode.CHECKED)
         engine.highest_fencing_number = 9
         before = self.versions(engine)
@@ -72,7 +72,9 @@
         self.assertEqual(self.versions(engine), before)
 
     @asyncio_test
-    async def test_engine_that_ignores_numbers_hears_no_old_sender_after_the_new_one(self):
+    async def test_engine_without_fencing_receives_nothing_from_the_old_sender_after_the_new_one(
+        self,
+    ):
         engine = await self.engine(FencingMode.IGNORED)
         self.orders = [self.order(1, engine.address, ("damask@1",))]
         self.start_sender("old", 1)
@@ -80,20 +82,20 @@
         loop = asyncio.get_running_loop()
         self.terms["old"] = None
         self.orders = [self.order(2, engine.address)]
-        begun_s = loop.time()
+        started_s = loop.time()
         self.start_sender("new", 2)
         await wait_until(lambda: engine.highest_fencing_number == 2, 10.0, "order 2")
-        self.assertGreaterEqual(loop.time() - begun_s, TIMING.initial_wait_s)
+        self.assertGreaterEqual(loop.time() - started_s, TIMING.initial_wait_s)
         self.assertEqual(self.versions(engine), [("damask", "2", ("rumi",))])
         self.assertEqual(engine.oracle.events["order_taken"], 2)
 
     @asyncio_test
-    async def test_order_to_an_engine_that_is_away_is_sent_again(self):
+    async def test_order_to_an_unreachable_engine_is_retried(self):
         engine = await self.engine(FencingMode.CHECKED)
         port = engine.address.port
         await engine.stop()
         self.orders = [self.order(1, f"{own_host()}:{port}")]
         self.start_sender("a", 1)
         await asyncio.sleep(TIMING.initial_wait_s + 0.2)
-        back = await self.engine(FencingMode.CHECKED, port)
-        await wait_until(lambda: back.highest_fencing_number == 1, 20.0, "the order after all")
+        restarted = await self.engine(FencingMode.CHECKED, port)
+        await wait_until(lambda: restarted.highest_fencing_number == 1, 20.0, "the order after all")
