--- a/packages/control/src/damaskwind/control/orders/delivery.py
+++ b/packages/control/src/damaskwind/control/orders/delivery.py
@@ -56,7 +56,7 @@
 
 
 class OrderDelivery:
-    """The scheduler for the orders of one sender; it starts anew in each term."""
+    """The scheduler for the orders of one sender; its state is reset in each new term."""
 
     def __init__(self, timing: DeliveryTiming, random: Random) -> None:
         self._timing = timing
--- a/packages/control/src/damaskwind/control/replica/joining.py
+++ b/packages/control/src/damaskwind/control/replica/joining.py
@@ -32,7 +32,7 @@
 RETRY_S = 0.5
 HELLO_TIMEOUT_S = 1.0
 JOIN_TIMEOUT_S = 5.0
-# A replica without contact to a leader for several elections may have been removed.
+# A replica without contact with a leader for several elections may have been removed.
 REJOIN_AFTER_S = 4.0
 
 
@@ -90,7 +90,7 @@
     failure_domain: str,
     signer: CallSigner,
 ) -> None:
-    """Ask to be added again when this replica has had no contact to a leader.
+    """Ask to be added again when this replica has had no contact with a leader.
 
     The others may have removed it from the membership. A leader for which it
     is still a member refuses the request, which changes nothing.
@@ -111,10 +111,10 @@
             others = {member.replica_id for member in members} - {own_id}
             addresses = [replica.state.addresses.address_of(item) for item in sorted(others)]
             addresses += [parse_address(item.address) for item in bootstrap]
-            known = [address for address in dict.fromkeys(addresses) if address is not None]
+            distinct = [address for address in dict.fromkeys(addresses) if address is not None]
             # A call into a network partition lasts for its whole timeout, even long after
             # the partition has healed. So only replicas that answer a short call are asked.
-            reachable = await _reachable(known, channels, signer)
+            reachable = await _reachable(distinct, channels, signer)
             logger.info(
                 "asking to be added again", silent_s=round(silent_s, 1), answering=len(reachable)
             )
--- a/packages/control/src/damaskwind/control/replica/tests/test_cluster.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_cluster.py
@@ -46,9 +46,9 @@
             second = await cluster.leader()
             self.assertNotEqual(second, first)
             await self.commit(cluster, second, b"after")
-            back = await cluster.start(first)
-            self.assertTrue(await back.access.read_current(10.0))
-            self.assertEqual(back.machine.payloads, [b"before", b"after"])
+            restarted = await cluster.start(first)
+            self.assertTrue(await restarted.access.read_current(10.0))
+            self.assertEqual(restarted.machine.payloads, [b"before", b"after"])
         finally:
             await cluster.stop_all()
 
--- a/packages/control/src/damaskwind/control/replica/tests/test_cluster_members.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_cluster_members.py
@@ -63,9 +63,9 @@
             await self.commit(cluster, "b", b"kept")
             await cluster.stop("a")
             shutil.rmtree(cluster.path / "a")
-            back = await cluster.start("a")
-            self.assertTrue(await back.access.read_current(15.0))
-            self.assertEqual(back.machine.payloads, [b"kept"])
+            restarted = await cluster.start("a")
+            self.assertTrue(await restarted.access.read_current(15.0))
+            self.assertEqual(restarted.machine.payloads, [b"kept"])
         finally:
             await cluster.stop_all()
 
--- a/packages/control/src/damaskwind/control/replica/tests/test_service.py
+++ b/packages/control/src/damaskwind/control/replica/tests/test_service.py
@@ -90,7 +90,7 @@
         await cluster.start_all()
         channel = Channel(*parse_address(cluster.addresses["a"]))
         deliver = ReplicationStub(channel).Deliver
-        request = batch(Member("a", "another life"))
+        request = batch(Member("a", "another identity"))
         metadata = CallSigner("kl", "key", "x").sign(
             deliver.name, request.SerializeToString(deterministic=True)
         )
--- a/packages/control/src/damaskwind/control/state/configuration_machine.py
+++ b/packages/control/src/damaskwind/control/state/configuration_machine.py
@@ -190,13 +190,15 @@
         """Confirm a plan once; later confirmations return the first outcome."""
         actor, plan_id = command
         revision = self._configuration.revision
-        first = self._plans.outcome(plan_id)
+        first_outcome = self._plans.outcome(plan_id)
         # The plan itself may have removed the role or key of the operator who confirmed it.
-        is_own = first is not None and first.operator == actor.operator
+        is_own = first_outcome is not None and first_outcome.operator == actor.operator
         if not is_own and self._is_forbidden(actor, "confirmer", "confirm", plan_id):
             return ApplyResult(ResultStatus.FORBIDDEN, revision)
-        if first is not None:
-            return ApplyResult(first.status, first.revision, repeated=True, outcome=first)
+        if first_outcome is not None:
+            return ApplyResult(
+                first_outcome.status, first_outcome.revision, repeated=True, outcome=first_outcome
+            )
         plan = self._plans.plan(plan_id)
         if plan is None:
             self._append_to_trail(actor, "confirm", plan_id, ResultStatus.UNKNOWN_PLAN)
@@ -245,9 +247,9 @@
         actor = command.actor
         if self._is_forbidden(actor, "confirmer", "order", command.target_id):
             return ApplyResult(ResultStatus.FORBIDDEN)
-        first = self._orders.fencing_number_of(command.order_id)
-        if first is not None:
-            return ApplyResult(ResultStatus.ORDERED, repeated=True, fencing_number=first)
+        first_number = self._orders.fencing_number_of(command.order_id)
+        if first_number is not None:
+            return ApplyResult(ResultStatus.ORDERED, repeated=True, fencing_number=first_number)
         number = self._orders.issue(command)
         wanted = (f"role {command.wanted.role}", *command.wanted.models)
         self._append_to_trail(actor, "order", command.target_id, f"fencing number {number}", wanted)
--- a/packages/control/src/damaskwind/control/state/evacuation_orders.py
+++ b/packages/control/src/damaskwind/control/state/evacuation_orders.py
@@ -51,7 +51,7 @@
 
 
 class _OrderCommand(TypedDict):
-    """Evacuate a failure domain, or end that, if it last changed at `base_revision`."""
+    """Evacuate a failure domain, or lift its evacuation, if it last changed at `base_revision`."""
 
     failure_domain: str
     is_evacuated: bool
@@ -59,7 +59,7 @@
 
 
 def order_command(failure_domain: str, is_evacuated: bool, base_revision: int) -> bytes:
-    """Return the command that evacuates a failure domain or ends its evacuation."""
+    """Return the command that evacuates a failure domain or lifts its evacuation."""
     return msgspec.msgpack.encode(
         _OrderCommand(
             failure_domain=failure_domain,
--- a/packages/control/src/damaskwind/control/state/plan_book.py
+++ b/packages/control/src/damaskwind/control/state/plan_book.py
@@ -87,8 +87,8 @@
         self._plans[plan.plan_id] = plan
         self._sizes_bytes[plan.plan_id] = _size_bytes(plan)
         self._total_bytes += self._sizes_bytes[plan.plan_id]
-        own = [key for key, item in self._plans.items() if item.operator == plan.operator]
-        for plan_id in own[:-MAX_OPEN_PLANS_PER_OPERATOR]:
+        own_plan_ids = [key for key, item in self._plans.items() if item.operator == plan.operator]
+        for plan_id in own_plan_ids[:-MAX_OPEN_PLANS_PER_OPERATOR]:
             self._remove(plan_id)
         while len(self._plans) > MAX_OPEN_PLANS or self._is_too_large():
             self._remove(next(iter(self._plans)))
--- a/packages/control/src/damaskwind/control/state/tests/histories.py
+++ b/packages/control/src/damaskwind/control/state/tests/histories.py
@@ -143,7 +143,7 @@
         weights = {name: x.weight for name, x in machine.configuration.priority_classes.items()}
         assert weights == self.objects
         assert machine.configuration.revision == len(self.confirmed)
-        assert [note.plan_id for note in machine.changes_after(0)] == self.confirmed
+        assert [record.plan_id for record in machine.changes_after(0)] == self.confirmed
 
     def teardown(self):
         self.follow()
--- a/packages/control/src/damaskwind/control/storage/files.py
+++ b/packages/control/src/damaskwind/control/storage/files.py
@@ -17,7 +17,7 @@
 
 
 @contextmanager
-def _as_storage_error(action: str, path: object) -> Iterator[None]:
+def _convert_os_error(action: str, path: object) -> Iterator[None]:
     """Convert an `OSError` to a `StorageError` that names the action and the file."""
     try:
         yield
@@ -32,13 +32,13 @@
         """Create a folder durably unless it exists."""
         if path.is_dir():
             return
-        with _as_storage_error("create folder", path):
+        with _convert_os_error("create folder", path):
             path.mkdir(parents=True, exist_ok=True)
         self.sync_folder(path.parent)
 
     def lock(self, path: Path) -> int:
         """Lock a file exclusively without waiting and return its descriptor."""
-        with _as_storage_error("open lock file", path):
+        with _convert_os_error("open lock file", path):
             descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -49,30 +49,30 @@
 
     def open_append(self, path: Path) -> int:
         """Open a file for appending; create it if it does not exist."""
-        with _as_storage_error("open", path):
+        with _convert_os_error("open", path):
             flags = os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
             return os.open(path, flags, 0o600)
 
     def close(self, descriptor: int) -> None:
         """Close a descriptor."""
-        with _as_storage_error("close", f"descriptor {descriptor}"):
+        with _convert_os_error("close", f"descriptor {descriptor}"):
             os.close(descriptor)
 
     def write(self, descriptor: int, data: bytes) -> None:
         """Write all of `data`."""
         view = memoryview(data)
-        with _as_storage_error("write", f"descriptor {descriptor}"):
+        with _convert_os_error("write", f"descriptor {descriptor}"):
             while view:
                 view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
         """Make the written data of a file durable."""
-        with _as_storage_error("fsync", f"descriptor {descriptor}"):
+        with _convert_os_error("fsync", f"descriptor {descriptor}"):
             os.fsync(descriptor)
 
     def sync_folder(self, path: Path) -> None:
         """Make creations, renames and removals in a folder durable."""
-        with _as_storage_error("fsync folder", path):
+        with _convert_os_error("fsync folder", path):
             descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
             try:
                 os.fsync(descriptor)
@@ -81,27 +81,27 @@
 
     def truncate(self, descriptor: int, size_bytes: int) -> None:
         """Truncate a file to a size."""
-        with _as_storage_error("truncate", f"descriptor {descriptor}"):
+        with _convert_os_error("truncate", f"descriptor {descriptor}"):
             os.ftruncate(descriptor, size_bytes)
 
     def rename(self, source: Path, target: Path) -> None:
         """Rename a file, replacing any file of the new name."""
-        with _as_storage_error("rename", source):
+        with _convert_os_error("rename", source):
             os.replace(source, target)
 
     def remove(self, path: Path) -> None:
         """Remove a file if it exists."""
-        with _as_storage_error("remove", path):
+        with _convert_os_error("remove", path):
             path.unlink(missing_ok=True)
 
     def read(self, path: Path) -> bytes:
         """Return a file's content."""
-        with _as_storage_error("read", path):
+        with _convert_os_error("read", path):
             return path.read_bytes()
 
     def list_names(self, path: Path) -> list[str]:
         """Return the sorted names in a folder."""
-        with _as_storage_error("list", path):
+        with _convert_os_error("list", path):
             return sorted(os.listdir(path))
 
 
