--- a/packages/control/src/damaskwind/control/state/tests/histories.py
+++ b/packages/control/src/damaskwind/control/state/tests/histories.py
@@ -1,7 +1,7 @@
-"""Histories of the state machine against a simple oracle: a dict and a list.
+"""Random histories of the state machine, checked against a dict and a list as oracle.
 
 They plan, confirm, resend, let clocks jump and restart from snapshots, while a
-second machine follows the same log.
+second machine applies the same log.
 """
 
 from hypothesis import strategies as st
@@ -39,8 +39,8 @@
     return {"priority_classes": {name: {"name": name, "rank": 0, "weight": weight}}}
 
 
-class Driven:
-    """A machine with the index of its next command."""
+class DrivenMachine:
+    """A machine to which commands are applied at consecutive indexes."""
 
     def __init__(self):
         self.machine = ConfigurationMachine()
@@ -52,7 +52,7 @@
 
 
 class Plan:
-    """What the oracle knows of a plan."""
+    """The oracle's record of a plan."""
 
     def __init__(self, base_revision, planned_s, name, weight):
         self.base_revision = base_revision
@@ -63,14 +63,14 @@
 
 
 class MachineAgainstOracle(RuleBasedStateMachine):
-    """Plan, confirm, resend and restart two replicas; a dict is the oracle."""
+    """Plan, confirm, resend and restart on two replicas; compare with a dict."""
 
-    made = 0
+    run_count = 0
 
     def __init__(self):
         super().__init__()
-        MachineAgainstOracle.made += 1
-        self.driven = Driven()
+        MachineAgainstOracle.run_count += 1
+        self.driven = DrivenMachine()
         self.follower = ConfigurationMachine()
         self.payloads = []
         self.objects = {}
@@ -128,7 +128,7 @@
     @rule()
     def restart_from_snapshot(self):
         snapshot = self.driven.machine.snapshot()
-        self.driven = Driven()
+        self.driven = DrivenMachine()
         self.driven.machine.restore(snapshot)
 
     @rule()
@@ -138,28 +138,28 @@
         assert self.follower.snapshot() == self.driven.machine.snapshot()
 
     @invariant()
-    def state_is_the_oracle_s(self):
+    def state_equals_the_oracle(self):
         machine = self.driven.machine
-        held = {name: x.weight for name, x in machine.configuration.priority_classes.items()}
-        assert held == self.objects
+        weights = {name: x.weight for name, x in machine.configuration.priority_classes.items()}
+        assert weights == self.objects
         assert machine.configuration.revision == len(self.confirmed)
-        assert [note.plan_id for note in machine.changes_after(0)] == self.confirmed
+        assert [record.plan_id for record in machine.changes_after(0)] == self.confirmed
 
     def teardown(self):
         self.follow()
         trail = list(self.driven.machine.trail.entries())
         assert not verify_chain(trail).faults
-        told = [entry.subject for entry in trail if entry.result == "confirmed"]
-        assert told == self.confirmed
+        confirmed_subjects = [entry.subject for entry in trail if entry.result == "confirmed"]
+        assert confirmed_subjects == self.confirmed
         assert to_table(self.follower.configuration) == to_table(self.driven.machine.configuration)
 
 
 def run_batch(seed, histories):
-    """Run so many histories; without a seed the same ones every time."""
+    """Run a number of histories; without a seed, the same ones every time."""
     run_machine(MachineAgainstOracle, STEPS, seed, histories)
 
 
-# Bugs to put in on purpose: the run has to find each of them.
+# Deliberately injected bugs, each of which a run has to detect.
 SEEDED_BUGS = {
     "forget_outcomes": SeededBug(PlanBook, "state", lambda book: PlanBookState(book.open_plans())),
     "ignore_base": SeededBug(ConfigurationMachine, "_is_stale", lambda machine, plan: False),
@@ -167,6 +167,6 @@
 
 
 def fuzz_machine(seed, seconds, histories, bug=None):
-    """Run histories until the time or the count is used up, or one fails."""
+    """Run histories until the time or count limit is reached or one fails."""
     with seeded_bug(SEEDED_BUGS, bug):
         return fuzz_histories(MachineAgainstOracle, STEPS, seed, seconds, histories)
--- a/packages/control/src/damaskwind/control/storage/files.py
+++ b/packages/control/src/damaskwind/control/storage/files.py
@@ -1,8 +1,8 @@
-"""The few file operations that the storage needs, behind one small interface.
+"""The file operations that the storage needs, behind a small interface.
 
-Tests put a failing one in its place. Every failure becomes a `StorageError`; a
-failed fsync is never tried again, since the kernel may have dropped the pages
-that it could not write.
+Tests substitute a failing implementation. Every failure is raised as a
+`StorageError`. A failed fsync is never retried, since the kernel may have
+discarded the pages that it could not write.
 """
 
 import fcntl
@@ -17,8 +17,8 @@
 
 
 @contextmanager
-def _named(action: str, path: object) -> Iterator[None]:
-    """Turn an `OSError` into a `StorageError` that names the action and the file."""
+def _convert_os_error(action: str, path: object) -> Iterator[None]:
+    """Convert an `OSError` to a `StorageError` that names the action and the file."""
     try:
         yield
     except OSError as error:
@@ -26,19 +26,19 @@
 
 
 class FileSystem:
-    """The operating system's files."""
+    """Operations on the files of the operating system."""
 
     def make_folder(self, path: Path) -> None:
-        """Create a folder and make its entry durable; one that exists is kept."""
+        """Create a folder durably unless it exists."""
         if path.is_dir():
             return
-        with _named("create folder", path):
+        with _convert_os_error("create folder", path):
             path.mkdir(parents=True, exist_ok=True)
         self.sync_folder(path.parent)
 
     def lock(self, path: Path) -> int:
-        """Lock a file against other processes and return its descriptor."""
-        with _named("open lock file", path):
+        """Lock a file exclusively without waiting and return its descriptor."""
+        with _convert_os_error("open lock file", path):
             descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -48,31 +48,31 @@
         return descriptor
 
     def open_append(self, path: Path) -> int:
-        """Open a file to add to its end; create it when it does not exist."""
-        with _named("open", path):
+        """Open a file for appending; create it if it does not exist."""
+        with _convert_os_error("open", path):
             flags = os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
             return os.open(path, flags, 0o600)
 
     def close(self, descriptor: int) -> None:
         """Close a descriptor."""
-        with _named("close", f"descriptor {descriptor}"):
+        with _convert_os_error("close", f"descriptor {descriptor}"):
             os.close(descriptor)
 
     def write(self, descriptor: int, data: bytes) -> None:
         """Write all of `data`."""
         view = memoryview(data)
-        with _named("write", f"descriptor {descriptor}"):
+        with _convert_os_error("write", f"descriptor {descriptor}"):
             while view:
                 view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
-        """Make what was written durable."""
-        with _named("fsync", f"descriptor {descriptor}"):
+        """Make the written data of a file durable."""
+        with _convert_os_error("fsync", f"descriptor {descriptor}"):
             os.fsync(descriptor)
 
     def sync_folder(self, path: Path) -> None:
         """Make creations, renames and removals in a folder durable."""
-        with _named("fsync folder", path):
+        with _convert_os_error("fsync folder", path):
             descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
             try:
                 os.fsync(descriptor)
@@ -80,33 +80,33 @@
                 os.close(descriptor)
 
     def truncate(self, descriptor: int, size_bytes: int) -> None:
-        """Cut a file."""
-        with _named("truncate", f"descriptor {descriptor}"):
+        """Truncate a file to a size."""
+        with _convert_os_error("truncate", f"descriptor {descriptor}"):
             os.ftruncate(descriptor, size_bytes)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file another name, in place of what had it."""
-        with _named("rename", source):
+        """Rename a file, replacing any file of the new name."""
+        with _convert_os_error("rename", source):
             os.replace(source, target)
 
     def remove(self, path: Path) -> None:
-        """Remove a file."""
-        with _named("remove", path):
+        """Remove a file if it exists."""
+        with _convert_os_error("remove", path):
             path.unlink(missing_ok=True)
 
     def read(self, path: Path) -> bytes:
         """Return a file's content."""
-        with _named("read", path):
+        with _convert_os_error("read", path):
             return path.read_bytes()
 
-    def names(self, path: Path) -> list[str]:
-        """Return the names in a folder, in order."""
-        with _named("list", path):
+    def list_names(self, path: Path) -> list[str]:
+        """Return the sorted names in a folder."""
+        with _convert_os_error("list", path):
             return sorted(os.listdir(path))
 
 
 def write_file_durably(files: FileSystem, path: Path, data: bytes) -> None:
-    """Write a file so that after a crash it is there whole or not at all."""
+    """Write a file atomically and durably: after a crash it is complete or absent."""
     temporary = path.with_name(path.name + ".tmp")
     files.remove(temporary)
     descriptor = files.open_append(temporary)
--- a/packages/control/src/damaskwind/control/storage/writer.py
+++ b/packages/control/src/damaskwind/control/storage/writer.py
@@ -1,6 +1,6 @@
-"""Write the journal from a thread of its own, many changes to one fsync.
+"""Group commit: write the journal in a separate thread, many changes per fsync.
 
-While one fsync runs, what comes in waits and shares the next one.
+Writes submitted during an fsync are queued and share the next one.
 """
 
 import asyncio
@@ -18,10 +18,10 @@
 
 
 class GroupCommitWriter:
-    """Own a journal: take writes from the loop and tell when they are durable.
+    """Write submitted changes to a journal and report when they are durable.
 
-    `on_durable` gets the writes of each group in order; `on_failure` gets the
-    one `StorageError` after which nothing is written any more.
+    `on_durable` is called with the writes of each group, in order. `on_failure`
+    is called once with the `StorageError` after which nothing is written.
     """
 
     def __init__(
@@ -35,19 +35,19 @@
         self._on_failure = on_failure
         self._pending: list[JournalWrite] = []
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="journal")
-        self._running: asyncio.Task | None = None
-        self._failed = False
+        self._drain_task: asyncio.Task | None = None
+        self._has_failed = False
         self.group_count = 0
         self.sync_durations_s: list[float] = []
         self.on_synced: list[Callable[[float], None]] = []
 
     def submit(self, write: JournalWrite) -> None:
-        """Queue one write."""
-        if self._failed:
+        """Queue one write; it is dropped after a failure."""
+        if self._has_failed:
             return
         self._pending.append(write)
-        if self._running is None:
-            self._running = asyncio.ensure_future(self._drain())
+        if self._drain_task is None:
+            self._drain_task = asyncio.ensure_future(self._drain())
 
     async def read_snapshot(self) -> Any:
         """Return the newest durable snapshot with its data."""
@@ -55,9 +55,9 @@
         return await loop.run_in_executor(self._thread, self._journal.read_snapshot)
 
     async def close(self) -> None:
-        """Finish what was queued and close the journal."""
-        while self._running is not None:
-            await asyncio.wait([self._running])
+        """Finish the queued writes and close the journal."""
+        while self._drain_task is not None:
+            await asyncio.wait([self._drain_task])
         self._thread.shutdown(wait=True)
         self._journal.close()
 
@@ -65,21 +65,21 @@
         """Write group after group until nothing is queued."""
         loop = asyncio.get_running_loop()
         try:
-            while self._pending and not self._failed:
+            while self._pending and not self._has_failed:
                 group, self._pending = self._pending, []
                 started_s = read_clock()
                 await loop.run_in_executor(self._thread, self._journal.write, group)
-                self._note_duration(read_clock() - started_s)
+                self._record_duration(read_clock() - started_s)
                 self._on_durable(group)
         except StorageError as error:
-            self._failed = True
+            self._has_failed = True
             self._pending.clear()
             self._on_failure(error)
         finally:
-            self._running = None
+            self._drain_task = None
 
-    def _note_duration(self, duration_s: float) -> None:
-        """Keep the durations of recent groups."""
+    def _record_duration(self, duration_s: float) -> None:
+        """Record the duration of a group and notify the observers."""
         self.group_count += 1
         self.sync_durations_s.append(duration_s)
         del self.sync_durations_s[:-RECENT_SYNCS]
