--- a/packages/router/src/damaskwind/router/chat_path.py
+++ b/packages/router/src/damaskwind/router/chat_path.py
@@ -11,9 +11,9 @@
 from damaskwind.model.reason import Reason
 from damaskwind.model.targets import LoadReport, TargetKind, TargetView
 from damaskwind.model.verdict import Refusal, Verdict
+from damaskwind.router.admitted_request import Arrival
 from damaskwind.router.answer_body import read_whole
 from damaskwind.router.answers import error_event, set_outcome
-from damaskwind.router.arrival import Arrival
 from damaskwind.router.chat_request import ChatRequest, parse_chat_request
 from damaskwind.router.dispatcher import Dispatcher, Placed
 from damaskwind.router.engine_client import EngineChat, EngineClient, load_of
--- a/packages/router/src/damaskwind/router/configuration/follower.py
+++ b/packages/router/src/damaskwind/router/configuration/follower.py
@@ -18,7 +18,7 @@
 from damaskwind.model.configuration import Configuration
 from damaskwind.model.exception import MessageError
 from damaskwind.model.targets import Address
-from damaskwind.router.configuration.call_pace import CallPace
+from damaskwind.router.configuration.call_rate_limiter import CallPace
 from damaskwind.router.configuration.state_file import read_state_file, write_state_file
 from damaskwind.router.configuration.upstream import ATTEMPT_BYTES, Upstream, UpstreamUpdate
 from damaskwind.runtime.clock import read_clock
--- a/packages/router/src/damaskwind/router/dispatcher.py
+++ b/packages/router/src/damaskwind/router/dispatcher.py
@@ -23,7 +23,7 @@
 from damaskwind.router.placing import Placing
 from damaskwind.router.target_client import AttemptError
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_wishes import TargetWishes, said_in
+from damaskwind.router.target_signals import TargetWishes, said_in
 from damaskwind.router.work import Work
 
 __all__ = ["Dispatcher", "Placed"]
--- a/packages/router/src/damaskwind/router/engine_client.py
+++ b/packages/router/src/damaskwind/router/engine_client.py
@@ -19,7 +19,7 @@
     TargetClient,
     path_of,
 )
-from damaskwind.router.target_wishes import said_in
+from damaskwind.router.target_signals import said_in
 
 __all__ = ["EngineChat", "EngineClient", "check_not_run", "header_text", "load_of"]
 
--- a/packages/router/src/damaskwind/router/gateway.py
+++ b/packages/router/src/damaskwind/router/gateway.py
@@ -11,8 +11,8 @@
 from damaskwind.model.exception import RefusedError
 from damaskwind.model.reason import Reason
 from damaskwind.model.verdict import Refusal, Verdict
+from damaskwind.router.admitted_request import Arrival
 from damaskwind.router.answers import refuse
-from damaskwind.router.arrival import Arrival
 from damaskwind.router.authentication import account_index, bearer_key
 from damaskwind.router.caller import Caller
 from damaskwind.router.explain import ExplainLog, RequestRecord
--- a/packages/router/src/damaskwind/router/idempotency.py
+++ b/packages/router/src/damaskwind/router/idempotency.py
@@ -21,8 +21,8 @@
 from damaskwind.model.exception import RefusedError
 from damaskwind.model.reason import Reason
 from damaskwind.model.verdict import Refusal, Verdict
+from damaskwind.router.admitted_request import Arrival
 from damaskwind.router.answers import set_outcome
-from damaskwind.router.arrival import Arrival
 from damaskwind.runtime.bridge import to_deferred
 
 __all__ = ["Idempotency"]
--- a/packages/router/src/damaskwind/router/operator_api.py
+++ b/packages/router/src/damaskwind/router/operator_api.py
@@ -21,7 +21,7 @@
 from damaskwind.router.target_client import AttemptError, TargetCall, TargetClient, path_of
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_wishes import TargetWishes
+from damaskwind.router.target_signals import TargetWishes
 from damaskwind.router.telemetry import Telemetry
 
 __all__ = ["OperatorApi", "Sources"]
--- a/packages/router/src/damaskwind/router/placing.py
+++ b/packages/router/src/damaskwind/router/placing.py
@@ -11,10 +11,10 @@
 from damaskwind.model.reason import Reason
 from damaskwind.model.targets import TargetKind, TargetView
 from damaskwind.model.verdict import Refusal, Verdict
+from damaskwind.router.request_queues import WaitingRoom
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_wishes import TargetWishes
-from damaskwind.router.waiting_room import WaitingRoom
+from damaskwind.router.target_signals import TargetWishes
 from damaskwind.router.work import Work
 
 __all__ = ["Placing"]
--- a/packages/router/src/damaskwind/router/process.py
+++ b/packages/router/src/damaskwind/router/process.py
@@ -31,13 +31,13 @@
 from damaskwind.router.operator_api import OperatorApi, Sources
 from damaskwind.router.peer_addresses import PeerAddresses
 from damaskwind.router.placing import Placing
+from damaskwind.router.request_queues import WaitingRoom
 from damaskwind.router.service_path import ServicePath
 from damaskwind.router.target_client import TargetClient
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_wishes import TargetWishes
+from damaskwind.router.target_signals import TargetWishes
 from damaskwind.router.telemetry import Telemetry
-from damaskwind.router.waiting_room import WaitingRoom
 from damaskwind.runtime.bridge import to_future
 from damaskwind.runtime.files import write_ready_file
 from damaskwind.runtime.settings import Settings, parse_address
--- a/packages/router/src/damaskwind/router/service_path.py
+++ b/packages/router/src/damaskwind/router/service_path.py
@@ -13,9 +13,9 @@
 from damaskwind.model.reason import Reason
 from damaskwind.model.targets import TargetKind, TargetView
 from damaskwind.model.verdict import Refusal, Verdict
+from damaskwind.router.admitted_request import Arrival
 from damaskwind.router.answer_body import discard, read_whole
 from damaskwind.router.answers import set_outcome
-from damaskwind.router.arrival import Arrival
 from damaskwind.router.caller_request import BUFFERED_BYTES, SERVICES_PREFIX
 from damaskwind.router.dispatcher import Dispatcher, Placed
 from damaskwind.router.engine_client import check_not_run, header_text
--- a/packages/router/src/damaskwind/router/tests/request_fuzzing.py
+++ b/packages/router/src/damaskwind/router/tests/request_fuzzing.py
@@ -3,7 +3,7 @@
 from damaskwind.router import dispatcher as dispatcher_module
 from damaskwind.router.placing import Placing
 from damaskwind.router.target_directory import TargetDirectory
-from damaskwind.router.target_wishes import TargetWishes
+from damaskwind.router.target_signals import TargetWishes
 from damaskwind.router.tests.request_histories import STEPS, RequestsAgainstCounts
 from damaskwind.standins.history_runs import SeededBug, fuzz_histories, seeded_bug
 from damaskwind.standins.history_runs import run_batch as run_machine
--- a/packages/router/src/damaskwind/router/tests/request_histories.py
+++ b/packages/router/src/damaskwind/router/tests/request_histories.py
@@ -41,11 +41,11 @@
 from damaskwind.router.dispatcher import Dispatcher
 from damaskwind.router.explain import RequestRecord
 from damaskwind.router.placing import Placing
+from damaskwind.router.request_queues import WaitingRoom
 from damaskwind.router.target_client import AttemptError
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_wishes import TargetWishes
-from damaskwind.router.waiting_room import WaitingRoom
+from damaskwind.router.target_signals import TargetWishes
 from damaskwind.router.work import Work
 
 __all__ = ["STEPS", "RequestsAgainstCounts"]
