--- a/packages/router/src/damaskwind/router/account_limits.py
+++ b/packages/router/src/damaskwind/router/account_limits.py
@@ -23,7 +23,7 @@
 from damaskwind.model.configuration import Configuration
 from damaskwind.model.exception import MessageError, RefusedError
 from damaskwind.model.targets import TargetKind
-from damaskwind.router.work import Work
+from damaskwind.router.work import WorkItem
 
 __all__ = ["AccountLimits"]
 
@@ -43,11 +43,11 @@
 
 def _urgency(report: DemandReport) -> Urgency:
     """Let reports that ask for more, and their answers, pass those that only renew."""
-    asks = any(
+    has_increase = any(
         demand.wanted > demand.held or demand.wanted_tokens_per_s > demand.held_tokens_per_s
         for demand in report.demands
     )
-    return Urgency.LIMITS if asks else Urgency.REPAIR
+    return Urgency.LIMITS if has_increase else Urgency.REPAIR
 
 
 class AccountLimits:
@@ -75,19 +75,19 @@
         self._codec = LimitsCodec()
         first_sequence = time.time_ns() // 1_000_000
         now_s = clock.seconds()
-        self._blind_until_s = now_s if is_alone else now_s + self._policy.lease_s
+        self._learning_until_s = now_s if is_alone else now_s + self._policy.lease_s
         self._limiter = AccountLimiter(router_id, failure_domain, self._policy, first_sequence)
         self._allocator = ShareAllocator(router_id, failure_domain, self._policy, now_s, is_alone)
         self._waiting: list[Deferred] = []
         self._timer: Any = None
         self._is_stopped = False
-        membership.register_kind(REPORT_KIND, self._heard_report)
-        membership.register_kind(GRANT_KIND, self._heard_grant)
+        membership.register_kind(REPORT_KIND, self._receive_report)
+        membership.register_kind(GRANT_KIND, self._receive_grant)
 
     @property
     def is_learning(self) -> bool:
         """Tell whether shares leased before this start may still be in use unseen."""
-        return self._clock.seconds() < self._blind_until_s
+        return self._clock.seconds() < self._learning_until_s
 
     def set_configuration(self, configuration: Configuration) -> None:
         """Follow the confirmed limits."""
@@ -102,7 +102,7 @@
         self._limiter.set_limits(limits, self._domains)
         self._allocator.set_limits(limits, self._domains)
 
-    async def admit(self, work: Work) -> None:
+    async def admit(self, work: WorkItem) -> None:
         """Let a request in, after a wait for a grant if need be, or raise `RefusedError`."""
         wait_until_s = None
         tokens = int(work.total_tokens)
@@ -110,22 +110,22 @@
         while True:
             now_s = self._clock.seconds()
             decision = self._limiter.admit(name, tokens, now_s, wait_until_s)
-            self._plan_report()
+            self._schedule_report()
             if decision.outcome is LimitOutcome.ADMITTED:
                 return
             if decision.refusal is not None:
                 raise RefusedError(decision.refusal)
             wait_until_s = decision.wait_until_s
-            await self._grant_or_time(decision.retry_at_s - now_s, work)
+            await self._wait_for_grant(decision.retry_at_s - now_s, work)
 
-    def release(self, work: Work, used_tokens: int | None) -> None:
+    def release(self, work: WorkItem, used_tokens: int | None) -> None:
         """Note that an admitted request ended and what it cost, if that is known."""
         expected = int(work.total_tokens)
         used = expected if used_tokens is None else used_tokens
         name = _limit_name(work.account.name, work.kind)
         self._limiter.release(name, expected, used, self._clock.seconds())
-        self._plan_report()
-        self._wake()
+        self._schedule_report()
+        self._wake_all()
 
     def stop(self) -> None:
         """Report no more."""
@@ -134,33 +134,33 @@
             self._timer.cancel()
             self._timer = None
 
-    def _grant_or_time(self, timeout_s: float, work: Work) -> Deferred:
+    def _wait_for_grant(self, timeout_s: float, work: WorkItem) -> Deferred:
         """Return a Deferred that fires at the next grant, release, or after a time."""
-        woken: Deferred = Deferred()
-        timer = self._clock.callLater(max(timeout_s, 0.0), self._fire, woken)
-        self._waiting.append(woken)
-        work.caller.when_gone(lambda: self._fire(woken))
+        wakeup: Deferred = Deferred()
+        timer = self._clock.callLater(max(timeout_s, 0.0), self._wake_one, wakeup)
+        self._waiting.append(wakeup)
+        work.caller.when_gone(lambda: self._wake_one(wakeup))
 
         def stop_timer(result: Any) -> Any:
             if timer.active():
                 timer.cancel()
             return result
 
-        return woken.addBoth(stop_timer)
+        return wakeup.addBoth(stop_timer)
 
-    def _fire(self, woken: Deferred) -> None:
+    def _wake_one(self, wakeup: Deferred) -> None:
         """Wake one waiting request."""
-        if woken in self._waiting:
-            self._waiting.remove(woken)
-            woken.callback(None)
+        if wakeup in self._waiting:
+            self._waiting.remove(wakeup)
+            wakeup.callback(None)
 
-    def _wake(self) -> None:
+    def _wake_all(self) -> None:
         """Wake every waiting request."""
         waiting, self._waiting = self._waiting, []
-        for woken in waiting:
-            woken.callback(None)
+        for wakeup in waiting:
+            wakeup.callback(None)
 
-    def _plan_report(self) -> None:
+    def _schedule_report(self) -> None:
         """Report when the limiter next has something to say."""
         due_s = self._limiter.next_report_s()
         if due_s is None or self._is_stopped:
@@ -170,19 +170,19 @@
                 return
             self._timer.cancel()
         delay_s = max(0.0, due_s - self._clock.seconds())
-        self._timer = self._clock.callLater(delay_s, self._report)
+        self._timer = self._clock.callLater(delay_s, self._send_reports)
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         """Send the reports that are due; one to this router needs no datagram."""
         self._timer = None
         now_s = self._clock.seconds()
         for router_id, report in self._limiter.reports(self._routers(), now_s):
             if router_id == self._router_id:
-                self._take_report(router_id, report)
+                self._handle_report(router_id, report)
             else:
                 payload = self._codec.encode_report(report, router_id)
                 self._membership.send(REPORT_KIND, router_id, payload, _urgency(report))
-        self._plan_report()
+        self._schedule_report()
 
     def _routers(self) -> dict[str, list[str]]:
         """Return the live routers of each failure domain, this one among them."""
@@ -192,43 +192,43 @@
                 routers.setdefault(record.failure_domain, []).append(record.router_id)
         return routers
 
-    def _heard_report(self, router_id: str, payload: bytes) -> None:
+    def _receive_report(self, router_id: str, payload: bytes) -> None:
         """Take a report from another router, or drop one that is malformed."""
         try:
             report = self._codec.decode_report(router_id, self._router_id, payload)
         except MessageError as error:
             logger.warning("report of demand dropped", error=str(error))
             return
-        self._take_report(router_id, report)
+        self._handle_report(router_id, report)
 
-    def _take_report(self, router_id: str, report: DemandReport) -> None:
+    def _handle_report(self, router_id: str, report: DemandReport) -> None:
         """Answer a report with what its router may use."""
         self._allocator.set_routers(frozenset(self._routers()[self._domain]))
         grant = self._allocator.handle_report(report, self._clock.seconds())
         for holder_id, recall in self._allocator.pop_recalls():
-            self._give(holder_id, recall)
+            self._send_grant(holder_id, recall)
         if grant is not None:
-            self._give(router_id, grant)
+            self._send_grant(router_id, grant)
 
-    def _give(self, router_id: str, grant: ShareGrant) -> None:
+    def _send_grant(self, router_id: str, grant: ShareGrant) -> None:
         """Send a grant or recall; one to this router needs no datagram."""
         if router_id == self._router_id:
-            self._take_grant(grant)
+            self._apply_grant(grant)
         else:
             payload = self._codec.encode_grant(grant)
             self._membership.send(GRANT_KIND, router_id, payload, Urgency.LIMITS)
 
-    def _heard_grant(self, router_id: str, payload: bytes) -> None:
+    def _receive_grant(self, router_id: str, payload: bytes) -> None:
         """Take a grant from another router, or drop one that is malformed."""
         try:
             grant = self._codec.decode_grant(router_id, payload)
         except MessageError as error:
             logger.warning("grant of shares dropped", error=str(error))
             return
-        self._take_grant(grant)
+        self._apply_grant(grant)
 
-    def _take_grant(self, grant: ShareGrant) -> None:
+    def _apply_grant(self, grant: ShareGrant) -> None:
         """Apply a grant and let waiting requests try again."""
         self._limiter.apply_grant(grant, self._clock.seconds())
-        self._plan_report()
-        self._wake()
+        self._schedule_report()
+        self._wake_all()
--- a/packages/router/src/damaskwind/router/admitted_request.py
+++ b/packages/router/src/damaskwind/router/admitted_request.py
@@ -6,10 +6,10 @@
 from damaskwind.router.caller import Caller
 from damaskwind.router.explain import RequestRecord
 
-__all__ = ["Arrival"]
+__all__ = ["AdmittedRequest"]
 
 
-class Arrival(NamedTuple):
+class AdmittedRequest(NamedTuple):
     """A request that was let in, under the configuration of its arrival."""
 
     request: Any
--- a/packages/router/src/damaskwind/router/answer_body.py
+++ b/packages/router/src/damaskwind/router/answer_body.py
@@ -19,12 +19,12 @@
     """Collect a body up to a limit; anything but an orderly end is a failure."""
 
     def __init__(self, limit_bytes: int) -> None:
-        self.done: Deferred = Deferred(self._give_up)
+        self.done: Deferred = Deferred(self._time_out)
         self._limit_bytes = limit_bytes
         self._size_bytes = 0
         self._pieces: list[bytes] = []
 
-    def _give_up(self, done: Deferred) -> None:
+    def _time_out(self, done: Deferred) -> None:
         """Fail a body that is late, or whose caller has gone; its request may have run."""
         detail = "the target's answer did not end in time"
         done.errback(AttemptError(Verdict.MAY_HAVE_RUN, Reason.DEADLINE, detail))
--- a/packages/router/src/damaskwind/router/claims/client.py
+++ b/packages/router/src/damaskwind/router/claims/client.py
@@ -37,8 +37,8 @@
 
 CALL_TIMEOUT_S = 1.0
 ABANDON_TIMEOUT_S = 2.0
-BACKOFF_FIRST_S = 0.01
-BACKOFF_LIMIT_S = 0.25
+INITIAL_BACKOFF_S = 0.01
+MAX_BACKOFF_S = 0.25
 _CALL_ERRORS = (OSError, asyncio.TimeoutError, GRPCError, StreamTerminatedError, MessageError)
 _METHODS = {Order: "Order", Write: "Write", Record: "Record"}
 _REPLIES = {Order: OrderReply, Write: WriteReply, Record: RecordReply}
@@ -85,8 +85,8 @@
             outcome = await asyncio.wait_for(self._run_rounds(proposer), timeout_s)
         except TimeoutError:
             self._abandon(proposer)
-            full = "the claim holders are full"
-            return no_quorum(full if proposer.was_full else "no majority of claim holders")
+            detail = "the claim holders are full"
+            return no_quorum(detail if proposer.was_full else "no majority of claim holders")
         except asyncio.CancelledError:
             self._abandon(proposer)
             raise
@@ -104,11 +104,11 @@
         calls = [
             self._spawn(self._call(holder_id, message, timeout_s)) for holder_id in self._addresses
         ]
-        kept = 0
+        stored = 0
         for call in asyncio.as_completed(calls):
             reply = await call
-            kept += reply is not None and reply.rejection == Rejection.NONE
-            if kept >= majority_of(len(self._addresses)):
+            stored += reply is not None and reply.rejection == Rejection.NONE
+            if stored >= majority_of(len(self._addresses)):
                 return True
         return False
 
@@ -122,13 +122,13 @@
 
     async def _run_rounds(self, proposer: ClaimProposer) -> ClaimOutcome:
         """Run rounds, with a growing random pause between them, until one decides."""
-        pause_s = BACKOFF_FIRST_S
+        pause_s = INITIAL_BACKOFF_S
         while True:
             outcome = await self._run_round(proposer)
             if outcome is not None:
                 return outcome
             await asyncio.sleep(self._random.uniform(0.0, pause_s))
-            pause_s = min(BACKOFF_LIMIT_S, 2 * pause_s)
+            pause_s = min(MAX_BACKOFF_S, 2 * pause_s)
 
     async def _run_round(self, proposer: ClaimProposer) -> ClaimOutcome | None:
         """Run one round; `None` when it failed."""
@@ -142,12 +142,12 @@
     def _send(self, step: Step, replies: asyncio.Queue) -> None:
         """Send a step's messages; each puts its reply, or `None`, into the queue."""
 
-        async def ask(holder_id: str, message: Any) -> None:
+        async def call_holder(holder_id: str, message: Any) -> None:
             reply = await self._call(holder_id, message, CALL_TIMEOUT_S)
             replies.put_nowait((holder_id, message.ballot, reply))
 
         for holder_id, message in step.messages:
-            self._spawn(ask(holder_id, message))
+            self._spawn(call_holder(holder_id, message))
 
     async def _call(self, holder_id: str, message: Any, timeout_s: float) -> Any:
         """Make one call; `None` when it failed."""
--- a/packages/router/src/damaskwind/router/configuration/follower.py
+++ b/packages/router/src/damaskwind/router/configuration/follower.py
@@ -18,7 +18,7 @@
 from damaskwind.model.configuration import Configuration
 from damaskwind.model.exception import MessageError
 from damaskwind.model.targets import Address
-from damaskwind.router.configuration.call_rate_limiter import CallPace
+from damaskwind.router.configuration.call_rate_limiter import CallRateLimiter
 from damaskwind.router.configuration.state_file import read_state_file, write_state_file
 from damaskwind.router.configuration.upstream import ATTEMPT_BYTES, Upstream, UpstreamUpdate
 from damaskwind.runtime.clock import read_clock
@@ -30,10 +30,10 @@
 __all__ = ["ConfigurationFollower", "FollowerTiming"]
 
 HINT_ATTEMPTS = 6
-ASKED_PEERS = 16
-ASK_TIMEOUT_S = 1.0
+MAX_POLLED_PEERS = 16
+POLL_TIMEOUT_S = 1.0
 REVISION_ONLY = 2**63 - 1
-CALLS_SHARE = 1 / 8
+CALL_BUDGET_SHARE = 1 / 8
 
 
 class FollowerTiming:
@@ -43,14 +43,14 @@
         self,
         heartbeat_s: float = HEARTBEAT_S,
         settle_s: float = 3.0,
-        backoff_first_s: float = 0.5,
-        backoff_limit_s: float = 8.0,
+        initial_backoff_s: float = 0.5,
+        max_backoff_s: float = 8.0,
         hint_delay_s: float = 0.5,
     ) -> None:
         self.silence_s = 2.5 * heartbeat_s
         self.settle_s = settle_s
-        self.backoff_first_s = backoff_first_s
-        self.backoff_limit_s = backoff_limit_s
+        self.initial_backoff_s = initial_backoff_s
+        self.max_backoff_s = max_backoff_s
         self.hint_delay_s = hint_delay_s
 
 
@@ -77,28 +77,28 @@
     ) -> None:
         self.configuration: Configuration | None = None
         self.service = FollowService(
-            CallVerifier(signer.cluster, signer.cluster_key), _never, _ignore_report
+            CallVerifier(signer.cluster, signer.cluster_key), _never_current, _ignore_report
         )
         self.source = ""
         self._random = random
         self._state_file = state_file
         self._peers = peers
         self._timing = timing or FollowerTiming()
-        self._replicas = _near_first(replicas, failure_domain, random)
-        rate = CALLS_SHARE * control_bytes_per_s
-        self._stream_pace = CallPace(rate, read_clock())
-        self._ask_pace = CallPace(rate, read_clock())
+        self._replicas = _local_first(replicas, failure_domain, random)
+        rate = CALL_BUDGET_SHARE * control_bytes_per_s
+        self._stream_limiter = CallRateLimiter(rate, read_clock())
+        self._poll_limiter = CallRateLimiter(rate, read_clock())
         self._upstream = Upstream(router_id, failure_domain, signer)
         self._subscribers: list[Callable[[Configuration], None]] = []
         self._candidate: Configuration | None = None
-        self._settling: asyncio.TimerHandle | None = None
+        self._settle_timer: asyncio.TimerHandle | None = None
         self._current_until_s = float("-inf")
-        self._highest_heard = 0
-        self._wants_whole = False
+        self._highest_seen = 0
+        self._needs_full = False
         self._hints: dict[Address, int] = {}
         self._tasks: set[asyncio.Task] = set()
         self._accepted: tuple[Configuration, str] | None = None
-        self._keeping: asyncio.Task | None = None
+        self._write_task: asyncio.Task | None = None
 
     @property
     def revision(self) -> int:
@@ -113,7 +113,7 @@
     @property
     def may_be_behind(self) -> bool:
         """Tell whether no current replica has confirmed the revision in force lately."""
-        return read_clock() > self._current_until_s or self._highest_heard > self.revision
+        return read_clock() > self._current_until_s or self._highest_seen > self.revision
 
     @property
     def received_bytes(self) -> int:
@@ -139,27 +139,27 @@
     async def start(self) -> None:
         """Take up the state file and begin to follow."""
         if self._state_file is not None:
-            kept = read_state_file(self._state_file)
-            if kept is not None:
-                self._offer(kept, "state file", is_current=False)
+            stored = read_state_file(self._state_file)
+            if stored is not None:
+                self._offer(stored, "state file", is_current=False)
         self._spawn(self._follow())
-        self._spawn(self._ask_everyone())
+        self._spawn(self._poll_until_ready())
 
     async def stop(self) -> None:
         """Stop following; the configuration stays."""
         self._upstream.close()
-        if self._settling is not None:
-            self._settling.cancel()
+        if self._settle_timer is not None:
+            self._settle_timer.cancel()
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        if self._keeping is not None:
-            await asyncio.wait([self._keeping])
+        if self._write_task is not None:
+            await asyncio.wait([self._write_task])
 
-    def heard_revision(self, peer_address: Address, revision: int) -> None:
+    def handle_revision_hint(self, peer_address: Address, revision: int) -> None:
         """Take a hint that a router enforces a revision; fetch it if it is newer."""
-        self._highest_heard = max(self._highest_heard, revision)
+        self._highest_seen = max(self._highest_seen, revision)
         if revision <= self.revision:
             return
         is_new = peer_address not in self._hints
@@ -175,12 +175,12 @@
 
     async def _follow(self) -> None:
         """Keep a stream to a replica, one replica after another."""
-        backoff_s = self._timing.backoff_first_s
-        turn = 0
+        backoff_s = self._timing.initial_backoff_s
+        attempt = 0
         while self._replicas and not self._upstream.is_closed:
-            address = self._replicas[turn % len(self._replicas)]
-            await asyncio.sleep(self._stream_pace.pause_s(read_clock()))
-            self._stream_pace.spend(ATTEMPT_BYTES, read_clock())
+            address = self._replicas[attempt % len(self._replicas)]
+            await asyncio.sleep(self._stream_limiter.pause_s(read_clock()))
+            self._stream_limiter.spend(ATTEMPT_BYTES, read_clock())
             started_s = read_clock()
             try:
                 await self._watch(address)
@@ -192,11 +192,11 @@
                     "stream of configurations ended", source=str(address), why=str(error)
                 )
             if read_clock() - started_s > self._timing.silence_s:
-                backoff_s = self._timing.backoff_first_s
-            turn += 1
-            if turn % len(self._replicas) == 0 or len(self._replicas) == 1:
+                backoff_s = self._timing.initial_backoff_s
+            attempt += 1
+            if attempt % len(self._replicas) == 0 or len(self._replicas) == 1:
                 await asyncio.sleep(self._random.uniform(0, backoff_s))
-                backoff_s = min(2 * backoff_s, self._timing.backoff_limit_s)
+                backoff_s = min(2 * backoff_s, self._timing.max_backoff_s)
 
     async def _watch(self, address: Address) -> None:
         """Follow one replica until it fails, falls silent or is not current."""
@@ -204,68 +204,68 @@
         async with self._upstream.watch(address, self._base()) as stream:
             while not self._upstream.is_closed:
                 update = await stream.next(self._timing.silence_s)
-                await self._take(update, f"replica {address}")
+                await self._handle_update(update, f"replica {address}")
                 stale_updates = 0 if update.is_current else stale_updates + 1
                 if stale_updates > 1 and len(self._replicas) > 1:
                     raise MessageError("replica is not current")
                 await stream.report(self.revision)
 
-    def _held(self) -> Configuration | None:
+    def _latest_known(self) -> Configuration | None:
         """Return the highest configuration known here, in force or not yet."""
         accepted = self._accepted[0] if self._accepted is not None else None
         return accepted or self.configuration or self._candidate
 
     def _base(self) -> int:
         """Return the revision to which a delta may be sent; 0 asks for the whole."""
-        held = self._held()
-        return 0 if self._wants_whole or held is None else held.revision
+        latest = self._latest_known()
+        return 0 if self._needs_full or latest is None else latest.revision
 
-    async def _take(self, update: UpstreamUpdate, source: str) -> None:
+    async def _handle_update(self, update: UpstreamUpdate, source: str) -> None:
         """Take an update from a replica or a router; wait until what it brought is in force.
 
         After one that does not come out as it was sent, the whole is asked for.
         """
         encoded = update.encoded
-        self._highest_heard = max(self._highest_heard, encoded.revision)
-        held = self._held()
-        held_revision = held.revision if held is not None else 0
-        if encoded.body and encoded.revision > held_revision:
-            self._wants_whole = True
-            whole = decode_revision(encoded, held)
-            self._wants_whole = False
+        self._highest_seen = max(self._highest_seen, encoded.revision)
+        latest = self._latest_known()
+        latest_revision = latest.revision if latest is not None else 0
+        if encoded.body and encoded.revision > latest_revision:
+            self._needs_full = True
+            whole = decode_revision(encoded, latest)
+            self._needs_full = False
             self._offer(whole, source, update.is_current)
-        elif encoded.revision < held_revision:
+        elif encoded.revision < latest_revision:
             logger.debug("lower revision refused", source=source, revision=encoded.revision)
-        elif update.is_current and self.configuration is None and held is not None:
-            self._apply(held, source)
-        if self._keeping is not None:
-            await asyncio.shield(self._keeping)
+        elif update.is_current and self.configuration is None and latest is not None:
+            self._apply(latest, source)
+        if self._write_task is not None:
+            await asyncio.shield(self._write_task)
         if update.is_current and encoded.revision == self.revision:
             self._current_until_s = read_clock() + self._timing.silence_s
 
     def _offer(self, whole: Configuration, source: str, is_current: bool) -> None:
         """Apply a configuration, or hold it back while others may know a higher one."""
-        held = self._held()
-        if held is not None and whole.revision <= held.revision:
+        latest = self._latest_known()
+        if latest is not None and whole.revision <= latest.revision:
             return
         if self.configuration is not None or self._accepted is not None or is_current:
             self._apply(whole, source)
             return
         self._candidate = whole
         self.source = source
-        if self._settling is None:
+        if self._settle_timer is None:
             loop = asyncio.get_running_loop()
-            self._settling = loop.call_later(self._timing.settle_s, self._settle)
+            self._settle_timer = loop.call_later(self._timing.settle_s, self._apply_candidate)
 
-    def _settle(self) -> None:
+    def _apply_candidate(self) -> None:
         """Take the highest revision heard of while settling."""
         if self.configuration is None and self._candidate is not None:
             self._apply(self._candidate, self.source)
 
     def _apply(self, whole: Configuration, source: str) -> None:
-        """Put a configuration in force, once it is kept if there is a file for it.
+        """Put a configuration in force, once it is stored if there is a file for it.
 
-        What was in force but not kept would be forgotten with this process, which
+        What was in force but not stored would be forgotten with this process, which
         would then start again below it.
         """
         self._candidate = None
@@ -273,10 +273,10 @@
             self._enforce(whole, source)
             return
         self._accepted = (whole, source)
-        if self._keeping is None:
-            self._keeping = asyncio.ensure_future(self._keep_accepted(self._state_file))
+        if self._write_task is None:
+            self._write_task = asyncio.ensure_future(self._write_accepted(self._state_file))
 
-    async def _keep_accepted(self, path: Path) -> None:
+    async def _write_accepted(self, path: Path) -> None:
         """Write what is accepted to the file and put it in force, until nothing is left.
 
         A file that can't be written must not keep a confirmed change from being enforced.
@@ -293,7 +293,7 @@
                     self._accepted = None
                 self._enforce(whole, source)
         finally:
-            self._keeping = None
+            self._write_task = None
 
     def _enforce(self, whole: Configuration, source: str) -> None:
         """Put a configuration in force, then let others know."""
@@ -304,35 +304,35 @@
         self.service.publish(whole)
         logger.info("configuration applied", revision=whole.revision, source=source)
 
-    async def _ask_everyone(self) -> None:
+    async def _poll_until_ready(self) -> None:
         """Ask all replicas and routers until a configuration is in force.
 
         The stream from a current replica mostly makes this needless.
         """
         await asyncio.sleep(self._timing.hint_delay_s)
         while not self.is_ready and not self._upstream.is_closed:
-            await self._ask_round()
-            pause_s = self._timing.backoff_first_s
+            await self._poll_sources()
+            pause_s = self._timing.initial_backoff_s
             await asyncio.sleep(self._random.uniform(pause_s / 2, pause_s))
-            await asyncio.sleep(self._ask_pace.pause_s(read_clock()))
+            await asyncio.sleep(self._poll_limiter.pause_s(read_clock()))
 
-    async def _ask_round(self) -> None:
+    async def _poll_sources(self) -> None:
         """Ask for revisions alone, then fetch the highest from one that has it."""
         peers = self._peers()
-        asked = self._random.sample(peers, min(len(peers), ASKED_PEERS))
-        addresses = list(dict.fromkeys([*self._replicas, *asked]))
-        self._ask_pace.spend(ATTEMPT_BYTES * len(addresses), read_clock())
-        revisions = await asyncio.gather(*(self._ask_revision(address) for address in addresses))
+        polled = self._random.sample(peers, min(len(peers), MAX_POLLED_PEERS))
+        addresses = list(dict.fromkeys([*self._replicas, *polled]))
+        self._poll_limiter.spend(ATTEMPT_BYTES * len(addresses), read_clock())
+        revisions = await asyncio.gather(*(self._poll_revision(address) for address in addresses))
         known = sorted(zip(revisions, addresses, strict=True), reverse=True)
         for revision, address in known:
-            held = self._held()
-            if revision > (held.revision if held is not None else 0):
+            latest = self._latest_known()
+            if revision > (latest.revision if latest is not None else 0):
                 await self._fetch(address)
 
-    async def _ask_revision(self, address: Address) -> int:
+    async def _poll_revision(self, address: Address) -> int:
         """Return the revision that one replica or router has, 0 when it does not answer."""
         try:
-            update = await self._upstream.fetch(address, REVISION_ONLY, ASK_TIMEOUT_S)
+            update = await self._upstream.fetch(address, REVISION_ONLY, POLL_TIMEOUT_S)
         except MessageError as error:
             logger.debug("not asked", source=str(address), error=str(error))
             return 0
@@ -357,12 +357,12 @@
         """Fetch the latest revision that one replica or router has."""
         try:
             update = await self._upstream.fetch(address, self._base())
-            await self._take(update, str(address))
+            await self._handle_update(update, str(address))
         except MessageError as error:
             logger.debug("not fetched", source=str(address), error=str(error))
 
 
-def _never() -> bool:
+def _never_current() -> bool:
     """Say that a router never vouches for being current."""
     return False
 
@@ -371,7 +371,7 @@
     """Drop a report: routers report to replicas."""
 
 
-def _near_first(
+def _local_first(
     replicas: tuple[ReplicaSettings, ...], failure_domain: str, random: Random
 ) -> list[Address]:
     """Return the replicas' addresses in random order, those of the own domain first."""
--- a/packages/router/src/damaskwind/router/configuration/state_file.py
+++ b/packages/router/src/damaskwind/router/configuration/state_file.py
@@ -15,9 +15,9 @@
 _DIGEST_BYTES = 16
 
 
-def write_state_file(path: Path, whole: Configuration) -> None:
-    """Replace the file by a configuration, whole or not at all."""
-    data = encode_configuration(whole)
+def write_state_file(path: Path, configuration: Configuration) -> None:
+    """Replace the file by a configuration, configuration or not at all."""
+    data = encode_configuration(configuration)
     replace_file_synced(path, xxhash.xxh3_128_digest(data) + data)
 
 
--- a/packages/router/src/damaskwind/router/configuration/upstream.py
+++ b/packages/router/src/damaskwind/router/configuration/upstream.py
@@ -147,22 +147,22 @@
         self.count_sent(len(body) + CALL_BYTES)
         return self.signer.sign(f"/damaskwind.follow.Follow/{method}", body)
 
-    def _channel(self, address: Address) -> "_ChannelUse":
+    def _channel(self, address: Address) -> "_ChannelContext":
         """Return a connection for the length of a `with` block."""
-        return _ChannelUse(self, address)
+        return _ChannelContext(self, address)
 
-    def keep(self, channel: Channel) -> None:
+    def add_channel(self, channel: Channel) -> None:
         """Remember an open connection and count its set-up."""
         self._channels.add(channel)
         self._count(CONNECTION_BYTES, CONNECTION_BYTES)
 
-    def forget(self, channel: Channel) -> None:
+    def close_channel(self, channel: Channel) -> None:
         """Close a connection."""
         self._channels.discard(channel)
         channel.close()
 
 
-class _ChannelUse:
+class _ChannelContext:
     """Open a connection at the start of a block and close it at its end."""
 
     def __init__(self, owner: Upstream, address: Address) -> None:
@@ -170,11 +170,11 @@
         self._channel = Channel(address.host, address.port)
 
     def __enter__(self) -> Channel:
-        self._owner.keep(self._channel)
+        self._owner.add_channel(self._channel)
         return self._channel
 
     def __exit__(self, *error: object) -> None:
-        self._owner.forget(self._channel)
+        self._owner.close_channel(self._channel)
 
 
 def _ignore_bytes(sent_bytes: int, received_bytes: int) -> None:
--- a/packages/router/src/damaskwind/router/dispatcher.py
+++ b/packages/router/src/damaskwind/router/dispatcher.py
@@ -23,15 +23,15 @@
 from damaskwind.router.placing import Placing
 from damaskwind.router.target_client import AttemptError
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_signals import TargetWishes, said_in
-from damaskwind.router.work import Work
+from damaskwind.router.target_signals import TargetSignalTracker, parse_response_signals
+from damaskwind.router.work import WorkItem
 
-__all__ = ["Dispatcher", "Placed"]
+__all__ = ["Dispatcher", "TargetAnswer"]
 
 Send = Callable[[TargetView], Awaitable[IResponse]]
 
 
-class Placed(NamedTuple):
+class TargetAnswer(NamedTuple):
     """A target that has begun to answer."""
 
     target: TargetView
@@ -47,19 +47,19 @@
         placing: Placing,
         limits: AccountLimits,
         health: TargetHealth,
-        wishes: TargetWishes,
+        signals: TargetSignalTracker,
         reactor: Any,
         random: Random,
     ) -> None:
         self._placing = placing
         self._limits = limits
         self._health = health
-        self._wishes = wishes
+        self._signals = signals
         self._reactor = reactor
         self._random = random
         self._policy = RetryPolicy()
         self._budgets = {kind: RetryBudget(Policy().retry_share) for kind in TargetKind}
-        self.attempt_ended: Callable[[Work, Verdict, str], None] = lambda *ignored: None
+        self.on_attempt_ended: Callable[[WorkItem, Verdict, str], None] = lambda *ignored: None
 
     def set_policy(self, policy: Policy) -> None:
         """Take a confirmed policy over."""
@@ -67,19 +67,19 @@
         for budget in self._budgets.values():
             budget.share = policy.retry_share
 
-    async def run(self, work: Work, send: Send) -> Placed:
+    async def run(self, work: WorkItem, send: Send) -> TargetAnswer:
         """Return the target that answers; raise `RefusedError` when none does.
 
         What is returned must be handed to `finish` in the end.
         """
         await self._limits.admit(work)
         try:
-            return await self._attempt(work, send)
+            return await self._try_targets(work, send)
         except BaseException:
             self._limits.release(work, 0)
             raise
 
-    async def _attempt(self, work: Work, send: Send) -> Placed:
+    async def _try_targets(self, work: WorkItem, send: Send) -> TargetAnswer:
         """Try one target after the other."""
         self._budgets[work.kind].count_request(self._reactor.seconds())
         failures: list[AttemptError] = []
@@ -90,8 +90,8 @@
             try:
                 response = await send(target)
             except AttemptError as error:
-                self._wishes.hear(target, error.said)
-                self._failed(work, target, started_s, error)
+                self._signals.observe(target, error.signals)
+                self._record_failure(work, target, started_s, error)
                 failures.append(error)
                 tried |= {target.target_id}
                 await deferLater(self._reactor, self._retry_delay_s(work, failures))
@@ -99,13 +99,13 @@
                 self._placing.end(work, target, False)
                 raise
             else:
-                self._wishes.hear(target, said_in(response))
-                return Placed(target, response, started_s)
+                self._signals.observe(target, parse_response_signals(response))
+                return TargetAnswer(target, response, started_s)
 
     def finish(
         self,
-        work: Work,
-        placed: Placed,
+        work: WorkItem,
+        answer: TargetAnswer,
         verdict: Verdict,
         reason: str = "",
         detail: str = "",
@@ -113,13 +113,13 @@
     ) -> None:
         """End a request that a target had begun to answer."""
         self._limits.release(work, used_tokens)
-        self._placing.end(work, placed.target, verdict is Verdict.RAN)
+        self._placing.end(work, answer.target, verdict is Verdict.RAN)
         if not work.caller.gone:
-            self._health.observe(placed.target, verdict is Verdict.RAN)
-        self._note(work, placed.target, placed.started_s, verdict, reason, detail)
+            self._health.observe(answer.target, verdict is Verdict.RAN)
+        self._record_attempt(work, answer.target, answer.started_s, verdict, reason, detail)
 
     async def _place(
-        self, work: Work, tried: frozenset[str], failures: list[AttemptError]
+        self, work: WorkItem, tried: frozenset[str], failures: list[AttemptError]
     ) -> TargetView:
         """Choose a target; a refusal, or a caller's leaving, tells of the attempts before it."""
         try:
@@ -132,16 +132,16 @@
                 refusal = refusal._replace(retry_after_s=error.refusal.retry_after_s)
             raise RefusedError(refusal) from error
 
-    def _failed(
-        self, work: Work, target: TargetView, started_s: float, error: AttemptError
+    def _record_failure(
+        self, work: WorkItem, target: TargetView, started_s: float, error: AttemptError
     ) -> None:
         """End an attempt that failed before its answer."""
         self._placing.end(work, target, False)
         if error.suspect and not work.caller.gone:
             self._health.observe(target, False)
-        self._note(work, target, started_s, error.verdict, error.reason, error.detail)
+        self._record_attempt(work, target, started_s, error.verdict, error.reason, error.detail)
 
-    def _retry_delay_s(self, work: Work, failures: list[AttemptError]) -> float:
+    def _retry_delay_s(self, work: WorkItem, failures: list[AttemptError]) -> float:
         """Return the wait before the next attempt; raise `RefusedError` when there is none."""
         last = failures[-1]
         if work.caller.gone or last.final:
@@ -158,7 +158,7 @@
             self._policy,
             self._random,
         )
-        work.record.noted(f"retry: {decision.reason}", now_s)
+        work.record.add_event(f"retry: {decision.reason}", now_s)
         if not decision.retry:
             raise RefusedError(self._refusal(failures))
         return decision.delay_s
@@ -169,9 +169,9 @@
         verdict = worst_verdict([failure.verdict for failure in failures])
         return Refusal(last.reason, verdict, last.detail, last.retry_after_s)
 
-    def _note(
+    def _record_attempt(
         self,
-        work: Work,
+        work: WorkItem,
         target: TargetView,
         started_s: float,
         verdict: Verdict,
@@ -181,8 +181,8 @@
         """Write an attempt into the request's record and the metrics."""
         record = work.record
         duration_ms = round((self._reactor.seconds() - started_s) * 1000, 2)
-        started_ms = record.since_ms(started_s)
+        started_ms = record.elapsed_ms(started_s)
         record.attempts.append(
             AttemptRecord(target.target_id, started_ms, duration_ms, verdict, str(reason), detail)
         )
-        self.attempt_ended(work, verdict, str(reason))
+        self.on_attempt_ended(work, verdict, str(reason))
--- a/packages/router/src/damaskwind/router/engine_client.py
+++ b/packages/router/src/damaskwind/router/engine_client.py
@@ -17,18 +17,18 @@
     BytesProducer,
     TargetCall,
     TargetClient,
-    path_of,
+    build_path,
 )
-from damaskwind.router.target_signals import said_in
+from damaskwind.router.target_signals import parse_response_signals
 
-__all__ = ["EngineChat", "EngineClient", "check_not_run", "header_text", "load_of"]
+__all__ = ["EngineChat", "EngineClient", "check_not_run", "header_text", "parse_load"]
 
 _CHAT_PATH = b"/v1/chat/completions"
 _CANCEL_TIMEOUT_S = 5.0
 _REFUSAL_LIMIT_BYTES = 65_536
 _REFUSAL_TIMEOUT_S = 2.0
 _REFUSAL_SHOWN_BYTES = 200
-_CALLERS_FAULT = (400, 413, 422)
+_CALLER_ERROR_STATUSES = (400, 413, 422)
 
 
 class EngineChat(NamedTuple):
@@ -47,7 +47,7 @@
     return values[0].decode("latin-1") if values else ""
 
 
-def load_of(response: IResponse, age_s: float) -> LoadReport | None:
+def parse_load(response: IResponse, age_s: float) -> LoadReport | None:
     """Return the load that an answer carries, if it does.
 
     An engine may write its headers long before it sends them, with the first
@@ -79,14 +79,19 @@
     """Raise `AttemptError` when a target answered with an error."""
     if response.code < 400:
         return
-    says_not_run = header_text(response, "x-verdict") == Verdict.NOT_RUN
-    verdict = Verdict.NOT_RUN if says_not_run else Verdict.MAY_HAVE_RUN
+    reported_not_run = header_text(response, "x-verdict") == Verdict.NOT_RUN
+    verdict = Verdict.NOT_RUN if reported_not_run else Verdict.MAY_HAVE_RUN
     detail = f"the target answered {response.code}: {await _refusal_text(response, clock)}"
-    callers_fault = response.code in _CALLERS_FAULT
-    reason = Reason.BAD_REQUEST if callers_fault else Reason.TARGET_FAILED
-    suspect = not says_not_run and not callers_fault
+    is_caller_error = response.code in _CALLER_ERROR_STATUSES
+    reason = Reason.BAD_REQUEST if is_caller_error else Reason.TARGET_FAILED
+    suspect = not reported_not_run and not is_caller_error
     raise AttemptError(
-        verdict, reason, detail, suspect=suspect, final=callers_fault, said=said_in(response)
+        verdict,
+        reason,
+        detail,
+        suspect=suspect,
+        final=is_caller_error,
+        signals=parse_response_signals(response),
     )
 
 
@@ -113,7 +118,7 @@
             headers.setRawHeaders(b"idempotency-key", [chat.idempotency_key.encode()])
         body = BytesProducer(chat.body)
         call = TargetCall(b"POST", target.address, _CHAT_PATH, headers, body)
-        return await self._checked(call, chat.request_id, timeout_s, caller)
+        return await self._send_checked(call, chat.request_id, timeout_s, caller)
 
     async def resume(
         self,
@@ -124,11 +129,11 @@
         caller: Caller,
     ) -> IResponse:
         """Return the rest of an answer that was cut; raise `AttemptError` when it can't be."""
-        path = path_of("v1", "requests", request_id, "resume")
+        path = build_path("v1", "requests", request_id, "resume")
         path += b"?from_token=%d" % from_token
         headers = Headers({b"x-request-id": [request_id.encode()]})
         call = TargetCall(b"POST", target.address, path, headers, BytesProducer(b""))
-        return await self._checked(call, request_id, timeout_s, caller)
+        return await self._send_checked(call, request_id, timeout_s, caller)
 
     def cancel(self, target: TargetView, request_id: str) -> Deferred:
         """Tell an engine that nobody waits for an answer any more."""
@@ -136,7 +141,7 @@
 
     async def _cancel(self, target: TargetView, request_id: str) -> None:
         """Send the cancel; an engine that can't be reached needs none."""
-        path = path_of("v1", "requests", request_id)
+        path = build_path("v1", "requests", request_id)
         call = TargetCall(b"DELETE", target.address, path, Headers())
         try:
             response = await self._client.send(call, _CANCEL_TIMEOUT_S)
@@ -144,7 +149,7 @@
         except AttemptError:
             pass
 
-    async def _checked(
+    async def _send_checked(
         self, call: TargetCall, request_id: str, timeout_s: float, caller: Caller
     ) -> IResponse:
         """Send a call and make sure that the answer belongs to it."""
--- a/packages/router/src/damaskwind/router/event_stream.py
+++ b/packages/router/src/damaskwind/router/event_stream.py
@@ -63,22 +63,22 @@
         self.complete = False
         self.usage: dict[str, Any] = {}
         self._keep_usage = keep_usage
-        self._held = b""
+        self._partial = b""
 
     def feed(self, data: bytes) -> bytes:
         """Take bytes in and return those that may pass now."""
         self.received_chunks += 1
         if self.complete:
             return b""
-        if self._held:
-            data = self._held + data
-            self._held = b""
+        if self._partial:
+            data = self._partial + data
+            self._partial = b""
         if not data.endswith(_END):
             end = data.rfind(_END) + len(_END)
             if end < len(_END):
-                self._held = data
+                self._partial = data
                 return b""
-            self._held = data[end:]
+            self._partial = data[end:]
             data = data[:end]
         if data.count(_END) == 1 and _is_plain(data):
             self.delivered_tokens += 1
@@ -109,7 +109,7 @@
 
     def restart(self) -> None:
         """Drop the half event of an answer that was cut; a resumed one follows."""
-        self._held = b""
+        self._partial = b""
 
 
 class PassThrough:
--- a/packages/router/src/damaskwind/router/explain.py
+++ b/packages/router/src/damaskwind/router/explain.py
@@ -9,7 +9,7 @@
 
 __all__ = ["AttemptRecord", "ExplainLog", "RequestRecord", "router_of"]
 
-_SEPARATOR = "."
+_ID_SEPARATOR = "."
 _MAX_CANDIDATES = 8
 
 
@@ -60,27 +60,27 @@
         self.events: list[tuple[float, str]] = []
         self.ended: dict[str, Any] | None = None
 
-    def since_ms(self, now_s: float) -> float:
+    def elapsed_ms(self, now_s: float) -> float:
         """Return the milliseconds since the request came."""
         return round((now_s - self.started_s) * 1000, 2)
 
-    def chose(self, choice: PlacementChoice, pool: PoolSnapshot, now_s: float) -> None:
+    def record_choice(self, choice: PlacementChoice, pool: PoolSnapshot, now_s: float) -> None:
         """Note a placement."""
         considered = len(choice.candidates)
         kept = choice.candidates[:_MAX_CANDIDATES]
-        now_ms = self.since_ms(now_s)
+        now_ms = self.elapsed_ms(now_s)
         self.choices.append(
             ChoiceRecord(now_ms, choice.target_id, str(choice.reason), considered, kept, pool)
         )
 
-    def noted(self, text: str, now_s: float) -> None:
+    def add_event(self, text: str, now_s: float) -> None:
         """Note anything else that mattered: a wait, a resume, a crossed answer."""
-        self.events.append((self.since_ms(now_s), text))
+        self.events.append((self.elapsed_ms(now_s), text))
 
     def end(self, verdict: Verdict, reason: Reason | None, detail: str, now_s: float) -> None:
         """Note how it ended; the first end counts."""
         if self.ended is None:
-            duration_ms = self.since_ms(now_s)
+            duration_ms = self.elapsed_ms(now_s)
             self.ended = {"verdict": verdict, "reason": reason or "", "detail": detail}
             self.ended["duration_ms"] = duration_ms
 
@@ -126,4 +126,4 @@
     >>> router_of("router-1.0f3a")
     'router-1'
     """
-    return request_id.rpartition(_SEPARATOR)[0]
+    return request_id.rpartition(_ID_SEPARATOR)[0]
--- a/packages/router/src/damaskwind/router/fleet_links.py
+++ b/packages/router/src/damaskwind/router/fleet_links.py
@@ -56,7 +56,7 @@
             self._peers,
             control_bytes_per_s=router.control_bytes_per_s,
         )
-        self.follower.charge_bytes(self._charge)
+        self.follower.charge_bytes(self._charge_control_bytes)
         self._router_id = node.node_id
         self._server = Server([self.follower.service])
         self.claims = self._make_claims(settings, random)
@@ -67,7 +67,7 @@
         if not replicas:
             return None
         node = settings.node
-        holders = [(one.replica_id, parse_address(one.address)) for one in replicas]
+        holders = [(replica.replica_id, parse_address(replica.address)) for replica in replicas]
         return ClaimsClient(
             holders, node.cluster, node.cluster_key, node.node_id, random, read_clock
         )
@@ -77,7 +77,7 @@
     ) -> None:
         """Open the sockets and begin to gossip and to follow."""
         await self._server.start(sock=self._listening)
-        self.membership.subscribe(self._heard)
+        self.membership.subscribe(self._forward_hint)
         self.membership.subscribe(handle_event)
         self.datagram_address = self.membership.start()
         self.follower.subscribe(apply)
@@ -94,19 +94,19 @@
         self._server.close()
         await self._server.wait_closed()
 
-    def _charge(self, sent_bytes: int, received_bytes: int) -> None:
+    def _charge_control_bytes(self, sent_bytes: int, received_bytes: int) -> None:
         """Take the bytes of configurations from the control budget."""
         self.membership.count_control("follow", sent_bytes, received_bytes)
 
     def _peers(self) -> list[Address]:
         """Return where other routers serve their configuration."""
         routers = self.membership.routers()
-        return [one.peer_address for one in routers if one.router_id != self._router_id]
+        return [router.peer_address for router in routers if router.router_id != self._router_id]
 
-    def _heard(self, event: Event) -> None:
+    def _forward_hint(self, event: Event) -> None:
         """Pass hints of newer revisions on to the follower."""
         if isinstance(event, RevisionHeard) and not self._configuration_file:
-            self.follower.heard_revision(event.peer_address, event.revision)
+            self.follower.handle_revision_hint(event.peer_address, event.revision)
 
     def _publish_revision(self, configuration: Configuration) -> None:
         """Let peers know which revision is in force here."""
--- a/packages/router/src/damaskwind/router/front.py
+++ b/packages/router/src/damaskwind/router/front.py
@@ -17,10 +17,10 @@
 from damaskwind.router.gateway import Gateway
 from damaskwind.router.service_path import ServicePath
 
-__all__ = ["Front"]
+__all__ = ["HttpFrontend"]
 
 
-class Front:
+class HttpFrontend:
     """What callers, targets and the platform's balancer can ask of a router."""
 
     def __init__(
--- a/packages/router/src/damaskwind/router/gateway.py
+++ b/packages/router/src/damaskwind/router/gateway.py
@@ -11,7 +11,7 @@
 from damaskwind.model.exception import RefusedError
 from damaskwind.model.reason import Reason
 from damaskwind.model.verdict import Refusal, Verdict
-from damaskwind.router.admitted_request import Arrival
+from damaskwind.router.admitted_request import AdmittedRequest
 from damaskwind.router.answers import refuse
 from damaskwind.router.authentication import account_index, bearer_key
 from damaskwind.router.caller import Caller
@@ -20,7 +20,7 @@
 
 __all__ = ["Gateway"]
 
-_LAST_CLASS = PriorityClass("none", 9, 1)
+_LOWEST_PRIORITY = PriorityClass("none", 9, 1)
 _MAX_KEY_CHARACTERS = 255
 
 
@@ -59,7 +59,7 @@
         self._idempotency = idempotency
         self._clock = clock
         self.in_progress = 0
-        self.ended: Callable[[RequestRecord], None] = lambda record: None
+        self.on_request_ended: Callable[[RequestRecord], None] = lambda record: None
         self.set_configuration(Configuration())
 
     def set_configuration(self, configuration: Configuration) -> None:
@@ -80,7 +80,7 @@
         answered: Deferred = Deferred(lambda cancelled: None)
         self.in_progress += 1
         running = ensureDeferred(self._run(request, serve))
-        running.addBoth(self._finished)
+        running.addBoth(self._count_finished)
         running.addBoth(lambda result: None if answered.called else answered.callback(result))
         return answered
 
@@ -90,9 +90,9 @@
         record = self._explain.start(request.request_id, request.path.decode("latin-1"), now_s)
         caller = Caller(request)
         try:
-            arrival = self._admit(request, record, caller, now_s)
-            body = await self._idempotency.run(arrival, serve)
-            self.ended(record)
+            admitted = self._admit(request, record, caller, now_s)
+            body = await self._idempotency.run(admitted, serve)
+            self.on_request_ended(record)
             return body
         except RefusedError as error:
             refusal = error.refusal
@@ -102,12 +102,14 @@
             logger.opt(exception=error).error("request failed", request=request.request_id)
             refusal = Refusal(Reason.TARGET_FAILED, Verdict.MAY_HAVE_RUN, "the router failed")
         record.end(refusal.verdict, refusal.reason, refusal.detail, self._clock.seconds())
-        self.ended(record)
+        self.on_request_ended(record)
         if caller.gone or request.startedWriting:
             return None
         return refuse(request, request.request_id, refusal)
 
-    def _admit(self, request: Any, record: RequestRecord, caller: Caller, now_s: float) -> Arrival:
+    def _admit(
+        self, request: Any, record: RequestRecord, caller: Caller, now_s: float
+    ) -> AdmittedRequest:
         """Check a request's key, size and headers."""
         configuration = self.configuration
         account = self.account_of(request)
@@ -116,11 +118,11 @@
             detail = f"the body is over {configuration.policy.body_limit_bytes} bytes"
             raise RefusedError(Refusal(Reason.TOO_LARGE, Verdict.NOT_RUN, detail))
         timeout_s = _timeout_s(request, configuration.policy.request_timeout_s)
-        return Arrival(
+        return AdmittedRequest(
             request,
             request.request_id,
             account,
-            configuration.priority_classes.get(account.priority_class, _LAST_CLASS),
+            configuration.priority_classes.get(account.priority_class, _LOWEST_PRIORITY),
             configuration,
             now_s + timeout_s,
             _idempotency_key(request),
@@ -128,7 +130,7 @@
             caller,
         )
 
-    def _finished(self, result: Any) -> Any:
+    def _count_finished(self, result: Any) -> Any:
         """Count a request out."""
         self.in_progress -= 1
         return result
--- a/packages/router/src/damaskwind/router/idempotency.py
+++ b/packages/router/src/damaskwind/router/idempotency.py
@@ -21,7 +21,7 @@
 from damaskwind.model.exception import RefusedError
 from damaskwind.model.reason import Reason
 from damaskwind.model.verdict import Refusal, Verdict
-from damaskwind.router.admitted_request import Arrival
+from damaskwind.router.admitted_request import AdmittedRequest
 from damaskwind.router.answers import set_outcome
 from damaskwind.runtime.bridge import to_deferred
 
@@ -32,10 +32,10 @@
 _RECORD_TIMEOUT_S = 2.0
 _RETRY_AFTER_S = 1.0
 
-Serve = Callable[[Arrival], Awaitable[bytes | None]]
+Serve = Callable[[AdmittedRequest], Awaitable[bytes | None]]
 
 
-def _refusal_of(outcome: ClaimOutcome) -> Refusal:
+def _make_refusal(outcome: ClaimOutcome) -> Refusal:
     """Return why a request isn't run; say it plainly when the first one with its key ran."""
     refusal = outcome.refusal
     if outcome.kind is not ClaimKind.IN_USE or refusal.verdict is not Verdict.RAN:
@@ -62,17 +62,17 @@
 
     def write(self, data: bytes) -> None:
         """Keep a piece and pass it on."""
-        self.note(data)
+        self.record(data)
         self._write(data)
 
-    def note(self, data: bytes) -> None:
+    def record(self, data: bytes) -> None:
         """Keep a piece."""
         self._digest.update(data)
         self._size_bytes += len(data)
         if self._size_bytes <= ANSWER_LIMIT_BYTES:
             self._pieces.append(data)
 
-    def answer(self, request: Any) -> StoredAnswer:
+    def stored_answer(self, request: Any) -> StoredAnswer:
         """Return the answer as it is kept."""
         content_type = (request.responseHeaders.getRawHeaders("content-type") or [""])[0]
         complete = self._size_bytes <= ANSWER_LIMIT_BYTES
@@ -88,76 +88,78 @@
         self._clock = clock
         self._recording: set[Deferred] = set()
 
-    async def run(self, arrival: Arrival, serve: Serve) -> bytes | None:
+    async def run(self, admitted: AdmittedRequest, serve: Serve) -> bytes | None:
         """Serve a request, once for each key when it carries one."""
-        if not arrival.idempotency_key:
-            return await serve(arrival)
-        outcome = await self._claim(arrival)
+        if not admitted.idempotency_key:
+            return await serve(admitted)
+        outcome = await self._claim(admitted)
         if outcome.kind is ClaimKind.DONE:
-            return self._replay(arrival, outcome.answer)
+            return self._replay(admitted, outcome.answer)
         if outcome.kind is not ClaimKind.GRANTED:
-            raise RefusedError(_refusal_of(outcome))
-        return await self._run_claimed(arrival, serve, outcome.accepted)
+            raise RefusedError(_make_refusal(outcome))
+        return await self._run_claimed(admitted, serve, outcome.accepted)
 
     async def settle(self) -> None:
         """Wait until every outcome was offered to the holders."""
         while self._recording:
             await next(iter(self._recording))
 
-    async def _claim(self, arrival: Arrival) -> ClaimOutcome:
+    async def _claim(self, admitted: AdmittedRequest) -> ClaimOutcome:
         """Claim the key of a request."""
         if self._claims is None:
             detail = "no claim holder is configured for idempotency keys"
             refusal = Refusal(Reason.NO_QUORUM, Verdict.NOT_RUN, detail, _RETRY_AFTER_S)
             raise RefusedError(refusal)
-        request = arrival.request
+        request = admitted.request
         body = request.content.read()
         request.content.seek(0)
         digest = request_digest(
             request.method.decode("latin-1"), request.uri.decode("latin-1"), body
         )
-        key = claim_key(arrival.account.name, arrival.idempotency_key)
-        timeout_s = min(_CLAIM_TIMEOUT_S, arrival.deadline_s - self._clock.seconds())
-        claiming = self._claims.claim(key, digest, arrival.request_id, max(timeout_s, 0.0))
+        key = claim_key(admitted.account.name, admitted.idempotency_key)
+        timeout_s = min(_CLAIM_TIMEOUT_S, admitted.deadline_s - self._clock.seconds())
+        claiming = self._claims.claim(key, digest, admitted.request_id, max(timeout_s, 0.0))
         outcome = await to_deferred(claiming)
-        arrival.record.noted(f"idempotency key {outcome.kind}", self._clock.seconds())
+        admitted.record.add_event(f"idempotency key {outcome.kind}", self._clock.seconds())
         return outcome
 
-    def _replay(self, arrival: Arrival, answer: StoredAnswer) -> bytes:
+    def _replay(self, admitted: AdmittedRequest, answer: StoredAnswer) -> bytes:
         """Give the first outcome again."""
-        request = arrival.request
+        request = admitted.request
         request.setResponseCode(answer.http_status)
-        set_outcome(request, arrival.request_id, Verdict.RAN)
+        set_outcome(request, admitted.request_id, Verdict.RAN)
         request.setHeader(b"content-type", answer.content_type.encode())
         request.setHeader(b"content-length", str(len(answer.body)).encode())
-        arrival.record.end(Verdict.RAN, None, "answered from its claim", self._clock.seconds())
+        admitted.record.end(Verdict.RAN, None, "answered from its claim", self._clock.seconds())
         return answer.body
 
     async def _run_claimed(
-        self, arrival: Arrival, serve: Serve, accepted: Accepted
+        self, admitted: AdmittedRequest, serve: Serve, accepted: Accepted
     ) -> bytes | None:
         """Serve a request whose key was granted and record how it ended."""
-        capture = _Capture(arrival.request)
+        capture = _Capture(admitted.request)
         outcome = Outcome(Verdict.MAY_HAVE_RUN)
         try:
-            body = await serve(arrival)
+            body = await serve(admitted)
             if body is not None:
-                capture.note(body)
-            ended = arrival.record.ended or {}
+                capture.record(body)
+            ended = admitted.record.ended or {}
             if ended.get("verdict") is Verdict.RAN:
-                outcome = Outcome(Verdict.RAN, capture.answer(arrival.request))
-            del arrival.request.write
+                outcome = Outcome(Verdict.RAN, capture.stored_answer(admitted.request))
+            del admitted.request.write
             return body
         except RefusedError as error:
-            del arrival.request.write
+            del admitted.request.write
             outcome = Outcome(error.refusal.verdict)
             raise
         finally:
-            self._record(arrival, accepted, outcome)
+            self._record_outcome(admitted, accepted, outcome)
 
-    def _record(self, arrival: Arrival, accepted: Accepted, outcome: Outcome) -> None:
+    def _record_outcome(
+        self, admitted: AdmittedRequest, accepted: Accepted, outcome: Outcome
+    ) -> None:
         """Tell the holders how a request ended; the caller need not wait for it."""
-        key = claim_key(arrival.account.name, arrival.idempotency_key)
+        key = claim_key(admitted.account.name, admitted.idempotency_key)
         recording = to_deferred(self._claims.record(key, accepted, outcome, _RECORD_TIMEOUT_S))
         self._recording.add(recording)
 
--- a/packages/router/src/damaskwind/router/membership/codec.py
+++ b/packages/router/src/damaskwind/router/membership/codec.py
@@ -37,9 +37,9 @@
 BODY_LIMIT_BYTES = 16_384
 ZLIB_LEVEL = 1
 _COMPRESSED = "z"
-_RAW_HEAD_BYTES = 3
-_HEAD_BYTES = CLUSTER_BYTES + TAG_BYTES
-_PERSON = b"damaskwind-udp"
+_RAW_HEADER_BYTES = 3
+_HEADER_BYTES = CLUSTER_BYTES + TAG_BYTES
+_PERSONALIZATION = b"damaskwind-udp"
 _KINDS: dict[str, type] = {
     "pr": Probe,
     "ac": Ack,
@@ -120,7 +120,7 @@
         kind = _KIND_OF[type(message)]
         if len(encoded) >= COMPRESS_FROM_BYTES:
             packed = zlib.compress(encoded, ZLIB_LEVEL)
-            if len(packed) + _RAW_HEAD_BYTES < len(encoded):
+            if len(packed) + _RAW_HEADER_BYTES < len(encoded):
                 encoded = self._encoder.encode(packed)
                 kind += _COMPRESSED
         body = msgspec.Raw(encoded)
@@ -135,12 +135,12 @@
         """Return the message of a datagram, or why there is none."""
         if len(datagram) > MAX_DATAGRAM_BYTES:
             return DatagramFault.OVERSIZED
-        if len(datagram) <= _HEAD_BYTES:
+        if len(datagram) <= _HEADER_BYTES:
             return DatagramFault.TRUNCATED
         if datagram[:CLUSTER_BYTES] != self._cluster:
             return DatagramFault.OTHER_CLUSTER
-        payload = datagram[_HEAD_BYTES:]
-        if not compare_digest(datagram[CLUSTER_BYTES:_HEAD_BYTES], self._tag(payload)):
+        payload = datagram[_HEADER_BYTES:]
+        if not compare_digest(datagram[CLUSTER_BYTES:_HEADER_BYTES], self._tag(payload)):
             return DatagramFault.WRONG_KEY
         try:
             envelope = self._envelopes.decode(payload)
@@ -162,6 +162,8 @@
 
     def _tag(self, payload: bytes) -> bytes:
         """Return the tag of a payload, which covers the cluster too."""
-        hashed = blake2b(self._cluster, digest_size=TAG_BYTES, key=self._key, person=_PERSON)
+        hashed = blake2b(
+            self._cluster, digest_size=TAG_BYTES, key=self._key, person=_PERSONALIZATION
+        )
         hashed.update(payload)
         return hashed.digest()
--- a/packages/router/src/damaskwind/router/membership/node.py
+++ b/packages/router/src/damaskwind/router/membership/node.py
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        me: RouterRecord,
+        own_record: RouterRecord,
         cluster: str,
         cluster_key: str,
         seeds: tuple[Address, ...],
@@ -66,12 +66,12 @@
         near_domains: Iterable[str] = (),
     ) -> None:
         parameters = parameters or MembershipParameters()
-        self.core = MembershipCore(me, seeds, random, now_s, parameters, near_domains)
+        self.core = MembershipCore(own_record, seeds, random, now_s, parameters, near_domains)
         self.pacer = ControlPacer(parameters.control_bytes_per_s, now_s)
         self.oversized_sends = 0
         self.faults: Counter[DatagramFault] = Counter()
         self.handler: Callable[[Event], None] = lambda event: None
-        self._codec = Codec(me.router_id, cluster, cluster_key)
+        self._codec = Codec(own_record.router_id, cluster, cluster_key)
         self._kinds: dict[str, Callable[[str, bytes], None]] = {}
 
     def announce(
@@ -80,7 +80,7 @@
         """Take a target's announcement, which cost `body_bytes` to receive."""
         self.pacer.received(body_bytes, "announcement", now_s, HTTP_OVERHEAD_BYTES)
         outcome, output = self.core.announce(announcement, now_s)
-        self._take(output, now_s)
+        self._apply_output(output, now_s)
         return outcome
 
     def receive(self, payload: bytes, source: Address, now_s: float) -> list[Datagram]:
@@ -93,7 +93,7 @@
         message = received.message
         if isinstance(message, Custom):
             self.pacer.received(len(payload), message.kind, now_s)
-            self._take_custom(received.sender_id, message)
+            self._dispatch_custom(received.sender_id, message)
             return []
         self.pacer.received(len(payload), _kind_name(message), now_s)
         output = self.core.receive(
@@ -104,17 +104,17 @@
             now_s,
             self.pacer.headroom_bytes(now_s),
         )
-        self._take(output, now_s)
+        self._apply_output(output, now_s)
         return self.release(now_s)
 
     def tick(self, now_s: float) -> list[Datagram]:
         """Do what time asks for; return the datagrams that may go now."""
-        self._take(self.core.tick(now_s, self.pacer.headroom_bytes(now_s)), now_s)
+        self._apply_output(self.core.tick(now_s, self.pacer.headroom_bytes(now_s)), now_s)
         return self.release(now_s)
 
     def leave(self, now_s: float) -> list[Datagram]:
         """Say good-bye."""
-        self._take(self.core.leave(now_s), now_s)
+        self._apply_output(self.core.leave(now_s), now_s)
         return self.release(now_s)
 
     def observe_load(self, target_id: str, report: LoadReport, now_s: float) -> None:
@@ -139,43 +139,43 @@
         if len(payload) > CUSTOM_LIMIT_BYTES:
             raise MessageError(f"a payload of {len(payload)} bytes is too large")
         send = Send(router_id, record.address, Custom(kind, payload), urgency)
-        self._offer(send, now_s)
+        self._enqueue(send, now_s)
         return True
 
     def release(self, now_s: float) -> list[Datagram]:
         """Return the datagrams that may go now."""
-        going = [queued.datagram for queued in self.pacer.pop_ready(now_s)]
+        ready = [queued.datagram for queued in self.pacer.pop_ready(now_s)]
         for queued in self.pacer.pop_dropped():
             self.core.handle_dropped(queued.send)
-        return going
+        return ready
 
-    def _take(self, output: Output, now_s: float) -> None:
+    def _apply_output(self, output: Output, now_s: float) -> None:
         """Queue the sends of an output and hand its events on."""
         for send in output.sends:
-            self._offer(send, now_s)
+            self._enqueue(send, now_s)
         for event in output.events:
             self.handler(event)
 
-    def _offer(self, send: Send, now_s: float) -> None:
+    def _enqueue(self, send: Send, now_s: float) -> None:
         """Encode a send and queue it."""
         message = send.message
         incarnation = self.core.router_table.own_record.incarnation
         try:
             payload = self._codec.encode(message, incarnation)
         except MessageError:
-            self._offer_halves(send, now_s)
+            self._enqueue_halves(send, now_s)
             return
         queued = _Queued(Datagram(payload, send.address), send)
         self.pacer.offer(queued, len(payload), send.urgency, _kind_name(message), now_s)
 
-    def _offer_halves(self, send: Send, now_s: float) -> None:
+    def _enqueue_halves(self, send: Send, now_s: float) -> None:
         """Queue news that compressed less than expected as two datagrams."""
         halves = split_updates(send.message) if isinstance(send.message, News) else ()
         self.oversized_sends += not halves
         for half in halves:
-            self._offer(send._replace(message=half), now_s)
+            self._enqueue(send._replace(message=half), now_s)
 
-    def _take_custom(self, sender_id: str, message: Custom) -> None:
+    def _dispatch_custom(self, sender_id: str, message: Custom) -> None:
         """Hand a datagram of another part to its handler."""
         handler = self._kinds.get(message.kind)
         if handler is None:
--- a/packages/router/src/damaskwind/router/membership/replay.py
+++ b/packages/router/src/damaskwind/router/membership/replay.py
@@ -36,7 +36,7 @@
         self.highest = highest
         self.seen = 1
 
-    def take(self, sequence: int) -> bool:
+    def accept(self, sequence: int) -> bool:
         """Take a sequence; tell whether it was new."""
         ahead = sequence - self.highest
         if ahead > 0:
@@ -67,4 +67,4 @@
             return ReplayOutcome.FRESH
         if incarnation < window.incarnation:
             return ReplayOutcome.OLD_INCARNATION
-        return ReplayOutcome.FRESH if window.take(sequence) else ReplayOutcome.REPLAYED
+        return ReplayOutcome.FRESH if window.accept(sequence) else ReplayOutcome.REPLAYED
--- a/packages/router/src/damaskwind/router/membership/service.py
+++ b/packages/router/src/damaskwind/router/membership/service.py
@@ -41,15 +41,15 @@
     near_domains: tuple[str, ...] = ()
 
 
-class _Port(DatagramProtocol):
+class _DatagramReceiver(DatagramProtocol):
     """Hand datagrams to the service."""
 
     def __init__(self, received: Callable[[bytes, Address], None]) -> None:
-        self._received = received
+        self._handle_datagram = received
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
         """Take a datagram from Twisted."""
-        self._received(datagram, Address(*addr[:2]))
+        self._handle_datagram(datagram, Address(*addr[:2]))
 
 
 class MembershipService:
@@ -92,7 +92,7 @@
     def start(self) -> Address:
         """Open the socket and return its address."""
         host, port = self._settings.address
-        protocol = _Port(self._received)
+        protocol = _DatagramReceiver(self._handle_datagram)
         self._listener = self._reactor.listenUDP(
             port, protocol, interface=host, maxPacketSize=_MAX_PACKET_BYTES
         )
@@ -106,7 +106,7 @@
     def _make_node(self, address: Address) -> GossipNode:
         """Make the node once the port is known."""
         settings = self._settings
-        me = RouterRecord(
+        own_record = RouterRecord(
             settings.router_id,
             time.time_ns() // 1_000_000,
             RouterState.ALIVE,
@@ -115,7 +115,7 @@
             settings.peer_address,
         )
         node = GossipNode(
-            me,
+            own_record,
             settings.cluster,
             settings.cluster_key,
             settings.seeds,
@@ -133,7 +133,7 @@
             return None
         if self._ticking.running:
             self._ticking.stop()
-        self._post(self.node.leave(self._clock()))
+        self._send_datagrams(self.node.leave(self._clock()))
         listener, self._listener = self._listener, None
         return listener.stopListening()
 
@@ -145,7 +145,7 @@
         """Take a target's announcement, which cost `body_bytes` on the wire."""
         now_s = self._clock()
         outcome = self.node.announce(announcement, body_bytes, now_s)
-        self._post(self.node.release(now_s))
+        self._send_datagrams(self.node.release(now_s))
         return outcome
 
     def next_announcement_s(self, lease_s: float) -> float:
@@ -174,7 +174,7 @@
         """Queue a datagram of another part; `False` when the router is unknown."""
         now_s = self._clock()
         queued = self.node.send(kind, router_id, payload, urgency, now_s)
-        self._post(self.node.release(now_s))
+        self._send_datagrams(self.node.release(now_s))
         return queued
 
     def count_control(self, kind: str, sent_bytes: int, received_bytes: int) -> None:
@@ -212,13 +212,13 @@
 
     def _tick(self) -> None:
         """Do what time asks for."""
-        self._post(self.node.tick(self._clock()))
+        self._send_datagrams(self.node.tick(self._clock()))
 
-    def _received(self, payload: bytes, source: Address) -> None:
+    def _handle_datagram(self, payload: bytes, source: Address) -> None:
         """Take a datagram."""
-        self._post(self.node.receive(payload, source, self._clock()))
+        self._send_datagrams(self.node.receive(payload, source, self._clock()))
 
-    def _post(self, datagrams: list[Datagram]) -> None:
+    def _send_datagrams(self, datagrams: list[Datagram]) -> None:
         """Put datagrams on the wire; one that can't be sent counts as lost."""
         for datagram in datagrams:
             try:
--- a/packages/router/src/damaskwind/router/operator_api.py
+++ b/packages/router/src/damaskwind/router/operator_api.py
@@ -18,10 +18,10 @@
 from damaskwind.router.gateway import Gateway
 from damaskwind.router.peer_addresses import PeerAddresses
 from damaskwind.router.placing import Placing
-from damaskwind.router.target_client import AttemptError, TargetCall, TargetClient, path_of
+from damaskwind.router.target_client import AttemptError, TargetCall, TargetClient, build_path
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_signals import TargetWishes
+from damaskwind.router.target_signals import TargetSignalTracker
 from damaskwind.router.telemetry import Telemetry
 
 __all__ = ["OperatorApi", "Sources"]
@@ -29,7 +29,7 @@
 _DRAIN_ROLES = frozenset(("planner", "confirmer"))
 _FORWARD_TIMEOUT_S = 5.0
 _ANSWER_LIMIT_BYTES = 1_048_576
-_LAST_SEQUENCE = 2**31 - 1
+_MAX_SEQUENCE = 2**31 - 1
 _FORWARDED = "x-forwarded-by"
 
 
@@ -38,12 +38,12 @@
     return RefusedError(Refusal(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail))
 
 
-def _leave_of(view: TargetView) -> TargetAnnouncement:
+def _make_leave(view: TargetView) -> TargetAnnouncement:
     """Make the announcement that a target would make to leave; it ends its incarnation."""
     return TargetAnnouncement(
         target_id=view.target_id,
         incarnation=view.incarnation,
-        sequence=_LAST_SEQUENCE,
+        sequence=_MAX_SEQUENCE,
         kind=view.kind,
         service=view.service,
         failure_domain=view.failure_domain,
@@ -63,7 +63,7 @@
     explain: ExplainLog
     directory: TargetDirectory
     health: TargetHealth
-    wishes: TargetWishes
+    signals: TargetSignalTracker
     placing: Placing
     membership: Any
     client: TargetClient
@@ -88,7 +88,7 @@
         app.route(f"{root}/router", methods=["GET"])(self.router)
         app.route("/metrics", methods=["GET"])(self.metrics)
 
-    def _check(self, request: Any, roles: frozenset[str] = frozenset()) -> None:
+    def _authorize(self, request: Any, roles: frozenset[str] = frozenset()) -> None:
         """Raise `RefusedError` unless an operator asks who has one of the roles."""
         operators = operator_index(self._sources.gateway.configuration)
         operator = operators.owner(bearer_key(request.getHeader("authorization")))
@@ -98,7 +98,7 @@
 
     def explain(self, request: Any, request_id: str) -> bytes | Deferred:
         """Tell what was done with a request, here or at the router that its id names."""
-        self._check(request)
+        self._authorize(request)
         record = self._sources.explain.find(request_id)
         if record is not None:
             return answer_json(
@@ -112,14 +112,14 @@
 
     async def _forward(self, request: Any, request_id: str, router_id: str) -> bytes:
         """Ask the router that a request id names."""
-        address = await self._sources.peers.ask(router_id)
+        address = await self._sources.peers.request_address(router_id)
         if address is None:
             detail = f"router '{router_id}' can't be asked about request '{request_id}'"
             refusal = Refusal(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail)
             return refuse(request, request.request_id, refusal)
         headers = Headers({"authorization": [request.getHeader("authorization")]})
         headers.setRawHeaders(_FORWARDED, [self._sources.router_id])
-        path = path_of("operator", "v1", "requests", request_id)
+        path = build_path("operator", "v1", "requests", request_id)
         try:
             response = await self._sources.client.send(
                 TargetCall(b"GET", address, path, headers), _FORWARD_TIMEOUT_S
@@ -134,14 +134,16 @@
 
     def targets(self, request: Any) -> bytes:
         """List the targets that this router knows."""
-        self._check(request)
-        return answer_json(request, 200, {"targets": [self._shown(v) for v in self._sorted()]})
+        self._authorize(request)
+        return answer_json(
+            request, 200, {"targets": [self._describe_target(v) for v in self._sorted()]}
+        )
 
     def _sorted(self) -> list[TargetView]:
         """Return the targets by id."""
         return sorted(self._sources.directory.views(), key=lambda view: view.target_id)
 
-    def _shown(self, view: TargetView) -> dict[str, Any]:
+    def _describe_target(self, view: TargetView) -> dict[str, Any]:
         """Return one target as operators see it."""
         now_s = self._clock.seconds()
         estimate = self._sources.directory.placers[view.kind].estimate_tokens(view.target_id, now_s)
@@ -154,7 +156,7 @@
             "state": view.state,
             "incarnation": view.incarnation,
             "circuit": self._sources.health.state(view.service, view.target_id),
-            "wish": self._sources.wishes.of(view),
+            "wish": self._sources.signals.signal(view),
             "estimated_load_tokens": round(estimate, 1),
             "requests_in_flight_here": self._sources.placing.in_flight.get(view.target_id, 0),
             "models": [f"{offer.model}@{offer.version}" for offer in view.models],
@@ -165,17 +167,17 @@
 
         It holds for the target's present incarnation: a restart brings it back.
         """
-        self._check(request, _DRAIN_ROLES)
+        self._authorize(request, _DRAIN_ROLES)
         view = self._sources.directory.find(target_id)
         if view is None:
             raise _not_found(f"target '{target_id}' is not known here, or already gone")
-        self._sources.membership.announce(_leave_of(view), 0)
+        self._sources.membership.announce(_make_leave(view), 0)
         answer = {"target_id": target_id, "incarnation": view.incarnation, "state": "leaving"}
         return answer_json(request, 200, answer)
 
     def router(self, request: Any) -> bytes:
         """Tell the state of this router."""
-        self._check(request)
+        self._authorize(request)
         return answer_json(request, 200, self._sources.own_state())
 
     def metrics(self, request: Any) -> bytes:
--- a/packages/router/src/damaskwind/router/peer_addresses.py
+++ b/packages/router/src/damaskwind/router/peer_addresses.py
@@ -10,7 +10,7 @@
 __all__ = ["PeerAddresses"]
 
 KIND = "http"
-_ASK = b"?"
+_QUERY = b"?"
 _TIMEOUT_S = 1.0
 
 
@@ -22,16 +22,16 @@
         self._clock = clock
         self._waiting: dict[str, list[Deferred]] = {}
         self.own_address = ""
-        membership.register_kind(KIND, self._heard)
+        membership.register_kind(KIND, self._receive)
 
-    def ask(self, router_id: str) -> Deferred:
+    def request_address(self, router_id: str) -> Deferred:
         """Return a Deferred with a router's address, or `None` when it stays silent."""
         answer: Deferred = Deferred()
-        if not self._membership.send(KIND, router_id, _ASK, Urgency.REPAIR):
+        if not self._membership.send(KIND, router_id, _QUERY, Urgency.REPAIR):
             answer.callback(None)
             return answer
         self._waiting.setdefault(router_id, []).append(answer)
-        timer = self._clock.callLater(_TIMEOUT_S, self._tell, router_id, None)
+        timer = self._clock.callLater(_TIMEOUT_S, self._resolve, router_id, None)
 
         def stop_timer(result: Any) -> Any:
             if timer.active():
@@ -40,9 +40,9 @@
 
         return answer.addBoth(stop_timer)
 
-    def _heard(self, router_id: str, payload: bytes) -> None:
+    def _receive(self, router_id: str, payload: bytes) -> None:
         """Answer a question, or take an answer in."""
-        if payload == _ASK:
+        if payload == _QUERY:
             own = self.own_address.encode()
             self._membership.send(KIND, router_id, own, Urgency.REPAIR)
             return
@@ -50,9 +50,9 @@
             address = parse_address(payload.decode("ascii"))
         except (ValueError, UnicodeDecodeError):
             return
-        self._tell(router_id, address)
+        self._resolve(router_id, address)
 
-    def _tell(self, router_id: str, address: Any) -> None:
+    def _resolve(self, router_id: str, address: Any) -> None:
         """Tell everybody who asked for a router's address."""
         for answer in self._waiting.pop(router_id, []):
             answer.callback(address)
--- a/packages/router/src/damaskwind/router/placing.py
+++ b/packages/router/src/damaskwind/router/placing.py
@@ -11,18 +11,18 @@
 from damaskwind.model.reason import Reason
 from damaskwind.model.targets import TargetKind, TargetView
 from damaskwind.model.verdict import Refusal, Verdict
-from damaskwind.router.request_queues import WaitingRoom
+from damaskwind.router.request_queues import RequestQueues
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_signals import TargetWishes
-from damaskwind.router.work import Work
+from damaskwind.router.target_signals import TargetSignalTracker
+from damaskwind.router.work import WorkItem
 
 __all__ = ["Placing"]
 
 _NO_TARGET_RETRY_S = 2.0
-_RETURN_SPREAD_S = 0.5
+_RETRY_JITTER_S = 0.5
 # Plain services are drawn at random: their targets have no rank.
-_RANKED_SHOWN = {TargetKind.ENGINE: 4, TargetKind.SERVICE: 0}
+_RANKED_TARGETS = {TargetKind.ENGINE: 4, TargetKind.SERVICE: 0}
 
 
 class Placing:
@@ -36,8 +36,8 @@
         self,
         directory: TargetDirectory,
         health: TargetHealth,
-        wishes: TargetWishes,
-        room: WaitingRoom,
+        signals: TargetSignalTracker,
+        queues: RequestQueues,
         configuration: Callable[[], Configuration],
         clock: Any,
         random: Random,
@@ -45,53 +45,55 @@
         self._random = random
         self._directory = directory
         self._health = health
-        self._wishes = wishes
-        self._room = room
+        self._signals = signals
+        self._queues = queues
         self._configuration = configuration
         self._clock = clock
         self.in_flight: Counter[str] = Counter()
-        directory.watch(room.room_changed)
+        directory.watch(queues.capacity_changed)
 
-    async def place(self, work: Work, tried: frozenset[str]) -> TargetView:
+    async def place(self, work: WorkItem, tried: frozenset[str]) -> TargetView:
         """Return a target that was counted as started; raise `RefusedError` else."""
         service = work.query.pool.service
-        if self._room.is_empty(service):
-            target = self._attempt(work, tried)
+        if self._queues.is_empty(service):
+            target = self._try_place(work, tried)
             if target is not None:
                 return target
         name = work.priority.name
         request = QueuedRequest(work.request_id, work.account.name, name, work.deadline_s)
-        work.record.noted("queued", self._clock.seconds())
-        return await self._room.wait(
-            service, request, lambda: self._attempt(work, tried, again=True), work.caller
+        work.record.add_event("queued", self._clock.seconds())
+        return await self._queues.wait(
+            service, request, lambda: self._try_place(work, tried, is_retry=True), work.caller
         )
 
-    def end(self, work: Work, target: TargetView, done: bool) -> None:
+    def end(self, work: WorkItem, target: TargetView, done: bool) -> None:
         """Count a request out of its target."""
         self.in_flight[target.target_id] -= 1
         if not self.in_flight[target.target_id]:
             del self.in_flight[target.target_id]
         self._directory.placers[work.kind].finished(work.request_id, done, self._clock.seconds())
-        self._directory.room_changed()
+        self._directory.capacity_changed()
 
-    def _attempt(self, work: Work, tried: frozenset[str], again: bool = False) -> TargetView | None:
+    def _try_place(
+        self, work: WorkItem, tried: frozenset[str], is_retry: bool = False
+    ) -> TargetView | None:
         """Choose a target now, or `None` to wait; raise `RefusedError` when none exists."""
         now_s = self._clock.seconds()
-        barred = self._wishes.barred()
+        unavailable = self._signals.paused_or_leaving()
         ejected = self._health.ejected(work.query.pool.service)
-        excluded = tried | barred | ejected | self._full(work)
+        excluded = tried | unavailable | ejected | self._full_targets(work)
         placer = self._directory.placers[work.kind]
         query = work.query._replace(excluded=excluded)
         choice = placer.place(query, now_s)
         target = self._directory.find(choice.target_id) if choice.target_id else None
-        if target is not None or not again:
-            survey = placer.pool_snapshot(query, _RANKED_SHOWN[work.kind], now_s)
-            work.record.chose(choice, survey, now_s)
+        if target is not None or not is_retry:
+            snapshot = placer.pool_snapshot(query, _RANKED_TARGETS[work.kind], now_s)
+            work.record.record_choice(choice, snapshot, now_s)
         if target is None:
-            if not again:
+            if not is_retry:
                 self._check_exists(work, tried)
-            if barred:
-                self._check_wishes(work, tried | barred)
+            if unavailable:
+                self._check_available(work, tried | unavailable)
             return None
         self.in_flight[target.target_id] += 1
         self._health.note_sent(target)
@@ -104,7 +106,7 @@
         )
         return target
 
-    def _full(self, work: Work) -> frozenset[str]:
+    def _full_targets(self, work: WorkItem) -> frozenset[str]:
         """Return the targets of the pool that have all the requests they may have from here."""
         if not self.in_flight:
             return frozenset()
@@ -114,18 +116,18 @@
         limit = service.max_concurrent_requests
         return frozenset(name for name, count in self.in_flight.items() if count >= limit)
 
-    def _check_exists(self, work: Work, tried: frozenset[str]) -> None:
+    def _check_exists(self, work: WorkItem, tried: frozenset[str]) -> None:
         """Raise `RefusedError` when no wait helps: nobody serves this who was not tried."""
         if not self._directory.serves(work.query.pool, tried):
             detail = "no live target can serve this request"
             refusal = Refusal(Reason.NO_TARGET, Verdict.NOT_RUN, detail, _NO_TARGET_RETRY_S)
             raise RefusedError(refusal)
 
-    def _check_wishes(self, work: Work, out: frozenset[str]) -> None:
+    def _check_available(self, work: WorkItem, excluded: frozenset[str]) -> None:
         """Raise `RefusedError` when all who serve this and were not tried want no requests."""
-        if not self._directory.serves(work.query.pool, out):
+        if not self._directory.serves(work.query.pool, excluded):
             detail = "every live target that can serve this request wants none now"
-            rest_left_s = self._wishes.rest_left_s(self._directory.offering(work.query.pool))
+            rest_left_s = self._signals.rest_left_s(self._directory.offering(work.query.pool))
             retry_s = _NO_TARGET_RETRY_S if rest_left_s is None else rest_left_s
-            retry_s += self._random.uniform(0.0, _RETURN_SPREAD_S)
+            retry_s += self._random.uniform(0.0, _RETRY_JITTER_S)
             raise RefusedError(Refusal(Reason.NO_TARGET, Verdict.NOT_RUN, detail, retry_s))
--- a/packages/router/src/damaskwind/router/process.py
+++ b/packages/router/src/damaskwind/router/process.py
@@ -25,18 +25,18 @@
 from damaskwind.router.explain import ExplainLog
 from damaskwind.router.failure_domains import all_failure_domains, near_failure_domains
 from damaskwind.router.fleet_links import FleetLinks
-from damaskwind.router.front import Front
+from damaskwind.router.front import HttpFrontend
 from damaskwind.router.gateway import Gateway
 from damaskwind.router.idempotency import Idempotency
 from damaskwind.router.operator_api import OperatorApi, Sources
 from damaskwind.router.peer_addresses import PeerAddresses
 from damaskwind.router.placing import Placing
-from damaskwind.router.request_queues import WaitingRoom
+from damaskwind.router.request_queues import RequestQueues
 from damaskwind.router.service_path import ServicePath
 from damaskwind.router.target_client import TargetClient
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_signals import TargetWishes
+from damaskwind.router.target_signals import TargetSignalTracker
 from damaskwind.router.telemetry import Telemetry
 from damaskwind.runtime.bridge import to_future
 from damaskwind.runtime.files import write_ready_file
@@ -62,9 +62,9 @@
         self.client = TargetClient(reactor)
         self.telemetry = Telemetry(settings.node.node_id)
         self._make_decisions(random)
-        self._make_front()
-        self._spilling = LoopingCall(self._publish_spills)
-        self._spilling.clock = reactor
+        self._make_frontend()
+        self._spill_notes_loop = LoopingCall(self._publish_spill_notes)
+        self._spill_notes_loop.clock = reactor
         self._drain: Drain | None = None
         self._stopping: asyncio.Future | None = None
 
@@ -75,15 +75,15 @@
         self.explain = ExplainLog(settings.router.explain_records)
         self.idempotency = Idempotency(self.links.claims, reactor)
         self.gateway = Gateway(self.explain, self.idempotency, reactor)
-        self.gateway.ended = self.telemetry.request_ended
+        self.gateway.on_request_ended = self.telemetry.request_ended
         policy = self.gateway.configuration.policy
         self.directory = TargetDirectory(
             node.node_id, node.failure_domain, self._near_domains, policy, reactor, random
         )
         self.health = TargetHealth(reactor, random)
-        self.wishes = TargetWishes(self.directory.find, reactor)
-        self.directory.members_watcher = self.health.set_targets
-        self.room = WaitingRoom(reactor)
+        self.signals = TargetSignalTracker(self.directory.find, reactor)
+        self.directory.on_members_changed = self.health.set_targets
+        self.queues = RequestQueues(reactor)
         self.limits = AccountLimits(
             node.node_id,
             node.failure_domain,
@@ -95,33 +95,33 @@
         self.placing = Placing(
             self.directory,
             self.health,
-            self.wishes,
-            self.room,
+            self.signals,
+            self.queues,
             lambda: self.gateway.configuration,
             reactor,
             random,
         )
         self.dispatcher = Dispatcher(
-            self.placing, self.limits, self.health, self.wishes, reactor, random
+            self.placing, self.limits, self.health, self.signals, reactor, random
         )
-        self.dispatcher.attempt_ended = self.telemetry.attempt_ended
+        self.dispatcher.on_attempt_ended = self.telemetry.attempt_ended
 
-    def _make_front(self) -> None:
+    def _make_frontend(self) -> None:
         """Make what callers, targets and operators talk to."""
         router, reactor = self.settings.router, self._reactor
         announcements = Announcements(self.membership, router.announce_key, self._observe_load)
-        front = Front(
+        frontend = HttpFrontend(
             self.gateway, self._chat_path(), self._service_path(), announcements, self.not_ready
         )
         self.peers = PeerAddresses(self.membership, reactor)
-        OperatorApi(self._operator_sources(), reactor).install(front.app)
+        OperatorApi(self._operator_sources(), reactor).install(frontend.app)
         limits = CallerLimits(
             router.header_timeout_s,
             router.body_timeout_s,
             lambda: self.gateway.configuration.policy.body_limit_bytes,
             self._new_request_id,
         )
-        self.site = CallerSite(front.app.resource(), limits, reactor)
+        self.site = CallerSite(frontend.app.resource(), limits, reactor)
         self.http_address = parse_address(router.http_address)
 
     def _chat_path(self) -> ChatPath:
@@ -154,7 +154,7 @@
             explain=self.explain,
             directory=self.directory,
             health=self.health,
-            wishes=self.wishes,
+            signals=self.signals,
             placing=self.placing,
             membership=self.membership,
             client=self.client,
@@ -182,10 +182,10 @@
         self.directory.set_policy(configuration.policy)
         self.health.set_policy(configuration.policy)
         self.dispatcher.set_policy(configuration.policy)
-        self.room.set_classes(configuration.priority_classes)
+        self.queues.set_classes(configuration.priority_classes)
         self.limits.set_configuration(configuration)
         self.gateway.set_configuration(configuration)
-        self.directory.room_changed()
+        self.directory.capacity_changed()
 
     def _handle_event(self, event: Event) -> None:
         """Take in an event of the membership."""
@@ -201,14 +201,14 @@
     def _observe_load(self, target_id: str, report: LoadReport) -> None:
         """Take in a load that a target announced here."""
         self.directory.observe_report(target_id, report)
-        self.directory.room_changed()
+        self.directory.capacity_changed()
 
     def _observe_answer(self, target_id: str, report: LoadReport) -> None:
         """Take in a load that came with an engine's answer, and tell the peers."""
         self.directory.observe_report(target_id, report)
         self.membership.observe_load(target_id, report)
 
-    def _publish_spills(self) -> None:
+    def _publish_spill_notes(self) -> None:
         """Tell the peers of this failure domain where chats went that left home."""
         notes = self.directory.pop_spill_notes()
         if notes:
@@ -220,8 +220,8 @@
         file = self.settings.router.configuration_file
         if file:
             self.apply(read_configuration_file(Path(file)))
-        self._spilling.start(_SPILL_INTERVAL_S, now=False)
-        self.telemetry.watch_parts(self.gateway, self.room, self.directory, self.explain)
+        self._spill_notes_loop.start(_SPILL_INTERVAL_S, now=False)
+        self.telemetry.watch_components(self.gateway, self.queues, self.directory, self.explain)
         self.telemetry.watch_control(self.membership.counters)
         if self.links.claims is not None:
             self.telemetry.watch_claims(self.links.claims)
@@ -259,7 +259,7 @@
             "ready": not self.not_ready(),
             "not_ready_because": self.not_ready(),
             "requests_in_progress": self.gateway.in_progress,
-            "requests_queued": len(self.room),
+            "requests_queued": len(self.queues),
             "targets": len(self.directory.views()),
             "routers": sorted(router.router_id for router in self.membership.routers()),
             "addresses": self.addresses(),
@@ -275,7 +275,7 @@
     async def _stop(self) -> None:
         """Do what `stop` says."""
         await to_future(self._drain.stop())
-        self._spilling.stop()
+        self._spill_notes_loop.stop()
         self.limits.stop()
         await to_future(ensureDeferred(self.client.close()))
         await to_future(ensureDeferred(self.idempotency.settle()))
--- a/packages/router/src/damaskwind/router/request_queues.py
+++ b/packages/router/src/damaskwind/router/request_queues.py
@@ -15,7 +15,7 @@
 from damaskwind.model.exception import RefusedError
 from damaskwind.router.caller import Caller
 
-__all__ = ["WaitingRoom"]
+__all__ = ["RequestQueues"]
 
 _QUEUE_LIMIT_REQUESTS = 1000
 _PUMP_INTERVAL_S = 0.05
@@ -30,7 +30,7 @@
     served: Deferred
 
 
-class WaitingRoom:
+class RequestQueues:
     """The queues of all pools and the timers that they need."""
 
     def __init__(self, clock: Any) -> None:
@@ -62,19 +62,19 @@
         `attempt` returns `None` while no target can take the request, and raises
         `RefusedError` when no wait helps.
         """
-        served: Deferred = Deferred(lambda cancelled: self._leave(pool, request.request_id))
+        served: Deferred = Deferred(lambda cancelled: self._remove(pool, request.request_id))
         self._entries[request.request_id] = _Entry(attempt, served)
         queue = self._queues.get(pool)
         if queue is None:
             queue = self._queues[pool] = AdmissionQueue(self._classes, _QUEUE_LIMIT_REQUESTS)
         offer = queue.offer(request, self._clock.seconds())
-        self._give_up(offer.refused)
+        self._refuse(offer.refused)
         caller.when_gone(served.cancel)
         if offer.queued:
             self._schedule(_PUMP_DELAY_S)
         return served
 
-    def room_changed(self) -> None:
+    def capacity_changed(self) -> None:
         """Try the waiting requests soon: a target may have got room."""
         if self._entries:
             self._schedule(_PUMP_DELAY_S)
@@ -94,7 +94,7 @@
         now_s = self._clock.seconds()
         for queue in list(self._queues.values()):
             self._serve(queue, now_s)
-            self._give_up(queue.expire(now_s))
+            self._refuse(queue.expire(now_s))
         if self._entries:
             expiries = [queue.next_expiry_s() for queue in self._queues.values()]
             soonest_s = min((at_s for at_s in expiries if at_s is not None), default=now_s)
@@ -120,14 +120,14 @@
             entry = self._entries.pop(request.request_id)
             entry.served.callback(found.pop(request.request_id))
 
-    def _give_up(self, given_up: tuple[RefusedRequest, ...]) -> None:
+    def _refuse(self, refused: tuple[RefusedRequest, ...]) -> None:
         """Tell requests that they are refused."""
-        for one in given_up:
-            entry = self._entries.pop(one.request.request_id, None)
+        for item in refused:
+            entry = self._entries.pop(item.request.request_id, None)
             if entry is not None:
-                entry.served.errback(RefusedError(one.refusal))
+                entry.served.errback(RefusedError(item.refusal))
 
-    def _leave(self, pool: str, request_id: str) -> None:
+    def _remove(self, pool: str, request_id: str) -> None:
         """Strike off a request whose caller went away."""
         if self._entries.pop(request_id, None) is not None:
             self._queues[pool].remove(request_id)
--- a/packages/router/src/damaskwind/router/service_path.py
+++ b/packages/router/src/damaskwind/router/service_path.py
@@ -13,16 +13,16 @@
 from damaskwind.model.reason import Reason
 from damaskwind.model.targets import TargetKind, TargetView
 from damaskwind.model.verdict import Refusal, Verdict
-from damaskwind.router.admitted_request import Arrival
+from damaskwind.router.admitted_request import AdmittedRequest
 from damaskwind.router.answer_body import discard, read_whole
 from damaskwind.router.answers import set_outcome
 from damaskwind.router.caller_request import BUFFERED_BYTES, SERVICES_PREFIX
-from damaskwind.router.dispatcher import Dispatcher, Placed
+from damaskwind.router.dispatcher import Dispatcher, TargetAnswer
 from damaskwind.router.engine_client import check_not_run, header_text
 from damaskwind.router.event_stream import PassThrough
 from damaskwind.router.stream_relay import RelayEnd, StreamRelay
 from damaskwind.router.target_client import AttemptError, BytesProducer, TargetCall, TargetClient
-from damaskwind.router.work import Work
+from damaskwind.router.work import WorkItem
 
 __all__ = ["ServicePath"]
 
@@ -30,7 +30,7 @@
 _HOP_BY_HOP = frozenset(
     (b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization", b"te")
 ) | frozenset((b"trailer", b"transfer-encoding", b"upgrade", b"content-length"))
-_ROUTERS_OWN = frozenset(
+_ROUTER_HEADERS = frozenset(
     (b"authorization", b"host", b"expect", b"x-timeout-s", b"x-request-id", b"x-verdict")
 ) | frozenset((b"x-client-account", b"idempotency-key"))
 _NO_BODY_STATUSES = (204, 304)
@@ -67,15 +67,15 @@
     return max(matching, key=lambda route: len(route.path_prefix), default=_DEFAULT_ROUTE)
 
 
-def parse_call(arrival: Arrival) -> ServiceCall:
+def parse_call(admitted: AdmittedRequest) -> ServiceCall:
     """Find the service and route that a request names."""
-    request = arrival.request
+    request = admitted.request
     rest = request.uri[len(SERVICES_PREFIX) :]
     end = min(index for index in (rest.find(b"/"), rest.find(b"?"), len(rest)) if index >= 0)
     name = unquote(rest[:end].decode("latin-1"))
     path = rest[end:] if rest[end : end + 1] == b"/" else b"/" + rest[end:]
-    service = arrival.configuration.services.get(name)
-    allowed = service is not None and name in arrival.account.services
+    service = admitted.configuration.services.get(name)
+    allowed = service is not None and name in admitted.account.services
     if not allowed or service.kind != TargetKind.SERVICE:
         raise _unknown_service(name)
     route = find_route(
@@ -84,15 +84,15 @@
     return ServiceCall(service, path, route)
 
 
-def _dropped(headers: Headers) -> set[bytes]:
+def _hop_headers(headers: Headers) -> set[bytes]:
     """Name the headers that end at this hop, those named in `Connection` among them."""
     named = headers.getRawHeaders(b"connection") or []
     return {token.strip().lower() for value in named for token in value.split(b",")}
 
 
-def _end_to_end(headers: Headers, own: frozenset[bytes]) -> Headers:
+def _forwarded_headers(headers: Headers, own: frozenset[bytes]) -> Headers:
     """Copy the headers that go on."""
-    dropped = _HOP_BY_HOP | own | _dropped(headers)
+    dropped = _HOP_BY_HOP | own | _hop_headers(headers)
     passed = Headers()
     for name, values in headers.getAllRawHeaders():
         if name.lower() not in dropped:
@@ -100,12 +100,12 @@
     return passed
 
 
-class _Call(NamedTuple):
+class _CallContext(NamedTuple):
     """All that one call carries through this module."""
 
-    arrival: Arrival
+    admitted: AdmittedRequest
     call: ServiceCall
-    work: Work
+    work: WorkItem
     body: Any
 
 
@@ -126,60 +126,62 @@
         self._reactor = reactor
         self._stall_timeout_s = stall_timeout_s
 
-    async def serve(self, arrival: Arrival) -> bytes | None:
+    async def serve(self, admitted: AdmittedRequest) -> bytes | None:
         """Answer one call; raise `RefusedError` when nothing was passed on."""
-        call = parse_call(arrival)
-        body = arrival.request.upload or BytesProducer(arrival.request.content.read())
-        one = _Call(arrival, call, self._work(arrival, call), body)
-        placed = await self._dispatcher.run(one.work, lambda target: self._send(one, target))
-        if self._is_small(arrival, placed.response):
-            return await self._whole(one, placed)
-        await self._stream(one, placed)
+        call = parse_call(admitted)
+        body = admitted.request.upload or BytesProducer(admitted.request.content.read())
+        context = _CallContext(admitted, call, self._make_work_item(admitted, call), body)
+        answer = await self._dispatcher.run(
+            context.work, lambda target: self._send(context, target)
+        )
+        if self._is_small(admitted, answer.response):
+            return await self._send_whole(context, answer)
+        await self._send_stream(context, answer)
         return None
 
-    def _work(self, arrival: Arrival, call: ServiceCall) -> Work:
+    def _make_work_item(self, admitted: AdmittedRequest, call: ServiceCall) -> WorkItem:
         """Describe the work that a call is."""
         query = PlacementQuery(
-            chat_digest=arrival.request_id,
+            chat_digest=admitted.request_id,
             prefix_digests=(),
-            account=arrival.account.name,
+            account=admitted.account.name,
             need_tokens=1.0,
             failure_domain=self._failure_domain,
             pool=PoolName(call.service.name),
         )
-        deadline_s = min(arrival.deadline_s, self._reactor.seconds() + call.route.timeout_s)
-        return Work(
-            request_id=arrival.request_id,
+        deadline_s = min(admitted.deadline_s, self._reactor.seconds() + call.route.timeout_s)
+        return WorkItem(
+            request_id=admitted.request_id,
             kind=TargetKind.SERVICE,
-            account=arrival.account,
-            priority=arrival.priority,
+            account=admitted.account,
+            priority=admitted.priority,
             query=query,
-            idempotent=call.route.idempotent and arrival.request.upload is None,
+            idempotent=call.route.idempotent and admitted.request.upload is None,
             total_tokens=0.0,
             deadline_s=deadline_s,
-            record=arrival.record,
-            caller=arrival.caller,
+            record=admitted.record,
+            caller=admitted.caller,
         )
 
-    async def _send(self, one: _Call, target: TargetView) -> IResponse:
+    async def _send(self, context: _CallContext, target: TargetView) -> IResponse:
         """Send a call to one target; a body that was begun can't be sent to another."""
         try:
-            return await self._send_once(one, target)
+            return await self._send_once(context, target)
         except AttemptError as error:
-            error.final = error.final or getattr(one.body, "begun", False)
+            error.final = error.final or getattr(context.body, "begun", False)
             raise
 
-    async def _send_once(self, one: _Call, target: TargetView) -> IResponse:
+    async def _send_once(self, context: _CallContext, target: TargetView) -> IResponse:
         """Send a call and check that the answer belongs to it."""
-        request, work = one.arrival.request, one.work
-        headers = _end_to_end(request.requestHeaders, _ROUTERS_OWN)
+        request, work = context.admitted.request, context.work
+        headers = _forwarded_headers(request.requestHeaders, _ROUTER_HEADERS)
         headers.setRawHeaders(b"x-request-id", [work.request_id.encode()])
         headers.setRawHeaders(b"x-client-account", [work.account.name.encode()])
-        if one.arrival.idempotency_key:
-            headers.setRawHeaders(b"idempotency-key", [one.arrival.idempotency_key.encode()])
-        has_body = one.body.length != 0 or request.method in (b"POST", b"PUT", b"PATCH")
-        body = one.body if has_body else None
-        sent = TargetCall(request.method, target.address, one.call.path, headers, body)
+        if context.admitted.idempotency_key:
+            headers.setRawHeaders(b"idempotency-key", [context.admitted.idempotency_key.encode()])
+        has_body = context.body.length != 0 or request.method in (b"POST", b"PUT", b"PATCH")
+        body = context.body if has_body else None
+        sent = TargetCall(request.method, target.address, context.call.path, headers, body)
         timeout_s = work.deadline_s - self._reactor.seconds()
         response = await self._client.send(sent, timeout_s, work.caller)
         answered_id = header_text(response, "x-request-id")
@@ -190,58 +192,58 @@
         await check_not_run(response, self._reactor)
         return response
 
-    def _is_small(self, arrival: Arrival, response: IResponse) -> bool:
+    def _is_small(self, admitted: AdmittedRequest, response: IResponse) -> bool:
         """Tell whether an answer is read whole, so that its verdict is known at once."""
         known = response.length is not UNKNOWN_LENGTH and response.length <= BUFFERED_BYTES
-        return known or arrival.request.method == b"HEAD" or response.code in _NO_BODY_STATUSES
+        return known or admitted.request.method == b"HEAD" or response.code in _NO_BODY_STATUSES
 
-    def _begin(self, arrival: Arrival, response: IResponse, verdict: Verdict) -> None:
+    def _write_head(self, admitted: AdmittedRequest, response: IResponse, verdict: Verdict) -> None:
         """Set status and headers of the answer."""
-        request = arrival.request
+        request = admitted.request
         request.setResponseCode(response.code, response.phrase)
         own = frozenset((b"x-request-id", b"x-verdict"))
-        for name, values in _end_to_end(response.headers, own).getAllRawHeaders():
+        for name, values in _forwarded_headers(response.headers, own).getAllRawHeaders():
             request.responseHeaders.setRawHeaders(name, values)
         if response.length is not UNKNOWN_LENGTH and response.code not in _NO_BODY_STATUSES:
             request.setHeader(b"content-length", str(response.length).encode())
-        set_outcome(request, arrival.request_id, verdict)
-        if arrival.request.channel is not None and not arrival.request.channel.persistent:
+        set_outcome(request, admitted.request_id, verdict)
+        if admitted.request.channel is not None and not admitted.request.channel.persistent:
             request.setHeader(b"connection", b"close")
 
-    async def _whole(self, one: _Call, placed: Placed) -> bytes:
+    async def _send_whole(self, context: _CallContext, answer: TargetAnswer) -> bytes:
         """Return a small answer whole, or refuse."""
-        work = one.work
+        work = context.work
         timeout_s = work.deadline_s - self._reactor.seconds()
         try:
             body = await read_whole(
-                placed.response, BUFFERED_BYTES, timeout_s, self._reactor, work.caller
+                answer.response, BUFFERED_BYTES, timeout_s, self._reactor, work.caller
             )
         except AttemptError as error:
-            self._dispatcher.finish(work, placed, error.verdict, error.reason, error.detail)
+            self._dispatcher.finish(work, answer, error.verdict, error.reason, error.detail)
             raise RefusedError(Refusal(error.reason, error.verdict, error.detail)) from error
-        verdict = Verdict.RAN if placed.response.code < 500 else Verdict.MAY_HAVE_RUN
-        self._dispatcher.finish(work, placed, verdict)
-        self._begin(one.arrival, placed.response, verdict)
+        verdict = Verdict.RAN if answer.response.code < 500 else Verdict.MAY_HAVE_RUN
+        self._dispatcher.finish(work, answer, verdict)
+        self._write_head(context.admitted, answer.response, verdict)
         work.record.end(verdict, None, "", self._reactor.seconds())
         return body
 
-    async def _stream(self, one: _Call, placed: Placed) -> None:
+    async def _send_stream(self, context: _CallContext, answer: TargetAnswer) -> None:
         """Relay a large answer; one that is cut ends the caller's connection."""
-        arrival, work = one.arrival, one.work
-        self._begin(arrival, placed.response, Verdict.MAY_HAVE_RUN)
+        admitted, work = context.admitted, context.work
+        self._write_head(admitted, answer.response, Verdict.MAY_HAVE_RUN)
         relay = StreamRelay(
-            arrival.request, arrival.caller, PassThrough(), self._reactor, self._stall_timeout_s
+            admitted.request, admitted.caller, PassThrough(), self._reactor, self._stall_timeout_s
         )
-        end = await relay.relay(placed.response)
+        end = await relay.relay(answer.response)
         relay.close()
         if end is RelayEnd.COMPLETE:
-            self._dispatcher.finish(work, placed, Verdict.RAN)
+            self._dispatcher.finish(work, answer, Verdict.RAN)
             work.record.end(Verdict.RAN, None, "", self._reactor.seconds())
             return
         verdict, reason = Verdict.MAY_HAVE_RUN, Reason.ANSWER_CUT
         detail = f"the answer ended early: {end}"
-        self._dispatcher.finish(work, placed, verdict, reason, detail)
+        self._dispatcher.finish(work, answer, verdict, reason, detail)
         work.record.end(verdict, reason, detail, self._reactor.seconds())
-        if not arrival.caller.gone:
-            arrival.request.loseConnection()
-            await arrival.caller.lost()
+        if not admitted.caller.gone:
+            admitted.request.loseConnection()
+            await admitted.caller.lost()
--- a/packages/router/src/damaskwind/router/target_client.py
+++ b/packages/router/src/damaskwind/router/target_client.py
@@ -25,18 +25,18 @@
 from damaskwind.router.caller import Caller
 from damaskwind.router.connection_pool import CheckedConnectionPool
 
-__all__ = ["AttemptError", "BytesProducer", "TargetCall", "TargetClient", "path_of"]
+__all__ = ["AttemptError", "BytesProducer", "TargetCall", "TargetClient", "build_path"]
 
 _CONNECT_TIMEOUT_S = 2.0
 _CLOSE_TIMEOUT_S = 1.0
-_NEVER_CONNECTED = (ConnectError, ConnectingCancelledError, UserError)
+_CONNECT_ERRORS = (ConnectError, ConnectingCancelledError, UserError)
 
 
 class AttemptError(DamaskwindError):
     """One attempt at a target failed; `verdict` says whether it may have run there.
 
     `suspect` is set when the failure speaks against the target's health, `final`
-    when no other target would do better. `said` is what the target asked for.
+    when no other target would do better. `signals` is what the target asked for.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         suspect: bool = True,
         retry_after_s: float | None = None,
         final: bool = False,
-        said: AnswerSignals = NO_SIGNALS,
+        signals: AnswerSignals = NO_SIGNALS,
     ) -> None:
         super().__init__(detail)
         self.verdict = verdict
@@ -56,7 +56,7 @@
         self.suspect = suspect
         self.retry_after_s = retry_after_s
         self.final = final
-        self.said = said
+        self.signals = signals
 
 
 class TargetCall(NamedTuple):
@@ -95,7 +95,7 @@
 
 
 @implementer(IAgentEndpointFactory)
-class _NumberEndpoints:
+class _NumericEndpoints:
     """Connect to IP numbers: no name is ever looked up."""
 
     def __init__(self, reactor: Any) -> None:
@@ -114,7 +114,7 @@
     def __init__(self, reactor: Any) -> None:
         self.clock = IReactorTime(reactor)
         self._pool = CheckedConnectionPool(reactor)
-        self._agent = Agent.usingEndpointFactory(reactor, _NumberEndpoints(reactor), self._pool)
+        self._agent = Agent.usingEndpointFactory(reactor, _NumericEndpoints(reactor), self._pool)
         self._waiting: set[Deferred] = set()
         self._settled: Deferred | None = None
 
@@ -133,7 +133,7 @@
             caller.when_gone(waiting.cancel)
         try:
             return await waiting
-        except _NEVER_CONNECTED as error:
+        except _CONNECT_ERRORS as error:
             detail = f"the target was not reached: {error}"
             raise AttemptError(Verdict.NOT_RUN, Reason.TARGET_FAILED, detail) from error
         except CancelledError as error:
@@ -143,7 +143,7 @@
             detail = f"the target broke off before its answer: {type(error).__name__}"
             raise AttemptError(Verdict.MAY_HAVE_RUN, Reason.TARGET_FAILED, detail) from error
         finally:
-            self._ended(waiting)
+            self._finish(waiting)
             if timer.active():
                 timer.cancel()
 
@@ -162,7 +162,7 @@
         for waiting in list(self._waiting):
             waiting.cancel()
 
-    def _ended(self, waiting: Deferred) -> None:
+    def _finish(self, waiting: Deferred) -> None:
         """Note that a request got its answer or failed."""
         self._waiting.discard(waiting)
         settled, self._settled = self._settled, None
@@ -170,10 +170,10 @@
             settled.callback(None)
 
 
-def path_of(*parts: str) -> bytes:
+def build_path(*parts: str) -> bytes:
     """Join quoted path segments.
 
-    >>> path_of("v1", "requests", "a/b")
+    >>> build_path("v1", "requests", "a/b")
     b'/v1/requests/a%2Fb'
     """
     return "".join("/" + quote(part, safe="") for part in parts).encode()
--- a/packages/router/src/damaskwind/router/target_directory.py
+++ b/packages/router/src/damaskwind/router/target_directory.py
@@ -50,7 +50,7 @@
         self._clock = clock
         self._views: dict[str, TargetView] = {}
         self._watchers: list[Callable[[], None]] = []
-        self.members_watcher: Callable[[list[TargetView]], None] = lambda views: None
+        self.on_members_changed: Callable[[list[TargetView]], None] = lambda views: None
         # Chats have one home among near domains; plain services have no cache to share.
         kinds = {
             TargetKind.ENGINE: (policy.placement, near_domains),
@@ -61,10 +61,10 @@
             for kind, (name, near) in kinds.items()
         }
         self._handlers: dict[type, Callable[[Any], None]] = {
-            TargetChanged: self._changed,
-            TargetGone: self._gone,
-            LoadHeard: self._load_heard,
-            SpillHeard: self._spill_heard,
+            TargetChanged: self._handle_changed,
+            TargetGone: self._handle_gone,
+            LoadHeard: self._handle_load,
+            SpillHeard: self._handle_spill,
         }
 
     def watch(self, watcher: Callable[[], None]) -> None:
@@ -76,9 +76,9 @@
         handler = self._handlers.get(type(event))
         if handler is not None:
             handler(event)
-            self.room_changed()
+            self.capacity_changed()
 
-    def room_changed(self) -> None:
+    def capacity_changed(self) -> None:
         """Tell the watchers that a target may have got room."""
         for watcher in self._watchers:
             watcher()
@@ -122,13 +122,13 @@
         if view is not None:
             self.placers[view.kind].observe_report(target_id, report, self._clock.seconds())
 
-    def _changed(self, event: TargetChanged) -> None:
+    def _handle_changed(self, event: TargetChanged) -> None:
         """Add or update a target and take in the load that it reported."""
         view = event.target
         is_new = view.target_id not in self._views
         self._views[view.target_id] = view
         if is_new:
-            self._members_changed()
+            self._notify_members_changed()
         self.placers[view.kind].update_target(view, self._clock.seconds())
         if view.report_age_s >= 0:
             report = LoadReport(
@@ -136,22 +136,22 @@
             )
             self.observe_report(view.target_id, report)
 
-    def _gone(self, event: TargetGone) -> None:
+    def _handle_gone(self, event: TargetGone) -> None:
         """Give a target no more work; what is in progress there goes on."""
         view = self._views.pop(event.target_id, None)
         if view is not None:
             self.placers[view.kind].remove_target(event.target_id)
-            self._members_changed()
+            self._notify_members_changed()
 
-    def _members_changed(self) -> None:
+    def _notify_members_changed(self) -> None:
         """Tell who follows the live targets."""
-        self.members_watcher(self.views())
+        self.on_members_changed(self.views())
 
-    def _load_heard(self, event: LoadHeard) -> None:
+    def _handle_load(self, event: LoadHeard) -> None:
         """Take in a load that a peer passed on."""
         self.observe_report(event.target_id, event.report)
 
-    def _spill_heard(self, event: SpillHeard) -> None:
+    def _handle_spill(self, event: SpillHeard) -> None:
         """Learn where chats were last served away from home."""
         now_s = self._clock.seconds()
         for note in event.notes:
--- a/packages/router/src/damaskwind/router/target_health.py
+++ b/packages/router/src/damaskwind/router/target_health.py
@@ -11,7 +11,7 @@
 
 __all__ = ["TargetHealth"]
 
-_NOBODY: frozenset[str] = frozenset()
+_NO_TARGETS: frozenset[str] = frozenset()
 _CLOSED = "closed"
 
 
@@ -24,7 +24,7 @@
         self._policy = HealthPolicy()
         self._pools: dict[str, PoolHealth] = {}
         self._members: dict[str, list[str]] = {}
-        self._troubled: set[str] = set()
+        self._failing_pools: set[str] = set()
 
     def set_policy(self, policy: Policy) -> None:
         """Take a confirmed policy over; circuits start again when it differs."""
@@ -34,7 +34,7 @@
         if wanted != self._policy:
             self._policy = wanted
             self._pools.clear()
-            self._troubled.clear()
+            self._failing_pools.clear()
             for service, members in self._members.items():
                 self._set_members(service, members)
 
@@ -58,22 +58,24 @@
         if pool is None:
             return
         if not succeeded:
-            self._troubled.add(view.service)
+            self._failing_pools.add(view.service)
         pool.observe(view.target_id, succeeded, self._clock.seconds(), self._random)
 
     def note_sent(self, view: TargetView) -> None:
         """Say that a request is being sent to a target."""
-        if view.service in self._troubled:
+        if view.service in self._failing_pools:
             self._pools[view.service].note_sent(view.target_id, self._clock.seconds())
 
     def ejected(self, service: str) -> frozenset[str]:
         """Return the targets of a pool that may not be sent anything now."""
-        if service not in self._troubled:
-            return _NOBODY
+        if service not in self._failing_pools:
+            return _NO_TARGETS
         pool = self._pools[service]
         ejected = pool.ejected(self._clock.seconds(), self._random)
-        if not ejected and all(self.state(service, name) == _CLOSED for name in self._ids(service)):
-            self._troubled.discard(service)
+        if not ejected and all(
+            self.state(service, name) == _CLOSED for name in self._target_ids(service)
+        ):
+            self._failing_pools.discard(service)
         return ejected
 
     def state(self, service: str, target_id: str) -> str:
@@ -81,6 +83,6 @@
         pool = self._pools.get(service)
         return pool.state(target_id) if pool else _CLOSED
 
-    def _ids(self, service: str) -> list[str]:
+    def _target_ids(self, service: str) -> list[str]:
         """Return the ids of a pool's targets."""
         return self._members.get(service, [])
--- a/packages/router/src/damaskwind/router/target_signals.py
+++ b/packages/router/src/damaskwind/router/target_signals.py
@@ -10,72 +10,74 @@
 from damaskwind.decisions.target_signals.signal_table import SignalTable, TargetSignal
 from damaskwind.model.targets import TargetView
 
-__all__ = ["TargetWishes", "said_in"]
+__all__ = ["TargetSignalTracker", "parse_response_signals"]
 
 _LEAVING = b"x-leaving"
 
 
-class _Life(NamedTuple):
+class _Incarnation(NamedTuple):
     """One life of a target."""
 
     target_id: str
     incarnation: int
 
 
-def _life(view: TargetView) -> _Life:
-    return _Life(view.target_id, view.incarnation)
+def _incarnation(view: TargetView) -> _Incarnation:
+    return _Incarnation(view.target_id, view.incarnation)
 
 
-def _first(response: IResponse, name: bytes) -> bytes | None:
+def _first_header(response: IResponse, name: bytes) -> bytes | None:
     """Return the first value of a header."""
     return response.headers.getRawHeaders(name, [None])[0]
 
 
-def said_in(response: IResponse) -> AnswerSignals:
+def parse_response_signals(response: IResponse) -> AnswerSignals:
     """Return what the head of an answer asks for."""
     return parse_signals(
         response.code,
-        _first(response, b"retry-after"),
-        _first(response, _LEAVING),
-        _first(response, b"date"),
+        _first_header(response, b"retry-after"),
+        _first_header(response, _LEAVING),
+        _first_header(response, b"date"),
     )
 
 
-class TargetWishes:
+class TargetSignalTracker:
     """The wishes of all targets; `find` returns a live target by its id."""
 
     def __init__(self, find: Callable[[str], TargetView | None], clock: Any) -> None:
         self._find = find
         self._clock = clock
-        self._words = SignalTable()
+        self._table = SignalTable()
 
-    def hear(self, view: TargetView, said: AnswerSignals) -> None:
-        """Take what a target said in an answer."""
-        new = self._words.observe(_life(view), said, self._clock.seconds())
+    def observe(self, view: TargetView, signals: AnswerSignals) -> None:
+        """Take what a target signals in an answer."""
+        new = self._table.observe(_incarnation(view), signals, self._clock.seconds())
         if new is not TargetSignal.NOTHING:
             logger.info(
                 "target asks",
                 target=view.target_id,
                 service=view.service,
                 wish=new.value,
-                rest_s=round(said.rest_s, 3),
+                rest_s=round(signals.rest_s, 3),
                 incarnation=view.incarnation,
             )
 
-    def of(self, view: TargetView) -> TargetSignal:
+    def signal(self, view: TargetView) -> TargetSignal:
         """Return what a target wants now."""
-        return self._words.signal(_life(view), self._clock.seconds())
+        return self._table.signal(_incarnation(view), self._clock.seconds())
 
-    def barred(self) -> frozenset[str]:
+    def paused_or_leaving(self) -> frozenset[str]:
         """Return the live targets that want no new requests now."""
-        lives = self._words.active(self._clock.seconds()) if self._words else ()
-        return frozenset(life.target_id for life in lives if self._is_live(life))
+        incarnations = self._table.active(self._clock.seconds()) if self._table else ()
+        return frozenset(
+            incarnation.target_id for incarnation in incarnations if self._is_live(incarnation)
+        )
 
     def rest_left_s(self, views: Iterable[TargetView]) -> float | None:
         """Return the seconds until the first of these targets that rest has rested."""
-        lives = [_life(view) for view in views]
-        return self._words.rest_left_s(lives, self._clock.seconds())
+        incarnations = [_incarnation(view) for view in views]
+        return self._table.rest_left_s(incarnations, self._clock.seconds())
 
-    def _is_live(self, life: _Life) -> bool:
-        view = self._find(life.target_id)
-        return view is not None and _life(view) == life
+    def _is_live(self, incarnation: _Incarnation) -> bool:
+        view = self._find(incarnation.target_id)
+        return view is not None and _incarnation(view) == incarnation
--- a/packages/router/src/damaskwind/router/telemetry.py
+++ b/packages/router/src/damaskwind/router/telemetry.py
@@ -6,7 +6,7 @@
 from damaskwind.model.targets import TargetKind
 from damaskwind.model.verdict import Verdict
 from damaskwind.router.explain import RequestRecord
-from damaskwind.router.work import Work
+from damaskwind.router.work import WorkItem
 from damaskwind.runtime.metrics import Metrics, Sample
 
 __all__ = ["Telemetry"]
@@ -56,7 +56,7 @@
             "streams_resumed", "1", "Streams resumed.", lambda: [Sample(self.streams_resumed)]
         )
 
-    def watch_parts(self, gateway: Any, room: Any, directory: Any, explain: Any) -> None:
+    def watch_components(self, gateway: Any, queues: Any, directory: Any, explain: Any) -> None:
         """Show what the parts of the router have in hand."""
         gauge = self.metrics.gauge
         gauge(
@@ -65,7 +65,9 @@
             "Requests in progress.",
             lambda: [Sample(gateway.in_progress)],
         )
-        gauge("requests_queued", "1", "Requests waiting for a target.", lambda: [Sample(len(room))])
+        gauge(
+            "requests_queued", "1", "Requests waiting for a target.", lambda: [Sample(len(queues))]
+        )
         gauge(
             "configuration_revision",
             "1",
@@ -136,7 +138,7 @@
         self._requests.add(1, labels)
         self._duration.record(end.get("duration_ms", 0.0) / 1000, labels)
 
-    def attempt_ended(self, work: Work, verdict: Verdict, reason: str) -> None:
+    def attempt_ended(self, work: WorkItem, verdict: Verdict, reason: str) -> None:
         """Count an attempt at a target."""
         labels = {"kind": str(work.kind), "verdict": str(verdict), "reason": reason}
         self._attempts.add(1, labels)
--- a/packages/router/src/damaskwind/router/tests/request_fuzzing.py
+++ b/packages/router/src/damaskwind/router/tests/request_fuzzing.py
@@ -3,7 +3,7 @@
 from damaskwind.router import dispatcher as dispatcher_module
 from damaskwind.router.placing import Placing
 from damaskwind.router.target_directory import TargetDirectory
-from damaskwind.router.target_signals import TargetWishes
+from damaskwind.router.target_signals import TargetSignalTracker
 from damaskwind.router.tests.request_histories import STEPS, RequestsAgainstCounts
 from damaskwind.standins.history_runs import SeededBug, fuzz_histories, seeded_bug
 from damaskwind.standins.history_runs import run_batch as run_machine
@@ -29,8 +29,10 @@
     "last_verdict_counts": SeededBug(
         dispatcher_module, "worst_verdict", lambda verdicts: verdicts[-1]
     ),
-    "keep_leavers": SeededBug(TargetDirectory, "_gone", lambda directory, event: None),
-    "forget_wishes": SeededBug(TargetWishes, "hear", lambda wishes, view, said: None),
+    "keep_leavers": SeededBug(TargetDirectory, "_handle_gone", lambda directory, event: None),
+    "forget_wishes": SeededBug(
+        TargetSignalTracker, "observe", lambda signals, view, observed: None
+    ),
     "count_no_end": SeededBug(Placing, "end", lambda placing, work, target, done: None),
 }
 
--- a/packages/router/src/damaskwind/router/tests/request_histories.py
+++ b/packages/router/src/damaskwind/router/tests/request_histories.py
@@ -41,39 +41,39 @@
 from damaskwind.router.dispatcher import Dispatcher
 from damaskwind.router.explain import RequestRecord
 from damaskwind.router.placing import Placing
-from damaskwind.router.request_queues import WaitingRoom
+from damaskwind.router.request_queues import RequestQueues
 from damaskwind.router.target_client import AttemptError
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_signals import TargetWishes
-from damaskwind.router.work import Work
+from damaskwind.router.target_signals import TargetSignalTracker
+from damaskwind.router.work import WorkItem
 
 __all__ = ["STEPS", "RequestsAgainstCounts"]
 
 STEPS = 40
 TARGETS = ("engine-0", "engine-1", "engine-2")
-PER_TARGET = 2
+MAX_PER_TARGET = 2
 DEADLINE_S = 5.0
 PUMP_S = 0.05
 POLICY = Policy(retry_share=0.5, ejection_base_s=0.5)
 POOL = PoolName("pool", "damask", "1")
 ACCOUNT = ClientAccount("library", (), "normal", 1000, 1e6)
 CLASS = PriorityClass("normal", 0, 1, queue_timeout_s=DEADLINE_S)
-SERVICE = Service("pool", "engine", max_concurrent_requests=PER_TARGET)
+SERVICE = Service("pool", "engine", max_concurrent_requests=MAX_PER_TARGET)
 CONFIGURATION = Configuration(
     1, priority_classes={"normal": CLASS}, services={"pool": SERVICE}, policy=POLICY
 )
 
 
 class Fate(NamedTuple):
-    """How one attempt ends: whether the target ran it, what the router is told and asked for."""
+    """How one attempt ends: whether the target ran it, the reported verdict, target signals."""
 
     runs: bool
-    told: Verdict | None
-    said: AnswerSignals = NO_SIGNALS
+    reported: Verdict | None
+    signals: AnswerSignals = NO_SIGNALS
 
 
-# An attempt that answers is told nothing yet: its answer may still be cut.
+# An attempt that answers is reported nothing yet: its answer may still be cut.
 FATES = {
     "connection refused": Fate(False, Verdict.NOT_RUN),
     "target refuses": Fate(False, Verdict.NOT_RUN),
@@ -121,13 +121,13 @@
 class Attempt(NamedTuple):
     """An attempt that the history has not ended yet."""
 
-    asked: "Asked"
+    asked: "TrackedRequest"
     target_id: str
     incarnation: int
     waiting: Deferred
 
 
-class Asked:
+class TrackedRequest:
     """A request and what the oracle knows of it."""
 
     def __init__(self, work, request):
@@ -135,7 +135,7 @@
         self.request = request
         self.runs = 0
         self.attempts = 0
-        self.placed = None
+        self.answer = None
         self.refusal = None
         self.is_over = False
 
@@ -153,27 +153,27 @@
         self.directory = TargetDirectory("r", "d", ("d",), POLICY, self.clock, random)
         self.health = TargetHealth(self.clock, random)
         self.health.set_policy(POLICY)
-        self.directory.members_watcher = self.health.set_targets
-        self.room = WaitingRoom(self.clock)
-        self.room.set_classes({"normal": CLASS})
-        self.wishes = TargetWishes(self.directory.find, self.clock)
+        self.directory.on_members_changed = self.health.set_targets
+        self.queues = RequestQueues(self.clock)
+        self.queues.set_classes({"normal": CLASS})
+        self.signals = TargetSignalTracker(self.directory.find, self.clock)
         self.placing = Placing(
             self.directory,
             self.health,
-            self.wishes,
-            self.room,
+            self.signals,
+            self.queues,
             lambda: CONFIGURATION,
             self.clock,
             random,
         )
         self.dispatcher = Dispatcher(
-            self.placing, NoLimits(), self.health, self.wishes, self.clock, random
+            self.placing, NoLimits(), self.health, self.signals, self.clock, random
         )
         self.dispatcher.set_policy(POLICY)
         self.present = set()
         self.incarnations = Counter()
-        self.rests_until_s = Counter()
-        self.said_leaving = set()
+        self.paused_until_s = Counter()
+        self.announced_leaving = set()
         self.attempts = []
         self.asked = []
         self.at_target = Counter()
@@ -220,7 +220,7 @@
         digest = xxhash.xxh3_128_hexdigest(str(chat).encode())
         request = FakeRequest()
         now_s = self.clock.seconds()
-        work = Work(
+        work = WorkItem(
             request_id,
             TargetKind.ENGINE,
             ACCOUNT,
@@ -232,11 +232,11 @@
             RequestRecord(request_id, "/", now_s),
             Caller(request),
         )
-        asked = Asked(work, request)
+        asked = TrackedRequest(work, request)
         self.asked.append(asked)
         running = ensureDeferred(self.dispatcher.run(work, lambda view: self.send(asked, view)))
         running.addCallbacks(
-            lambda placed: self.answered(asked, placed), lambda why: self.refused(asked, why)
+            lambda answer: self.answered(asked, answer), lambda why: self.refused(asked, why)
         )
 
     async def send(self, asked, view):
@@ -245,22 +245,25 @@
         self.at_target[view.target_id] += 1
         if view.target_id not in self.present:
             self.faults.append(f"new work for {view.target_id}, which has left")
-        life = (view.target_id, view.incarnation)
-        if life in self.said_leaving or self.rests_until_s[life] > self.clock.seconds():
+        incarnation = (view.target_id, view.incarnation)
+        if (
+            incarnation in self.announced_leaving
+            or self.paused_until_s[incarnation] > self.clock.seconds()
+        ):
             self.faults.append(f"new work for {view.target_id}, which wants none")
         if asked.attempts > POLICY.max_attempts:
             self.faults.append(f"{asked.work.request_id}: {asked.attempts} attempts")
-        if self.at_target[view.target_id] > PER_TARGET:
+        if self.at_target[view.target_id] > MAX_PER_TARGET:
             self.faults.append(f"{view.target_id} was given too much at once")
         waiting = Deferred()
-        self.attempts.append(Attempt(asked, *life, waiting))
+        self.attempts.append(Attempt(asked, *incarnation, waiting))
         return await waiting
 
-    def answered(self, asked, placed):
+    def answered(self, asked, answer):
         """Check that an answer belongs to the request."""
-        if placed.response[:2] != (asked.work.request_id, placed.target.target_id):
-            self.faults.append(f"{asked.work.request_id} was given {placed.response}")
-        asked.placed = placed
+        if answer.response[:2] != (asked.work.request_id, answer.target.target_id):
+            self.faults.append(f"{asked.work.request_id} was given {answer.response}")
+        asked.answer = answer
 
     def refused(self, asked, why):
         """Hold a refusal against the count."""
@@ -276,23 +279,25 @@
         self.at_target[attempt.target_id] -= 1
         attempt.asked.runs += fate.runs
         if not attempt.asked.request.finished.called:
-            self.note_said(attempt, fate.said)
-        if fate.told is None:
-            headers = LEAVING if fate.said.is_leaving else Headers()
+            self.record_signals(attempt, fate.signals)
+        if fate.reported is None:
+            headers = LEAVING if fate.signals.is_leaving else Headers()
             answer = Answer(attempt.asked.work.request_id, attempt.target_id, headers)
             attempt.waiting.callback(answer)
             return
         attempt.waiting.errback(
-            AttemptError(fate.told, Reason.TARGET_FAILED, "by the history", said=fate.said)
+            AttemptError(
+                fate.reported, Reason.TARGET_FAILED, "by the history", signals=fate.signals
+            )
         )
 
-    def note_said(self, attempt, said):
+    def record_signals(self, attempt, signals):
         """Hold the router to what a target asked for."""
-        life = (attempt.target_id, attempt.incarnation)
-        until_s = self.clock.seconds() + said.rest_s
-        self.rests_until_s[life] = max(self.rests_until_s[life], until_s)
-        if said.is_leaving:
-            self.said_leaving.add(life)
+        incarnation = (attempt.target_id, attempt.incarnation)
+        until_s = self.clock.seconds() + signals.rest_s
+        self.paused_until_s[incarnation] = max(self.paused_until_s[incarnation], until_s)
+        if signals.is_leaving:
+            self.announced_leaving.add(incarnation)
 
     @precondition(lambda self: self.attempts)
     @rule(data=st.data(), fate=st.sampled_from(sorted(FATES)))
@@ -315,7 +320,7 @@
 
     def open_answers(self):
         """Return the requests whose answers are on their way."""
-        return [asked for asked in self.asked if asked.placed and not asked.is_over]
+        return [asked for asked in self.asked if asked.answer and not asked.is_over]
 
     @precondition(lambda self: self.open_answers())
     @rule(data=st.data(), whole=st.booleans())
@@ -323,7 +328,7 @@
         """Let an answer end in order, or cut."""
         asked = data.draw(st.sampled_from(self.open_answers()))
         verdict = Verdict.RAN if whole else Verdict.MAY_HAVE_RUN
-        self.dispatcher.finish(asked.work, asked.placed, verdict)
+        self.dispatcher.finish(asked.work, asked.answer, verdict)
         asked.is_over = True
 
     @precondition(lambda self: any(not asked.is_over for asked in self.asked))
@@ -368,11 +373,11 @@
                 self.end(attempt, FATES["reset after it ran"])
             self.clock.pump([PUMP_S] * round(2 * DEADLINE_S / PUMP_S))
         for asked in self.open_answers():
-            self.dispatcher.finish(asked.work, asked.placed, Verdict.RAN)
+            self.dispatcher.finish(asked.work, asked.answer, Verdict.RAN)
             asked.is_over = True
         self.nothing_went_wrong()
         self.nothing_runs_twice()
         self.refusals_are_true()
         assert all(asked.is_over for asked in self.asked), "a request without an end"
         assert not self.placing.in_flight, self.placing.in_flight
-        assert not len(self.room)
+        assert not len(self.queues)
--- a/packages/router/src/damaskwind/router/tests/test_front.py
+++ b/packages/router/src/damaskwind/router/tests/test_front.py
@@ -46,7 +46,7 @@
     return f"{head}\r\ncontent-length: {len(body)}\r\n\r\n".encode() + body
 
 
-class FrontTest(TestCase):
+class HttpFrontendTest(TestCase):
     timeout = 90
 
     async def bench(self, **options):
--- a/packages/router/src/damaskwind/router/tests/test_target_signals.py
+++ b/packages/router/src/damaskwind/router/tests/test_target_signals.py
@@ -15,7 +15,7 @@
 REST_S = 1.5
 
 
-class TargetWishesTest(TestCase):
+class TargetSignalsTest(TestCase):
     timeout = 25
 
     async def bench(self, **options):
@@ -38,32 +38,32 @@
     async def call(self, bench):
         return (await self.ask(bench, CALL))[0]
 
-    async def check_one_rests(self, bench, targets, ask):
+    async def check_one_pauses(self, bench, targets, ask):
         """Let one target ask for rest; all are served, and it is left alone for that time."""
-        resting = targets[0]
-        resting.asks_rest_s = REST_S
+        pausing = targets[0]
+        pausing.asks_rest_s = REST_S
         statuses = [(await ask(bench)).code for _ in range(30)]
         self.assertEqual(set(statuses), {200})
-        self.assertEqual(resting.oracle.events["refused"], 1)
-        resting.asks_rest_s = 0.0
+        self.assertEqual(pausing.oracle.events["refused"], 1)
+        pausing.asks_rest_s = 0.0
         await asyncio.sleep(REST_S)
         for _ in range(30):
             await ask(bench)
-        self.assertGreater(resting.oracle.events["run"], 0)
+        self.assertGreater(pausing.oracle.events["run"], 0)
 
-    async def check_all_rest(self, bench, targets, ask):
+    async def check_all_pause(self, bench, targets, ask):
         """Let all ask for rest; callers are refused at once and told until when."""
         for target in targets:
             target.asks_rest_s = REST_S
         await ask(bench)
         refused = sum(target.oracle.events["refused"] for target in targets)
-        begun_s = bench.router.directory._clock.seconds()
+        started_s = bench.router.directory._clock.seconds()
         for _ in range(10):
             response = await ask(bench)
             self.assertEqual(response.code, 503)
-            told_s = float(response.headers.getRawHeaders("retry-after")[0])
-            self.assertGreaterEqual(told_s, 1.0)
-        self.assertLess(bench.router.directory._clock.seconds() - begun_s, 1.0)
+            retry_after_s = float(response.headers.getRawHeaders("retry-after")[0])
+            self.assertGreaterEqual(retry_after_s, 1.0)
+        self.assertLess(bench.router.directory._clock.seconds() - started_s, 1.0)
         self.assertEqual(sum(target.oracle.events["refused"] for target in targets), refused)
 
     async def check_one_leaves(self, bench, targets, ask):
@@ -82,22 +82,22 @@
     @asyncio_test
     async def test_resting_engine_gets_no_chats(self):
         bench = await self.bench(engines=3)
-        await self.check_one_rests(bench, bench.engines, self.chats())
+        await self.check_one_pauses(bench, bench.engines, self.chats())
 
     @asyncio_test
     async def test_resting_service_gets_no_calls(self):
         bench = await self.bench(engines=0, services=3)
-        await self.check_one_rests(bench, bench.services, self.call)
+        await self.check_one_pauses(bench, bench.services, self.call)
 
     @asyncio_test
     async def test_chats_are_refused_until_the_first_engine_has_rested(self):
         bench = await self.bench(engines=2)
-        await self.check_all_rest(bench, bench.engines, self.chat)
+        await self.check_all_pause(bench, bench.engines, self.chat)
 
     @asyncio_test
     async def test_calls_are_refused_until_the_first_service_has_rested(self):
         bench = await self.bench(engines=0, services=2)
-        await self.check_all_rest(bench, bench.services, self.call)
+        await self.check_all_pause(bench, bench.services, self.call)
 
     @asyncio_test
     async def test_engine_that_says_it_leaves_gets_no_chats(self):
@@ -114,15 +114,15 @@
         bench = await self.bench(engines=1)
         bench.engines[0].asks_rest_s = 30.0
         await self.chat(bench)
-        self.assertEqual(await self.wishes(bench), ["rest"])
+        self.assertEqual(await self.signals(bench), ["rest"])
         bench.engines[0].asks_rest_s = 0.0
         await bench.engines[0].stop()
         await bench.engines[0].come_back()
-        while await self.wishes(bench) != ["nothing"]:
+        while await self.signals(bench) != ["nothing"]:
             await asyncio.sleep(0.05)
         self.assertEqual((await self.chat(bench)).code, 200)
 
-    async def wishes(self, bench):
+    async def signals(self, bench):
         _, body = await self.ask(bench, "/operator/v1/targets", key=OPERATOR_KEY)
         return [target["wish"] for target in json.loads(body)["targets"]]
 
@@ -130,14 +130,14 @@
     async def test_those_in_the_queue_are_told_when_all_rest(self):
         bench = await self.bench(engines=1)
         placing = bench.router.placing
-        full = placing._full
-        placing._full = lambda work: frozenset(("engine-1",))
+        full_targets = placing._full_targets
+        placing._full_targets = lambda work: frozenset(("engine-1",))
         waiting = asyncio.ensure_future(self.chat(bench))
-        await bench.until(lambda: len(bench.router.room))
-        placing._full = full
+        await bench.until(lambda: len(bench.router.queues))
+        placing._full_targets = full_targets
         view = bench.router.directory.find("engine-1")
-        bench.router.wishes.hear(view, AnswerSignals(REST_S))
-        begun_s = bench.router.directory._clock.seconds()
+        bench.router.signals.observe(view, AnswerSignals(REST_S))
+        started_s = bench.router.directory._clock.seconds()
         response = await waiting
         self.assertEqual(response.code, 503)
-        self.assertLess(bench.router.directory._clock.seconds() - begun_s, 0.5)
+        self.assertLess(bench.router.directory._clock.seconds() - started_s, 0.5)
--- a/packages/router/src/damaskwind/router/work.py
+++ b/packages/router/src/damaskwind/router/work.py
@@ -8,10 +8,10 @@
 from damaskwind.router.caller import Caller
 from damaskwind.router.explain import RequestRecord
 
-__all__ = ["Work"]
+__all__ = ["WorkItem"]
 
 
-class Work(NamedTuple):
+class WorkItem(NamedTuple):
     """A request that wants a target; `deadline_s` is on the monotonic clock.
 
     `total_tokens` is what counts against the account's limit.
