--- a/packages/router/src/damaskwind/router/account_limits.py
+++ b/packages/router/src/damaskwind/router/account_limits.py
@@ -1,6 +1,7 @@
-"""Hold client accounts to their fleet-wide limits: the shell of limiter and allocator.
+"""Enforce the fleet-wide limits of client accounts.
 
-Reports and grants travel as datagrams between routers, under the control budget.
+This module connects the limiter and the allocator to the network: reports of demand
+and grants of shares are datagrams between routers, within the control budget.
 """
 
 import time
@@ -33,16 +34,16 @@
 
 
 def _limit_name(account: str, kind: TargetKind) -> str:
-    """Name an account's limit for one kind of targets.
+    """Return the name of an account's limit for one kind of target.
 
-    Plain services have a limit of their own, of the same size, so that a status
-    check never waits for the same account's chats.
+    Plain services have a separate limit of the same size, so that a status check
+    never waits for chats of the same account.
     """
     return account if kind is TargetKind.ENGINE else f"{account}{_SERVICES_SUFFIX}"
 
 
 def _urgency(report: DemandReport) -> Urgency:
-    """Let reports that ask for more, and their answers, pass those that only renew."""
+    """Give reports that request more priority over those that only renew leases."""
     has_increase = any(
         demand.wanted > demand.held or demand.wanted_tokens_per_s > demand.held_tokens_per_s
         for demand in report.demands
@@ -51,7 +52,7 @@
 
 
 class AccountLimits:
-    """Admit requests by the shares that this router holds, and lease shares to others.
+    """Admit requests by the shares leased to this router, and lease shares to others.
 
     `domains` are the failure domains among which limits are divided; they must be
     the same on all routers.
@@ -86,11 +87,11 @@
 
     @property
     def is_learning(self) -> bool:
-        """Tell whether shares leased before this start may still be in use unseen."""
+        """Return whether shares leased before this start may be in use without being known."""
         return self._clock.seconds() < self._learning_until_s
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Follow the confirmed limits."""
+        """Apply the confirmed limits."""
         limits = {
             _limit_name(name, kind): AccountLimit(
                 account.max_concurrent_requests, account.max_tokens_per_s
@@ -103,7 +104,7 @@
         self._allocator.set_limits(limits, self._domains)
 
     async def admit(self, work: WorkItem) -> None:
-        """Let a request in, after a wait for a grant if need be, or raise `RefusedError`."""
+        """Admit a request, waiting for a grant if needed, or raise `RefusedError`."""
         wait_until_s = None
         tokens = int(work.total_tokens)
         name = _limit_name(work.account.name, work.kind)
@@ -119,7 +120,7 @@
             await self._wait_for_grant(decision.retry_at_s - now_s, work)
 
     def release(self, work: WorkItem, used_tokens: int | None) -> None:
-        """Note that an admitted request ended and what it cost, if that is known."""
+        """Record that an admitted request ended, with its token usage if known."""
         expected = int(work.total_tokens)
         used = expected if used_tokens is None else used_tokens
         name = _limit_name(work.account.name, work.kind)
@@ -128,14 +129,14 @@
         self._wake_all()
 
     def stop(self) -> None:
-        """Report no more."""
+        """Stop sending reports."""
         self._is_stopped = True
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _wait_for_grant(self, timeout_s: float, work: WorkItem) -> Deferred:
-        """Return a Deferred that fires at the next grant, release, or after a time."""
+        """Return a Deferred that fires at the next grant, the next release or the timeout."""
         wakeup: Deferred = Deferred()
         timer = self._clock.callLater(max(timeout_s, 0.0), self._wake_one, wakeup)
         self._waiting.append(wakeup)
@@ -161,7 +162,7 @@
             wakeup.callback(None)
 
     def _schedule_report(self) -> None:
-        """Report when the limiter next has something to say."""
+        """Schedule the next report at the time the limiter asks for."""
         due_s = self._limiter.next_report_s()
         if due_s is None or self._is_stopped:
             return
@@ -173,7 +174,7 @@
         self._timer = self._clock.callLater(delay_s, self._send_reports)
 
     def _send_reports(self) -> None:
-        """Send the reports that are due; one to this router needs no datagram."""
+        """Send the reports that are due; a report to this router is handled locally."""
         self._timer = None
         now_s = self._clock.seconds()
         for router_id, report in self._limiter.reports(self._routers(), now_s):
@@ -185,7 +186,7 @@
         self._schedule_report()
 
     def _routers(self) -> dict[str, list[str]]:
-        """Return the live routers of each failure domain, this one among them."""
+        """Return the live routers of each failure domain, including this one."""
         routers: dict[str, list[str]] = {self._domain: [self._router_id]}
         for record in self._membership.routers():
             if record.router_id != self._router_id:
@@ -193,16 +194,16 @@
         return routers
 
     def _receive_report(self, router_id: str, payload: bytes) -> None:
-        """Take a report from another router, or drop one that is malformed."""
+        """Handle a report from another router; drop a malformed one."""
         try:
             report = self._codec.decode_report(router_id, self._router_id, payload)
         except MessageError as error:
-            logger.warning("report of demand dropped", error=str(error))
+            logger.warning("malformed demand report dropped", error=str(error))
             return
         self._handle_report(router_id, report)
 
     def _handle_report(self, router_id: str, report: DemandReport) -> None:
-        """Answer a report with what its router may use."""
+        """Answer a report with a grant, and send the recalls that it causes."""
         self._allocator.set_routers(frozenset(self._routers()[self._domain]))
         grant = self._allocator.handle_report(report, self._clock.seconds())
         for holder_id, recall in self._allocator.pop_recalls():
@@ -211,7 +212,7 @@
             self._send_grant(router_id, grant)
 
     def _send_grant(self, router_id: str, grant: ShareGrant) -> None:
-        """Send a grant or recall; one to this router needs no datagram."""
+        """Send a grant or recall; one to this router is applied locally."""
         if router_id == self._router_id:
             self._apply_grant(grant)
         else:
@@ -219,16 +220,16 @@
             self._membership.send(GRANT_KIND, router_id, payload, Urgency.LIMITS)
 
     def _receive_grant(self, router_id: str, payload: bytes) -> None:
-        """Take a grant from another router, or drop one that is malformed."""
+        """Handle a grant from another router; drop a malformed one."""
         try:
             grant = self._codec.decode_grant(router_id, payload)
         except MessageError as error:
-            logger.warning("grant of shares dropped", error=str(error))
+            logger.warning("malformed share grant dropped", error=str(error))
             return
         self._apply_grant(grant)
 
     def _apply_grant(self, grant: ShareGrant) -> None:
-        """Apply a grant and let waiting requests try again."""
+        """Apply a grant and wake the waiting requests."""
         self._limiter.apply_grant(grant, self._clock.seconds())
         self._schedule_report()
         self._wake_all()
--- a/packages/router/src/damaskwind/router/admitted_request.py
+++ b/packages/router/src/damaskwind/router/admitted_request.py
@@ -1,4 +1,4 @@
-"""A caller's request that was let in."""
+"""A caller's request that passed authentication and validation."""
 
 from typing import Any, NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class AdmittedRequest(NamedTuple):
-    """A request that was let in, under the configuration of its arrival."""
+    """An admitted request, with the configuration in force when it arrived."""
 
     request: Any
     request_id: str
--- a/packages/router/src/damaskwind/router/chat_path.py
+++ b/packages/router/src/damaskwind/router/chat_path.py
@@ -1,4 +1,4 @@
-"""Answer chats: from the caller's body to the last byte of the engine's answer."""
+"""Serve chats, from parsing the caller's body to relaying the engine's whole answer."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -30,7 +30,7 @@
 
 
 class _ChatContext(NamedTuple):
-    """All that one chat carries through this module."""
+    """The state of one chat while it is served."""
 
     admitted: AdmittedRequest
     chat: ChatRequest
@@ -38,19 +38,19 @@
 
 
 class _Usage(msgspec.Struct):
-    """The part of an answer that says what it cost."""
+    """The part of an answer that reports the token usage."""
 
     usage: dict[str, Any] | None = None
 
 
 def _total_tokens(usage: dict[str, Any] | None) -> int | None:
-    """Return the tokens that a usage names, if it does."""
+    """Return the total tokens of a usage object, or `None`."""
     total = (usage or {}).get("total_tokens")
     return total if isinstance(total, int) else None
 
 
 def _parse_total_tokens(body: bytes) -> int | None:
-    """Return the tokens that a whole answer cost, if it says so."""
+    """Return the total tokens that a complete answer reports, or `None`."""
     try:
         return _total_tokens(msgspec.json.decode(body, type=_Usage).usage)
     except msgspec.DecodeError:
@@ -79,7 +79,7 @@
         self._stall_timeout_s = stall_timeout_s
 
     async def serve(self, admitted: AdmittedRequest) -> bytes | None:
-        """Answer one chat; raise `RefusedError` when nothing was passed on."""
+        """Serve one chat; raise `RefusedError` if nothing was sent to the caller."""
         body = admitted.request.content.read()
         chat = parse_chat_request(body, admitted.account, admitted.configuration)
         context = _ChatContext(admitted, chat, self._make_work_item(admitted, chat))
@@ -92,7 +92,7 @@
         return await self._send_whole(context, answer)
 
     def _make_work_item(self, admitted: AdmittedRequest, chat: ChatRequest) -> WorkItem:
-        """Describe the work that a chat is."""
+        """Return the work item of a chat."""
         query = PlacementQuery(
             chat_digest=chat.digest,
             prefix_digests=chat.prefixes,
@@ -116,7 +116,7 @@
         )
 
     async def _send(self, context: _ChatContext, target: TargetView) -> IResponse:
-        """Send a chat to an engine; tell the engine to stop when that goes wrong."""
+        """Send a chat to an engine; cancel it there if the attempt fails after it may have run."""
         chat = EngineChat(
             context.work.request_id,
             context.chat.name,
@@ -141,7 +141,7 @@
         return response
 
     async def _send_whole(self, context: _ChatContext, answer: TargetAnswer) -> bytes:
-        """Return a whole answer or refuse; half of one is never passed on."""
+        """Return a complete answer, or refuse; a partial answer is never forwarded."""
         timeout_s = context.work.deadline_s - self._reactor.seconds()
         try:
             body = await read_whole(
@@ -161,7 +161,7 @@
         return body
 
     async def _send_stream(self, context: _ChatContext, answer: TargetAnswer) -> None:
-        """Relay a stream to its end marker, resuming it when it is cut."""
+        """Relay a stream up to its end marker, resuming it when it is cut."""
         admitted = context.admitted
         set_outcome(admitted.request, context.work.request_id, Verdict.MAY_HAVE_RUN)
         admitted.request.setHeader(b"content-type", b"text/event-stream; charset=utf-8")
@@ -187,7 +187,7 @@
         from_token: int,
         end: RelayEnd,
     ) -> RelayEnd:
-        """Ask the engine for the rest of an answer and relay it."""
+        """Request the rest of an answer from the engine and relay it."""
         now_s = self._reactor.seconds()
         context.work.record.add_event(f"stream {end}; resume from token {from_token}", now_s)
         timeout_s = min(self._stall_timeout_s, context.work.deadline_s - now_s)
@@ -203,7 +203,7 @@
     async def _end_stream(
         self, context: _ChatContext, answer: TargetAnswer, end: RelayEnd, used_tokens: int | None
     ) -> None:
-        """End a stream honestly: in order, or with an error and a closed connection."""
+        """End a stream normally, or with an error event and a closed connection."""
         if end is RelayEnd.COMPLETE:
             self._dispatcher.finish(context.work, answer, Verdict.RAN, used_tokens=used_tokens)
             context.work.record.end(Verdict.RAN, None, "", self._reactor.seconds())
--- a/packages/router/src/damaskwind/router/chat_request.py
+++ b/packages/router/src/damaskwind/router/chat_request.py
@@ -1,4 +1,4 @@
-"""Check the body of a chat request and work out what the router needs of it."""
+"""Validate the body of a chat request and derive what routing needs."""
 
 from typing import Any, NamedTuple
 
@@ -28,10 +28,10 @@
 
 
 class ChatRequest(NamedTuple):
-    """A checked chat request.
+    """A validated chat request.
 
-    `engine_body` is what the engine gets. `need_tokens` estimates the work,
-    `total_tokens` the tokens that count against the account's limit.
+    `engine_body` is the body sent to the engine. `need_tokens` estimates the load on
+    the engine, `total_tokens` the tokens that count against the account's limit.
     """
 
     name: ModelName
@@ -47,7 +47,7 @@
 
 
 def _bad_request(detail: str) -> RefusedError:
-    """Make the error for a body that is malformed."""
+    """Return the error for a malformed body."""
     return RefusedError(Refusal(Reason.BAD_REQUEST, Verdict.NOT_RUN, detail))
 
 
@@ -71,7 +71,7 @@
 
 
 def _messages(raw: list[Any]) -> list[Message]:
-    """Check the messages and give each its canonical text."""
+    """Validate the messages and convert the content of each to canonical text."""
     if not raw:
         raise _bad_request("'messages' is empty")
     messages = []
@@ -87,12 +87,12 @@
 
 
 def _canonical(content: Any) -> str:
-    """Return the one text that stands for contents that are no text."""
+    """Return the canonical text of content that is not plain text: JSON with sorted keys."""
     return msgspec.json.encode(content, order="sorted").decode()
 
 
 def _generated_tokens(fields: dict[str, Any]) -> int:
-    """Return how many tokens the caller lets the engine generate."""
+    """Return the maximum number of tokens that the engine may generate."""
     wanted = fields.get("max_completion_tokens") or fields.get("max_tokens")
     if wanted is not None and wanted < 1:
         raise _bad_request("'max_tokens' must be at least 1")
@@ -100,13 +100,13 @@
 
 
 def _prompt_tokens(messages: list[Message]) -> float:
-    """Estimate the tokens of some messages."""
+    """Estimate the number of tokens in messages."""
     characters = sum(len(message.content) for message in messages)
     return characters / CHARACTERS_PER_TOKEN
 
 
 def _new_messages(messages: list[Message]) -> list[Message]:
-    """Return the messages after the last answer: the rest is expected in the cache."""
+    """Return the messages from the last answer on; earlier ones are expected in the cache."""
     for index in range(len(messages) - 1, -1, -1):
         if messages[index].role == "assistant":
             return messages[index:]
@@ -114,7 +114,7 @@
 
 
 def _unknown_model(text: str) -> RefusedError:
-    """Make the one error for a model that is unknown or not allowed."""
+    """Return the error for a model that is unknown or not allowed; both look the same."""
     detail = f"the model '{text}' does not exist or you do not have access to it"
     return RefusedError(Refusal(Reason.UNKNOWN_MODEL, Verdict.NOT_RUN, detail))
 
@@ -137,7 +137,7 @@
 
 
 def _engine_body(fields: dict[str, Any], name: ModelName, stream: bool) -> bytes:
-    """Encode the body for the engine: the bare model name, usage always asked for."""
+    """Encode the body for the engine: the bare model name, and usage always requested."""
     changed = {**fields, "model": name.model}
     if stream:
         changed["stream_options"] = {**(fields.get("stream_options") or {}), "include_usage": True}
@@ -147,7 +147,10 @@
 def parse_chat_request(
     body: bytes, account: ClientAccount, configuration: Configuration
 ) -> ChatRequest:
-    """Check a body against the account's grants; raise `RefusedError` when it fails."""
+    """Parse a body and check it against the account's grants.
+
+    Raise `RefusedError` for a malformed body or a model that the account may not use.
+    """
     fields = _decode(body)
     messages = _messages(fields["messages"])
     generated = _generated_tokens(fields)
@@ -169,7 +172,7 @@
 
 
 def visible_models(account: ClientAccount, configuration: Configuration) -> list[str]:
-    """Name every model, version and adapter that an account may use."""
+    """Return the names of every model, version and adapter that an account may use."""
     names = []
     for grant in account.models:
         model = configuration.models.get(grant.model)
--- a/packages/router/src/damaskwind/router/dispatcher.py
+++ b/packages/router/src/damaskwind/router/dispatcher.py
@@ -1,7 +1,8 @@
-"""Send a request to a target, and to another one when the verdict allows it.
+"""Send a request to a target and retry it elsewhere when the verdict allows it.
 
-A request that certainly did not run may go elsewhere; one that may have run is
-sent again only when it is idempotent, and never once a byte was passed on.
+A request that certainly did not run may be sent to another target. One that may
+have run is retried only if it is idempotent, and never after a byte of the answer
+was forwarded to the caller.
 """
 
 from collections.abc import Awaitable, Callable
@@ -32,7 +33,7 @@
 
 
 class TargetAnswer(NamedTuple):
-    """A target that has begun to answer."""
+    """A target that started to answer, with the head of its response."""
 
     target: TargetView
     response: IResponse
@@ -40,7 +41,7 @@
 
 
 class Dispatcher:
-    """Place requests, send them, and retry by verdict within the budget."""
+    """Place requests, send them, and retry them by verdict within the retry budget."""
 
     def __init__(
         self,
@@ -62,15 +63,15 @@
         self.on_attempt_ended: Callable[[WorkItem, Verdict, str], None] = lambda *ignored: None
 
     def set_policy(self, policy: Policy) -> None:
-        """Take a confirmed policy over."""
+        """Apply a confirmed policy."""
         self._policy = RetryPolicy(max_attempts=policy.max_attempts)
         for budget in self._budgets.values():
             budget.share = policy.retry_share
 
     async def run(self, work: WorkItem, send: Send) -> TargetAnswer:
-        """Return the target that answers; raise `RefusedError` when none does.
+        """Return the answer of a target; raise `RefusedError` when no target answers.
 
-        What is returned must be handed to `finish` in the end.
+        The caller must pass the returned answer to `finish` when the request ends.
         """
         await self._limits.admit(work)
         try:
@@ -80,7 +81,7 @@
             raise
 
     async def _try_targets(self, work: WorkItem, send: Send) -> TargetAnswer:
-        """Try one target after the other."""
+        """Try targets one after the other until one answers."""
         self._budgets[work.kind].count_request(self._reactor.seconds())
         failures: list[AttemptError] = []
         tried: frozenset[str] = frozenset()
@@ -111,7 +112,7 @@
         detail: str = "",
         used_tokens: int | None = None,
     ) -> None:
-        """End a request that a target had begun to answer."""
+        """End a request that a target started to answer, and record its result."""
         self._limits.release(work, used_tokens)
         self._placing.end(work, answer.target, verdict is Verdict.RAN)
         if not work.caller.gone:
@@ -121,7 +122,10 @@
     async def _place(
         self, work: WorkItem, tried: frozenset[str], failures: list[AttemptError]
     ) -> TargetView:
-        """Choose a target; a refusal, or a caller's leaving, tells of the attempts before it."""
+        """Choose a target.
+
+        If that fails after earlier attempts, the refusal carries the verdict of those attempts.
+        """
         try:
             return await self._placing.place(work, tried)
         except (RefusedError, CancelledError) as error:
@@ -135,14 +139,14 @@
     def _record_failure(
         self, work: WorkItem, target: TargetView, started_s: float, error: AttemptError
     ) -> None:
-        """End an attempt that failed before its answer."""
+        """Record an attempt that failed before its answer started."""
         self._placing.end(work, target, False)
         if error.suspect and not work.caller.gone:
             self._health.observe(target, False)
         self._record_attempt(work, target, started_s, error.verdict, error.reason, error.detail)
 
     def _retry_delay_s(self, work: WorkItem, failures: list[AttemptError]) -> float:
-        """Return the wait before the next attempt; raise `RefusedError` when there is none."""
+        """Return the delay before the next attempt; raise `RefusedError` if none is allowed."""
         last = failures[-1]
         if work.caller.gone or last.final:
             raise RefusedError(self._refusal(failures))
@@ -164,7 +168,7 @@
         return decision.delay_s
 
     def _refusal(self, failures: list[AttemptError]) -> Refusal:
-        """Make the answer to a request whose attempts failed: the worst verdict counts."""
+        """Return the refusal of a request whose attempts failed, with the worst verdict."""
         last = failures[-1]
         verdict = worst_verdict([failure.verdict for failure in failures])
         return Refusal(last.reason, verdict, last.detail, last.retry_after_s)
@@ -178,7 +182,7 @@
         reason: str,
         detail: str,
     ) -> None:
-        """Write an attempt into the request's record and the metrics."""
+        """Add an attempt to the request's record and to the metrics."""
         record = work.record
         duration_ms = round((self._reactor.seconds() - started_s) * 1000, 2)
         started_ms = record.elapsed_ms(started_s)
--- a/packages/router/src/damaskwind/router/failure_domains.py
+++ b/packages/router/src/damaskwind/router/failure_domains.py
@@ -1,4 +1,4 @@
-"""Tell which failure domains share limits and which share the homes of chats."""
+"""Derive the failure domains that share account limits and those that share chat homes."""
 
 from damaskwind.runtime.settings import Settings
 
@@ -6,12 +6,12 @@
 
 
 def all_failure_domains(settings: Settings) -> tuple[str, ...]:
-    """Name the failure domains that account limits are divided over.
+    """Return the failure domains among which account limits are divided.
 
-    The list has to be the same on every router, or the parts don't sum to the
-    limit; so it comes from the settings and never from membership. Without one
-    it is taken from the replicas, which stand one in each failure domain of a
-    small deployment.
+    The list must be the same on every router, or the shares don't sum to the limit.
+    It is therefore taken from the settings and never from membership. Without a
+    list, the domains of the replicas are used: a small deployment has one replica
+    in each failure domain.
     """
     own = {settings.node.failure_domain}
     named = set(settings.router.failure_domains)
@@ -21,9 +21,9 @@
 
 
 def near_failure_domains(settings: Settings) -> tuple[str, ...]:
-    """Name the failure domains among whose engines a chat has one home.
+    """Return the failure domains among whose engines a chat has one home.
 
-    Without a list it is all of them, which suits failure domains that are a few
+    Without a list these are all domains, which suits failure domains that are a few
     milliseconds apart.
     """
     named = set(settings.router.near_failure_domains)
--- a/packages/router/src/damaskwind/router/gateway.py
+++ b/packages/router/src/damaskwind/router/gateway.py
@@ -1,4 +1,4 @@
-"""Let a caller's request in: who it is, by when it must be answered, and its record."""
+"""Admit callers' requests: authentication, deadline, and the request's record."""
 
 from collections.abc import Callable
 from math import isfinite
@@ -30,7 +30,7 @@
 
 
 def _timeout_s(request: Any, limit_s: float) -> float:
-    """Return the caller's own timeout, at most the limit."""
+    """Return the caller's timeout, capped at the limit."""
     text = request.getHeader("x-timeout-s")
     if text is None:
         return limit_s
@@ -44,7 +44,7 @@
 
 
 def _idempotency_key(request: Any) -> str:
-    """Return the caller's key for the request, if it gave one."""
+    """Return the idempotency key of a request, or an empty text."""
     key = request.getHeader("idempotency-key") or ""
     if len(key) > _MAX_KEY_CHARACTERS or not key.isascii():
         raise _bad_request(f"'Idempotency-Key' must be at most {_MAX_KEY_CHARACTERS} characters")
@@ -63,7 +63,7 @@
         self.set_configuration(Configuration())
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Put a configuration in force for all requests from now on."""
+        """Apply a configuration to all requests that arrive from now on."""
         self.configuration = configuration
         self._accounts = account_index(configuration)
 
@@ -74,8 +74,8 @@
     def handle(self, request: Any, serve: Serve) -> Deferred:
         """Run one request to its end.
 
-        The Deferred for klein is a separate one, so that nothing but the
-        caller's going away, which `Caller` reports, ends a request early.
+        Klein gets a separate Deferred, so that its cancellation does not end the request:
+        only a lost caller connection, which `Caller` reports, ends a request early.
         """
         answered: Deferred = Deferred(lambda cancelled: None)
         self.in_progress += 1
@@ -85,7 +85,7 @@
         return answered
 
     async def _run(self, request: Any, serve: Serve) -> bytes | None:
-        """Let a request in, serve it, and answer its refusal."""
+        """Admit a request, serve it, and answer with its refusal if it is refused."""
         now_s = self._clock.seconds()
         record = self._explain.start(request.request_id, request.path.decode("latin-1"), now_s)
         caller = Caller(request)
@@ -98,7 +98,7 @@
             refusal = error.refusal
         except CancelledError:
             refusal = Refusal(Reason.CALLER_TIMEOUT, Verdict.NOT_RUN, "the caller left the queue")
-        except Exception as error:  # a fault of ours must not look like "not run"
+        except Exception as error:  # a bug in the router must not be reported as "not run"
             logger.opt(exception=error).error("request failed", request=request.request_id)
             refusal = Refusal(Reason.TARGET_FAILED, Verdict.MAY_HAVE_RUN, "the router failed")
         record.end(refusal.verdict, refusal.reason, refusal.detail, self._clock.seconds())
@@ -131,6 +131,6 @@
         )
 
     def _count_finished(self, result: Any) -> Any:
-        """Count a request out."""
+        """Decrement the number of requests in progress."""
         self.in_progress -= 1
         return result
--- a/packages/router/src/damaskwind/router/idempotency.py
+++ b/packages/router/src/damaskwind/router/idempotency.py
@@ -1,7 +1,7 @@
-"""Run a request that carries an idempotency key at most once, whoever gets the resend.
+"""Run a request with an idempotency key at most once, whichever router gets a resend.
 
-The key is claimed from the holders before anything is sent. The answer is kept
-as it passes by, so that a resend gets it again.
+The key is claimed from the claim holders before the request is sent to a target.
+The answer is captured while it is sent to the caller, so that a resend gets it again.
 """
 
 from collections.abc import Awaitable, Callable
@@ -36,7 +36,10 @@
 
 
 def _make_refusal(outcome: ClaimOutcome) -> Refusal:
-    """Return why a request isn't run; say it plainly when the first one with its key ran."""
+    """Return the refusal of a request whose claim was not granted.
+
+    If the first request with the key ran, the detail names it and its result.
+    """
     refusal = outcome.refusal
     if outcome.kind is not ClaimKind.IN_USE or refusal.verdict is not Verdict.RAN:
         return refusal
@@ -51,7 +54,7 @@
 
 
 class _Capture:
-    """Keep what is written to a caller, up to a bound, with the digest of all of it."""
+    """Capture what is written to a caller: the data up to a limit, and the digest of all."""
 
     def __init__(self, request: Any) -> None:
         self._write = request.write
@@ -61,19 +64,19 @@
         request.write = self.write
 
     def write(self, data: bytes) -> None:
-        """Keep a piece and pass it on."""
+        """Record a piece and forward it."""
         self.record(data)
         self._write(data)
 
     def record(self, data: bytes) -> None:
-        """Keep a piece."""
+        """Add a piece to the captured data."""
         self._digest.update(data)
         self._size_bytes += len(data)
         if self._size_bytes <= ANSWER_LIMIT_BYTES:
             self._pieces.append(data)
 
     def stored_answer(self, request: Any) -> StoredAnswer:
-        """Return the answer as it is kept."""
+        """Return the captured answer in the form in which holders store it."""
         content_type = (request.responseHeaders.getRawHeaders("content-type") or [""])[0]
         complete = self._size_bytes <= ANSWER_LIMIT_BYTES
         body = b"".join(self._pieces) if complete else b""
@@ -81,7 +84,7 @@
 
 
 class Idempotency:
-    """Claim keys before requests run and record how they ended."""
+    """Claim idempotency keys before requests run, and record their outcomes."""
 
     def __init__(self, claims: Any, clock: Any) -> None:
         self._claims = claims
@@ -89,7 +92,7 @@
         self._recording: set[Deferred] = set()
 
     async def run(self, admitted: AdmittedRequest, serve: Serve) -> bytes | None:
-        """Serve a request, once for each key when it carries one."""
+        """Serve a request, at most once for each idempotency key."""
         if not admitted.idempotency_key:
             return await serve(admitted)
         outcome = await self._claim(admitted)
@@ -100,12 +103,12 @@
         return await self._run_claimed(admitted, serve, outcome.accepted)
 
     async def settle(self) -> None:
-        """Wait until every outcome was offered to the holders."""
+        """Wait until every outcome has been sent to the holders."""
         while self._recording:
             await next(iter(self._recording))
 
     async def _claim(self, admitted: AdmittedRequest) -> ClaimOutcome:
-        """Claim the key of a request."""
+        """Claim the idempotency key of a request."""
         if self._claims is None:
             detail = "no claim holder is configured for idempotency keys"
             refusal = Refusal(Reason.NO_QUORUM, Verdict.NOT_RUN, detail, _RETRY_AFTER_S)
@@ -124,7 +127,7 @@
         return outcome
 
     def _replay(self, admitted: AdmittedRequest, answer: StoredAnswer) -> bytes:
-        """Give the first outcome again."""
+        """Answer with the stored outcome of the first request."""
         request = admitted.request
         request.setResponseCode(answer.http_status)
         set_outcome(request, admitted.request_id, Verdict.RAN)
@@ -136,7 +139,7 @@
     async def _run_claimed(
         self, admitted: AdmittedRequest, serve: Serve, accepted: Accepted
     ) -> bytes | None:
-        """Serve a request whose key was granted and record how it ended."""
+        """Serve a request whose claim was granted, and record its outcome."""
         capture = _Capture(admitted.request)
         outcome = Outcome(Verdict.MAY_HAVE_RUN)
         try:
@@ -158,7 +161,7 @@
     def _record_outcome(
         self, admitted: AdmittedRequest, accepted: Accepted, outcome: Outcome
     ) -> None:
-        """Tell the holders how a request ended; the caller need not wait for it."""
+        """Send the outcome of a request to the holders without blocking the caller."""
         key = claim_key(admitted.account.name, admitted.idempotency_key)
         recording = to_deferred(self._claims.record(key, accepted, outcome, _RECORD_TIMEOUT_S))
         self._recording.add(recording)
--- a/packages/router/src/damaskwind/router/placing.py
+++ b/packages/router/src/damaskwind/router/placing.py
@@ -1,4 +1,4 @@
-"""Choose a target for a request: at once, after a wait in the queue, or not at all."""
+"""Choose a target for a request immediately, or queue the request until one has capacity."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -21,15 +21,16 @@
 
 _NO_TARGET_RETRY_S = 2.0
 _RETRY_JITTER_S = 0.5
-# Plain services are drawn at random: their targets have no rank.
+# Number of targets recorded in rank order. Targets of plain services are chosen at random
+# and have no rank.
 _RANKED_TARGETS = {TargetKind.ENGINE: 4, TargetKind.SERVICE: 0}
 
 
 class Placing:
-    """The placers, the health of targets and the queue, put together.
+    """Combine the placers, target health, target signals and the request queues.
 
-    A target that was chosen is counted as started at once, so that the next
-    choice sees it.
+    A request is counted at its target as soon as the target is chosen, so that the
+    next choice takes it into account.
     """
 
     def __init__(
@@ -53,7 +54,10 @@
         directory.watch(queues.capacity_changed)
 
     async def place(self, work: WorkItem, tried: frozenset[str]) -> TargetView:
-        """Return a target that was counted as started; raise `RefusedError` else."""
+        """Return a target, with the request counted as started there.
+
+        Raise `RefusedError` when no target can be found before the deadline.
+        """
         service = work.query.pool.service
         if self._queues.is_empty(service):
             target = self._try_place(work, tried)
@@ -67,7 +71,7 @@
         )
 
     def end(self, work: WorkItem, target: TargetView, done: bool) -> None:
-        """Count a request out of its target."""
+        """Record that a request no longer occupies its target."""
         self.in_flight[target.target_id] -= 1
         if not self.in_flight[target.target_id]:
             del self.in_flight[target.target_id]
@@ -77,7 +81,7 @@
     def _try_place(
         self, work: WorkItem, tried: frozenset[str], is_retry: bool = False
     ) -> TargetView | None:
-        """Choose a target now, or `None` to wait; raise `RefusedError` when none exists."""
+        """Choose a target now, or return `None` to wait; raise `RefusedError` if none exists."""
         now_s = self._clock.seconds()
         unavailable = self._signals.paused_or_leaving()
         ejected = self._health.ejected(work.query.pool.service)
@@ -107,7 +111,7 @@
         return target
 
     def _full_targets(self, work: WorkItem) -> frozenset[str]:
-        """Return the targets of the pool that have all the requests they may have from here."""
+        """Return the targets that are at the pool's concurrency limit for this router."""
         if not self.in_flight:
             return frozenset()
         service = self._configuration().services.get(work.query.pool.service)
@@ -117,14 +121,14 @@
         return frozenset(name for name, count in self.in_flight.items() if count >= limit)
 
     def _check_exists(self, work: WorkItem, tried: frozenset[str]) -> None:
-        """Raise `RefusedError` when no wait helps: nobody serves this who was not tried."""
+        """Raise `RefusedError` when no untried target serves this, so that waiting is useless."""
         if not self._directory.serves(work.query.pool, tried):
             detail = "no live target can serve this request"
             refusal = Refusal(Reason.NO_TARGET, Verdict.NOT_RUN, detail, _NO_TARGET_RETRY_S)
             raise RefusedError(refusal)
 
     def _check_available(self, work: WorkItem, excluded: frozenset[str]) -> None:
-        """Raise `RefusedError` when all who serve this and were not tried want no requests."""
+        """Raise `RefusedError` when all targets that are left are paused or leaving."""
         if not self._directory.serves(work.query.pool, excluded):
             detail = "every live target that can serve this request wants none now"
             rest_left_s = self._signals.rest_left_s(self._directory.offering(work.query.pool))
--- a/packages/router/src/damaskwind/router/request_queues.py
+++ b/packages/router/src/damaskwind/router/request_queues.py
@@ -1,7 +1,7 @@
-"""Hold requests that no target can take yet, one queue for each pool.
+"""Queue requests that no target can accept yet, with one queue for each pool.
 
-A request is tried again whenever a target may have got room, and at intervals,
-since estimates fall with time alone.
+Queued requests are retried whenever a target may have gained capacity, and also
+periodically, because load estimates decay with time alone.
 """
 
 from collections.abc import Callable, Mapping
@@ -24,14 +24,14 @@
 
 
 class _Entry(NamedTuple):
-    """A waiting request: how to try it, and whom to tell."""
+    """A queued request: the function that tries to place it, and the Deferred of its result."""
 
     attempt: Callable[[], Any]
     served: Deferred
 
 
 class RequestQueues:
-    """The queues of all pools and the timers that they need."""
+    """The queues of all pools, with the timer that retries queued requests."""
 
     def __init__(self, clock: Any) -> None:
         self._clock = clock
@@ -44,23 +44,23 @@
         return len(self._entries)
 
     def set_classes(self, classes: Mapping[str, PriorityClass]) -> None:
-        """Follow the confirmed priority classes."""
+        """Apply the confirmed priority classes to all queues."""
         self._classes = classes
         for queue in self._queues.values():
             queue.set_classes(classes)
 
     def is_empty(self, pool: str) -> bool:
-        """Tell whether nobody waits for a pool, so that a newcomer may go straight in."""
+        """Return whether a pool's queue is empty, so that a new request may bypass it."""
         queue = self._queues.get(pool)
         return queue is None or not len(queue)
 
     def wait(
         self, pool: str, request: QueuedRequest, attempt: Callable[[], Any], caller: Caller
     ) -> Deferred:
-        """Queue a request; the Deferred gives what `attempt` found, or `RefusedError`.
+        """Queue a request; the Deferred fires with the result of `attempt` or `RefusedError`.
 
-        `attempt` returns `None` while no target can take the request, and raises
-        `RefusedError` when no wait helps.
+        `attempt` returns `None` while no target can accept the request, and raises
+        `RefusedError` when waiting cannot help.
         """
         served: Deferred = Deferred(lambda cancelled: self._remove(pool, request.request_id))
         self._entries[request.request_id] = _Entry(attempt, served)
@@ -75,12 +75,12 @@
         return served
 
     def capacity_changed(self) -> None:
-        """Try the waiting requests soon: a target may have got room."""
+        """Schedule a retry of the queued requests: a target may have gained capacity."""
         if self._entries:
             self._schedule(_PUMP_DELAY_S)
 
     def _schedule(self, delay_s: float) -> None:
-        """Try the waiting requests after a delay, or sooner when that is planned."""
+        """Retry the queued requests after a delay, or earlier if that is already scheduled."""
         due_s = self._clock.seconds() + delay_s
         if self._pump_timer is not None:
             if self._pump_timer.getTime() <= due_s:
@@ -89,7 +89,7 @@
         self._pump_timer = self._clock.callLater(delay_s, self._pump)
 
     def _pump(self) -> None:
-        """Serve what can be served, give up on what is late, and plan the next look."""
+        """Serve the requests that can be placed, refuse expired ones, schedule the next run."""
         self._pump_timer = None
         now_s = self._clock.seconds()
         for queue in list(self._queues.values()):
@@ -101,7 +101,7 @@
             self._schedule(min(_PUMP_INTERVAL_S, max(soonest_s - now_s, 0.0)))
 
     def _serve(self, queue: AdmissionQueue, now_s: float) -> None:
-        """Take out every request of a queue that a target can take."""
+        """Remove every request from a queue that a target can accept now."""
         found: dict[str, Any] = {}
 
         def can_run(request: QueuedRequest) -> bool:
@@ -121,13 +121,13 @@
             entry.served.callback(found.pop(request.request_id))
 
     def _refuse(self, refused: tuple[RefusedRequest, ...]) -> None:
-        """Tell requests that they are refused."""
+        """Fail queued requests with their refusals."""
         for item in refused:
             entry = self._entries.pop(item.request.request_id, None)
             if entry is not None:
                 entry.served.errback(RefusedError(item.refusal))
 
     def _remove(self, pool: str, request_id: str) -> None:
-        """Strike off a request whose caller went away."""
+        """Remove a request whose caller disconnected."""
         if self._entries.pop(request_id, None) is not None:
             self._queues[pool].remove(request_id)
--- a/packages/router/src/damaskwind/router/target_directory.py
+++ b/packages/router/src/damaskwind/router/target_directory.py
@@ -1,6 +1,6 @@
-"""What this router knows of the targets, kept by events and fed to the placers.
+"""Track the live targets from membership events and update the placers.
 
-Engines and plain services have a placer each, so that neither kind of traffic
+Engines and plain services have separate placers, so that neither kind of traffic
 waits behind the other.
 """
 
@@ -26,7 +26,7 @@
 
 
 def _offers(view: TargetView, pool: PoolName) -> bool:
-    """Tell whether a target has the pool's model loaded, if the pool names one."""
+    """Return whether a target has the pool's model loaded, if the pool names one."""
     return not pool.model or any(
         offer.model == pool.model
         and pool.version in ("", offer.version)
@@ -36,7 +36,7 @@
 
 
 class TargetDirectory:
-    """The live targets by id, with one placer for each kind."""
+    """The live targets by id, with one placer for each kind of target."""
 
     def __init__(
         self,
@@ -51,7 +51,8 @@
         self._views: dict[str, TargetView] = {}
         self._watchers: list[Callable[[], None]] = []
         self.on_members_changed: Callable[[list[TargetView]], None] = lambda views: None
-        # Chats have one home among near domains; plain services have no cache to share.
+        # A chat has one home among the engines of the near domains, for its cached prefix.
+        # Plain services have no cache to share, so no other domain counts as near.
         kinds = {
             TargetKind.ENGINE: (policy.placement, near_domains),
             TargetKind.SERVICE: (_SERVICE_PLACEMENT, ()),
@@ -68,31 +69,31 @@
         }
 
     def watch(self, watcher: Callable[[], None]) -> None:
-        """Call `watcher` whenever a target may have got room."""
+        """Call `watcher` whenever a target may have gained capacity."""
         self._watchers.append(watcher)
 
     def handle_event(self, event: Event) -> None:
-        """Take in an event of the membership."""
+        """Apply a membership event."""
         handler = self._handlers.get(type(event))
         if handler is not None:
             handler(event)
             self.capacity_changed()
 
     def capacity_changed(self) -> None:
-        """Tell the watchers that a target may have got room."""
+        """Notify the watchers that a target may have gained capacity."""
         for watcher in self._watchers:
             watcher()
 
     def set_policy(self, policy: Policy) -> None:
-        """Take a confirmed policy over."""
+        """Apply a confirmed policy."""
         self.placers[TargetKind.ENGINE].set_policy(policy.placement, policy.load_factor)
 
     def set_near_domains(self, near_domains: Iterable[str]) -> None:
-        """Say in which failure domains chats may have their homes now."""
+        """Set the failure domains in which chats may have their homes."""
         self.placers[TargetKind.ENGINE].set_near_domains(near_domains)
 
     def set_router_counts(self, near_count: int, own_count: int) -> None:
-        """Say how many routers share the engines, and the plain services."""
+        """Set how many routers share the engines and how many share the plain services."""
         self.placers[TargetKind.ENGINE].set_router_count(near_count)
         self.placers[TargetKind.SERVICE].set_router_count(own_count)
 
@@ -105,7 +106,7 @@
         return self._views.get(target_id)
 
     def serves(self, pool: PoolName, tried: frozenset[str]) -> bool:
-        """Tell whether a live target that was not tried offers what a pool names."""
+        """Return whether a live target outside `tried` offers what a pool names."""
         return any(view.target_id not in tried for view in self.offering(pool))
 
     def offering(self, pool: PoolName) -> Iterator[TargetView]:
@@ -117,13 +118,13 @@
         )
 
     def observe_report(self, target_id: str, report: LoadReport) -> None:
-        """Take in a load that came with an answer."""
+        """Apply a load report of a target."""
         view = self._views.get(target_id)
         if view is not None:
             self.placers[view.kind].observe_report(target_id, report, self._clock.seconds())
 
     def _handle_changed(self, event: TargetChanged) -> None:
-        """Add or update a target and take in the load that it reported."""
+        """Add or update a target and apply the load that it reported."""
         view = event.target
         is_new = view.target_id not in self._views
         self._views[view.target_id] = view
@@ -137,26 +138,26 @@
             self.observe_report(view.target_id, report)
 
     def _handle_gone(self, event: TargetGone) -> None:
-        """Give a target no more work; what is in progress there goes on."""
+        """Remove a target from placement; its requests in progress continue."""
         view = self._views.pop(event.target_id, None)
         if view is not None:
             self.placers[view.kind].remove_target(event.target_id)
             self._notify_members_changed()
 
     def _notify_members_changed(self) -> None:
-        """Tell who follows the live targets."""
+        """Report the live targets to the subscriber."""
         self.on_members_changed(self.views())
 
     def _handle_load(self, event: LoadHeard) -> None:
-        """Take in a load that a peer passed on."""
+        """Apply a load report that a peer forwarded."""
         self.observe_report(event.target_id, event.report)
 
     def _handle_spill(self, event: SpillHeard) -> None:
-        """Learn where chats were last served away from home."""
+        """Record where chats were last served away from their homes."""
         now_s = self._clock.seconds()
         for note in event.notes:
             self.placers[TargetKind.ENGINE].observe_spill_note(note, now_s)
 
     def pop_spill_notes(self) -> tuple[SpillNote, ...]:
-        """Return own notes that the peers have not heard yet."""
+        """Return and clear this router's spill notes that are not yet published."""
         return self.placers[TargetKind.ENGINE].pop_spill_notes(self._clock.seconds())
--- a/packages/router/src/damaskwind/router/target_health.py
+++ b/packages/router/src/damaskwind/router/target_health.py
@@ -1,4 +1,4 @@
-"""Keep failing targets out, pool by pool, as one router sees them."""
+"""Eject failing targets from each pool, by the failures that this router observes."""
 
 from collections.abc import Iterable
 from random import Random
@@ -16,7 +16,7 @@
 
 
 class TargetHealth:
-    """The circuits of every pool; a pool without trouble costs nothing to ask."""
+    """The circuit breakers of every pool; pools without failures are skipped cheaply."""
 
     def __init__(self, clock: Any, random: Random) -> None:
         self._clock = clock
@@ -27,7 +27,7 @@
         self._failing_pools: set[str] = set()
 
     def set_policy(self, policy: Policy) -> None:
-        """Take a confirmed policy over; circuits start again when it differs."""
+        """Apply a confirmed policy; all circuit breakers are reset when it differs."""
         wanted = HealthPolicy(
             ejection_share=policy.ejection_share, ejection_base_s=policy.ejection_base_s
         )
@@ -39,7 +39,7 @@
                 self._set_members(service, members)
 
     def set_targets(self, views: Iterable[TargetView]) -> None:
-        """Follow the live targets."""
+        """Set the live targets of all pools."""
         members: dict[str, list[str]] = {}
         for view in views:
             members.setdefault(view.service, []).append(view.target_id)
@@ -48,12 +48,12 @@
         self._members = members
 
     def _set_members(self, service: str, members: list[str]) -> None:
-        """Name the targets of one pool."""
+        """Set the targets of one pool."""
         pool = self._pools.setdefault(service, PoolHealth(self._policy))
         pool.set_targets(members, self._clock.seconds())
 
     def observe(self, view: TargetView, succeeded: bool) -> None:
-        """Note how a request to a target ended."""
+        """Record whether a request to a target succeeded."""
         pool = self._pools.get(view.service)
         if pool is None:
             return
@@ -62,12 +62,12 @@
         pool.observe(view.target_id, succeeded, self._clock.seconds(), self._random)
 
     def note_sent(self, view: TargetView) -> None:
-        """Say that a request is being sent to a target."""
+        """Record that a request is being sent to a target."""
         if view.service in self._failing_pools:
             self._pools[view.service].note_sent(view.target_id, self._clock.seconds())
 
     def ejected(self, service: str) -> frozenset[str]:
-        """Return the targets of a pool that may not be sent anything now."""
+        """Return the targets of a pool that are ejected now."""
         if service not in self._failing_pools:
             return _NO_TARGETS
         pool = self._pools[service]
@@ -79,7 +79,7 @@
         return ejected
 
     def state(self, service: str, target_id: str) -> str:
-        """Name the circuit state of a target."""
+        """Return the circuit state of a target."""
         pool = self._pools.get(service)
         return pool.state(target_id) if pool else _CLOSED
 
--- a/packages/router/src/damaskwind/router/target_signals.py
+++ b/packages/router/src/damaskwind/router/target_signals.py
@@ -1,4 +1,7 @@
-"""Keep what targets of this router asked for in their answers, chats and calls alike."""
+"""Track the signals that targets send in their answers: requested pauses and leaving.
+
+Engines and plain services use the same signals.
+"""
 
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
@@ -16,7 +19,7 @@
 
 
 class _Incarnation(NamedTuple):
-    """One life of a target."""
+    """One incarnation of a target."""
 
     target_id: str
     incarnation: int
@@ -32,7 +35,7 @@
 
 
 def parse_response_signals(response: IResponse) -> AnswerSignals:
-    """Return what the head of an answer asks for."""
+    """Return the signals in the head of an answer."""
     return parse_signals(
         response.code,
         _first_header(response, b"retry-after"),
@@ -42,7 +45,7 @@
 
 
 class TargetSignalTracker:
-    """The wishes of all targets; `find` returns a live target by its id."""
+    """The current signals of all targets; `find` returns a live target by its id."""
 
     def __init__(self, find: Callable[[str], TargetView | None], clock: Any) -> None:
         self._find = find
@@ -50,7 +53,7 @@
         self._table = SignalTable()
 
     def observe(self, view: TargetView, signals: AnswerSignals) -> None:
-        """Take what a target signals in an answer."""
+        """Record the signals of one answer."""
         new = self._table.observe(_incarnation(view), signals, self._clock.seconds())
         if new is not TargetSignal.NOTHING:
             logger.info(
@@ -63,18 +66,18 @@
             )
 
     def signal(self, view: TargetView) -> TargetSignal:
-        """Return what a target wants now."""
+        """Return the signal of a target that is in effect now."""
         return self._table.signal(_incarnation(view), self._clock.seconds())
 
     def paused_or_leaving(self) -> frozenset[str]:
-        """Return the live targets that want no new requests now."""
+        """Return the live targets that asked for no new requests, by a pause or by leaving."""
         incarnations = self._table.active(self._clock.seconds()) if self._table else ()
         return frozenset(
             incarnation.target_id for incarnation in incarnations if self._is_live(incarnation)
         )
 
     def rest_left_s(self, views: Iterable[TargetView]) -> float | None:
-        """Return the seconds until the first of these targets that rest has rested."""
+        """Return the seconds until the first requested pause of these targets ends."""
         incarnations = [_incarnation(view) for view in views]
         return self._table.rest_left_s(incarnations, self._clock.seconds())
 
--- a/packages/router/src/damaskwind/router/work.py
+++ b/packages/router/src/damaskwind/router/work.py
@@ -1,4 +1,4 @@
-"""What the router knows of a request while it looks for a target."""
+"""The description of a request that is to be placed at a target."""
 
 from typing import NamedTuple
 
@@ -12,9 +12,9 @@
 
 
 class WorkItem(NamedTuple):
-    """A request that wants a target; `deadline_s` is on the monotonic clock.
+    """A request to be placed at a target; `deadline_s` is on the monotonic clock.
 
-    `total_tokens` is what counts against the account's limit.
+    `total_tokens` counts against the account's limit.
     """
 
     request_id: str
