--- a/packages/router/src/damaskwind/router/account_limits.py
+++ b/packages/router/src/damaskwind/router/account_limits.py
@@ -198,7 +198,7 @@
         try:
             report = self._codec.decode_report(router_id, self._router_id, payload)
         except MessageError as error:
-            logger.warning("malformed demand report dropped", error=str(error))
+            logger.warning("malformed report of demand dropped", error=str(error))
             return
         self._handle_report(router_id, report)
 
@@ -224,7 +224,7 @@
         try:
             grant = self._codec.decode_grant(router_id, payload)
         except MessageError as error:
-            logger.warning("malformed share grant dropped", error=str(error))
+            logger.warning("malformed grant of shares dropped", error=str(error))
             return
         self._apply_grant(grant)
 
--- a/packages/router/src/damaskwind/router/announcements.py
+++ b/packages/router/src/damaskwind/router/announcements.py
@@ -1,4 +1,4 @@
-"""Take in what targets announce: that they live, what they offer, and their load."""
+"""Receive the announcements of targets: their state, their models and their load."""
 
 from collections.abc import Callable
 from typing import Any
@@ -27,7 +27,7 @@
         self._observe_load = observe_load
 
     def receive(self, request: Any) -> bytes:
-        """Take one announcement and say when the next is wanted."""
+        """Handle one announcement and answer with the time until the next one is due."""
         if not same_key(bearer_key(request.getHeader("authorization")), self._announce_key):
             detail = "the announce key is not valid"
             raise RefusedError(Refusal(Reason.BAD_KEY, Verdict.NOT_RUN, detail))
@@ -36,14 +36,14 @@
         outcome = self._membership.announce(announcement, len(body))
         if not outcome.accepted:
             return answer_json(request, 409, {"incarnation": outcome.incarnation})
-        # A renewal is no event: peers hear its load by gossip, this router here.
+        # A renewal emits no event. Peers receive its load by gossip, this router here.
         self._observe_load(announcement.target_id, announcement.load)
         next_s = self._membership.next_announcement_s(announcement.lease_s)
         return answer_json(request, 200, {"next_announcement_s": next_s})
 
 
 def _parse_announcement(body: bytes) -> TargetAnnouncement:
-    """Check an announcement; raise `RefusedError` with every mistake."""
+    """Parse and check an announcement; raise `RefusedError` that lists every mistake."""
     try:
         raw = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/packages/router/src/damaskwind/router/answer_body.py
+++ b/packages/router/src/damaskwind/router/answer_body.py
@@ -1,4 +1,4 @@
-"""Read the body of a target's answer in time, whole or not at all."""
+"""Read the complete body of a target's answer within a time limit, or fail."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 
 
 class _Collector(Protocol):
-    """Collect a body up to a limit; anything but an orderly end is a failure."""
+    """Collect a body up to a size limit; any end but a complete response is a failure."""
 
     def __init__(self, limit_bytes: int) -> None:
         self.done: Deferred = Deferred(self._time_out)
@@ -25,18 +25,18 @@
         self._pieces: list[bytes] = []
 
     def _time_out(self, done: Deferred) -> None:
-        """Fail a body that is late, or whose caller has gone; its request may have run."""
+        """Fail a body that is late or whose caller disconnected; its request may have run."""
         detail = "the target's answer did not end in time"
         done.errback(AttemptError(Verdict.MAY_HAVE_RUN, Reason.DEADLINE, detail))
         self._drop()
 
     def _drop(self) -> None:
-        """Close the connection: its next bytes would belong to this answer."""
+        """Close the connection, since its next bytes would still belong to this answer."""
         if self.transport is not None:
             self.transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Keep a piece."""
+        """Add a piece, or close the connection of a body over the limit."""
         self._size_bytes += len(data)
         if self._size_bytes > self._limit_bytes:
             self._drop()
@@ -44,7 +44,7 @@
         self._pieces.append(data)
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Hand the body over if it ended in order."""
+        """Return the body if it is complete, or fail."""
         if self.done.called:
             return
         if reason.check(ResponseDone) and self._size_bytes <= self._limit_bytes:
@@ -61,9 +61,9 @@
     clock: Any,
     caller: Caller | None = None,
 ) -> bytes:
-    """Return the whole body; raise `AttemptError` when it is cut, too long or late.
+    """Return the complete body; raise `AttemptError` if it is cut, too long or late.
 
-    A caller that goes away ends the reading at once.
+    If the caller disconnects, reading stops immediately.
     """
     collector = _Collector(limit_bytes)
     response.deliverBody(collector)
@@ -80,10 +80,10 @@
 
 
 class _Discarding(Protocol):
-    """Close the connection of an answer that nobody may see."""
+    """Close the connection of an answer without reading it."""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Close at once."""
+        """Close the connection immediately."""
         self.transport.loseConnection()
 
 
--- a/packages/router/src/damaskwind/router/answers.py
+++ b/packages/router/src/damaskwind/router/answers.py
@@ -1,4 +1,4 @@
-"""Write final answers to callers: refusals in the OpenAI error shape."""
+"""Write final answers to callers; refusals have the OpenAI error format."""
 
 from math import ceil
 from typing import Any
@@ -34,13 +34,13 @@
 
 
 def set_outcome(request: Request, request_id: str, verdict: Verdict) -> None:
-    """Set the two headers that every answer carries."""
+    """Set the request id and verdict headers that every answer carries."""
     request.setHeader(b"x-request-id", request_id.encode())
     request.setHeader(b"x-verdict", verdict.value.encode())
 
 
 def answer_json(request: Request, status: int, value: Any) -> bytes:
-    """Set the status and type of a JSON answer and return its body."""
+    """Set the status and headers of a JSON answer and return its body."""
     body = msgspec.json.encode(value)
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/json")
@@ -57,7 +57,7 @@
     request.setHeader(b"content-type", b"application/json")
     request.setHeader(b"content-length", str(len(body)).encode())
     if refusal.verdict is not Verdict.NOT_RUN:
-        # The openai client resends after any 5xx or 409 by itself unless told not to.
+        # The openai client retries after any 5xx or 409 unless this header forbids it.
         request.setHeader(b"x-should-retry", b"false")
     if status in _RETRY_STATUSES:
         wait_s = refusal.retry_after_s or _DEFAULT_RETRY_AFTER_S
--- a/packages/router/src/damaskwind/router/authentication.py
+++ b/packages/router/src/damaskwind/router/authentication.py
@@ -1,8 +1,8 @@
-"""Find the client account of an API key.
+"""Find the client account or operator of an API key.
 
-Keys are kept as SHA-256. The account is found by the hash of the presented key,
-so what an attacker can time depends on a hash that they can't steer; the final
-comparison is constant-time all the same.
+Keys are stored as SHA-256. The owner is looked up by the hash of the presented key,
+so timing depends only on a hash that an attacker can't control. The final comparison
+is constant-time nevertheless.
 """
 
 from collections.abc import Iterable, Mapping
@@ -38,13 +38,13 @@
 
 
 class KeyIndex(Generic[Owner]):
-    """The owners of keys by the hash of each key."""
+    """The owners of keys, indexed by the hash of each key."""
 
     def __init__(self, pairs: Iterable[tuple[str, Owner]]) -> None:
         self._owners: Mapping[str, Owner] = dict(pairs)
 
     def owner(self, key: str) -> Owner:
-        """Return the owner of a key; raise `RefusedError` when nobody owns it."""
+        """Return the owner of a key; raise `RefusedError` if the key is unknown."""
         digest = sha256(key.encode()).hexdigest()
         owner = self._owners.get(digest)
         hashes = getattr(owner, "key_hashes", None) or (getattr(owner, "key_hash", ""),)
--- a/packages/router/src/damaskwind/router/caller.py
+++ b/packages/router/src/damaskwind/router/caller.py
@@ -1,4 +1,4 @@
-"""Follow whether the caller of one request is still there."""
+"""Track whether the caller of a request is still connected."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class Caller:
-    """One caller: `gone` is set once its connection is lost before the answer's end."""
+    """The caller of a request; `gone` is set if its connection is lost before the answer ends."""
 
     def __init__(self, request: Any) -> None:
         self.gone = False
@@ -18,7 +18,7 @@
         request.notifyFinish().addErrback(self._lost)
 
     def when_gone(self, watcher: Callable[[], None]) -> None:
-        """Call `watcher` when the caller goes away, or now if it has gone."""
+        """Call `watcher` when the caller disconnects, or immediately if it already has."""
         if self.gone:
             watcher()
             return
@@ -31,13 +31,13 @@
         return gone
 
     def abort(self) -> None:
-        """Drop the caller's connection at once."""
+        """Abort the caller's connection."""
         transport = self._request.channel and self._request.channel.transport
         if transport:
             transport.abortConnection()
 
     def _lost(self, failure: Any) -> None:
-        """Tell the watchers, once."""
+        """Notify the watchers once."""
         self.gone = True
         watchers, self._watchers = self._watchers, []
         for watcher in watchers:
--- a/packages/router/src/damaskwind/router/caller_request.py
+++ b/packages/router/src/damaskwind/router/caller_request.py
@@ -1,10 +1,10 @@
-"""A caller's HTTP request under limits of size and time.
+"""A caller's HTTP request, with limits on its size and the time to receive it.
 
-A caller that sends its headers or body too slowly gets 408 and loses its
-connection. A chat over the size limit is read and dropped, so that the caller
-can still read the 413 that the handler sends. A large body for a plain service
-is handed to the handler while it arrives, unless it carries an idempotency key:
-then its digest is needed first.
+A caller that sends its headers or body too slowly gets a 408 and is disconnected.
+A chat over the size limit is read and discarded, so that the caller can still read
+the 413 that the handler sends. A large body for a plain service is streamed to the
+handler while it arrives, except with an idempotency key: the claim needs the digest
+of the whole body first.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may take: total seconds for headers and body, bytes for the body."""
+    """Limits for one request: seconds to receive headers and body, and body bytes."""
 
     header_timeout_s: float
     body_timeout_s: float
@@ -33,10 +33,10 @@
 
 
 class CallerRequest(Request):
-    """One request with its deadlines.
+    """One request with its receive timeouts.
 
-    `too_large` is set when its body was dropped; `upload` is set when the body
-    is still arriving as the handler runs.
+    `too_large` is set if the body was discarded; `upload` is set if the body is
+    still arriving while the handler runs.
     """
 
     def __init__(self, limits: CallerLimits, *arguments: Any, **options: Any) -> None:
@@ -50,20 +50,20 @@
         self._start_timer(limits.header_timeout_s)
 
     def _start_timer(self, timeout_s: float) -> None:
-        """Give the caller some seconds for what comes next, counted from now."""
+        """Start or restart the receive timeout, in seconds from now."""
         if self._timer is None:
             self._timer = self.channel.callLater(timeout_s, self._time_out)
         else:
             self._timer.reset(timeout_s)
 
     def _stop_timer(self) -> None:
-        """Let the caller be: it has sent what was waited for."""
+        """Stop the receive timeout."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
 
     def _time_out(self) -> None:
-        """Tell a slow caller so and drop its connection."""
+        """Answer a slow caller with 408 and close its connection."""
         self._timer = None
         if self.startedWriting or self.upload is not None:
             self.channel.loseConnection()
@@ -84,7 +84,7 @@
         self.channel.loseConnection()
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Note that the headers are complete; from here the body's time runs."""
+        """Start the body timeout after the headers, and decide how to receive the body."""
         self._start_timer(self.limits.body_timeout_s)
         line = self.channel.request_line
         is_large = length is None or length > BUFFERED_BYTES
@@ -98,7 +98,7 @@
         super().gotLength(0 if self.too_large else length)
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Keep a piece of the body, pass it on, or drop it when the body is too large."""
+        """Buffer or stream a piece of the body, or discard it if the body is too large."""
         if self.upload is not None:
             if self._timer is not None:
                 self._start_timer(self.limits.body_timeout_s)
@@ -111,7 +111,7 @@
             super().handleContentChunk(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:  # noqa: N802
-        """Note that the body is complete and let the handler have the request."""
+        """Complete the body and pass the request to the handler."""
         self._stop_timer()
         if self.upload is not None:
             self.upload.finish()
@@ -119,40 +119,40 @@
         super().requestReceived(command, path, version)
 
     def process(self) -> None:
-        """Let the handler have the request; a closing site ends the connection after it."""
+        """Pass the request to the handler; if the site is closing, end keep-alive."""
         if self.channel.site.closing:
             self.end_keep_alive()
         self.setHeader(b"x-request-id", self.request_id.encode())
         super().process()
 
     def end_keep_alive(self) -> None:
-        """Take no other request on this connection."""
+        """Accept no further request on this connection."""
         self.channel.persistent = False
         if not self.startedWriting:
             self.setHeader(b"connection", b"close")
 
     def finish(self) -> None:
-        """End the answer; a body that still arrives ends the connection with it."""
+        """End the answer; if the body is still arriving, close the connection after it."""
         if self.upload is not None and not self.upload.complete:
             self._stop_timer()
             self.channel.persistent = False
         super().finish()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Forget the deadlines of a caller that is gone."""
+        """Stop the timeout and the upload of a caller that disconnected."""
         self._stop_timer()
         if self.upload is not None:
             self.upload.fail()
         super().connectionLost(reason)
 
     def _pause_upload(self) -> None:
-        """Read no more from the caller; the wait is not the caller's."""
+        """Stop reading from the caller; the pause does not count against its timeout."""
         self._stop_timer()
         if self.channel is not None and self.channel.transport is not None:
             self.channel.transport.pauseProducing()
 
     def _resume_upload(self) -> None:
-        """Read from the caller again."""
+        """Resume reading from the caller and restart its timeout."""
         if self.channel is None or self.channel.transport is None or self.upload.complete:
             return
         self._start_timer(self.limits.body_timeout_s)
--- a/packages/router/src/damaskwind/router/caller_site.py
+++ b/packages/router/src/damaskwind/router/caller_site.py
@@ -1,4 +1,4 @@
-"""The HTTP factory towards callers: it knows its connections and can close them."""
+"""The HTTP server factory for callers, which tracks its connections and can close them."""
 
 import socket
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 
 def _watch_for_dead_peer(transport: Any) -> None:
-    """Let the kernel drop a connection whose peer neither reads nor answers."""
+    """Let the kernel close a connection whose peer neither reads nor answers keep-alives."""
     transport.setTcpNoDelay(True)
     transport.setTcpKeepAlive(True)
     handle = transport.getHandle()
@@ -42,26 +42,26 @@
     request_line = RequestLine()
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Enter the connection at the site."""
+        """Register the connection with the site."""
         super().connectionMade()
         _watch_for_dead_peer(self.transport)
         self.site.channels.add(self)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Keep the first line of each request: a body may be wanted before it ends."""
+        """Record the request line: an upload is passed to the handler before its body ends."""
         requests = len(self.requests)
         super().lineReceived(line)
         if len(self.requests) > requests:
             self.request_line = RequestLine(*line.split(maxsplit=2)[:3])
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Strike the connection off."""
+        """Unregister the connection from the site."""
         super().connectionLost(reason)
         self.site.channel_lost(self)
 
 
 class CallerSite(Site):
-    """The factory; `closing` ends each connection after the answer in progress."""
+    """The server factory; if `closing` is set, connections end after the answer in progress."""
 
     protocol = CallerChannel
     noisy = False
@@ -83,38 +83,38 @@
         self._watchers: list[Callable[[], None]] = []
 
     def log(self, request: Any) -> None:
-        """Write no access log: metrics and explain records say more."""
+        """Write no access log: metrics and explain records contain more detail."""
 
     def channel_lost(self, channel: CallerChannel) -> None:
-        """Forget a connection and tell those who wait for the last one."""
+        """Remove a connection and check whether it was the last one."""
         self.channels.discard(channel)
         self._check_empty()
 
     def end_keep_alive(self) -> None:
-        """Let every connection end after its next answer."""
+        """End keep-alive on every connection, so that it closes after its next answer."""
         self.closing = True
         for channel in self.channels:
             for request in channel.requests:
                 request.end_keep_alive()
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close the connections without a request in progress."""
         for channel in list(self.channels):
             if not channel.requests:
                 channel.loseConnection()
 
     def close_all(self) -> None:
-        """Cut every connection."""
+        """Abort every connection."""
         for channel in list(self.channels):
             channel.transport.abortConnection()
 
     def when_empty(self, watcher: Callable[[], None]) -> None:
-        """Call `watcher` once no connection is left."""
+        """Call `watcher` when no connection is left."""
         self._watchers.append(watcher)
         self._check_empty()
 
     def _check_empty(self) -> None:
-        """Tell the watchers when the last connection is gone."""
+        """Notify the watchers if no connection is left."""
         if not self.channels:
             watchers, self._watchers = self._watchers, []
             for watcher in watchers:
--- a/packages/router/src/damaskwind/router/connection_pool.py
+++ b/packages/router/src/damaskwind/router/connection_pool.py
@@ -1,7 +1,7 @@
-"""Keep connections to targets, and never reuse one with bytes nobody asked for.
+"""Pool connections to targets without reusing one that has unread data.
 
-A pooled connection that is readable while no request is on it either was closed
-by the target or holds a late answer. Neither may carry the next request.
+A pooled connection that is readable while idle either was closed by the target or
+holds a late answer. Neither may carry the next request.
 """
 
 import select
@@ -18,7 +18,7 @@
 
 
 def _is_readable(connection: Any) -> bool:
-    """Tell whether bytes or an end of file wait on a connection's socket."""
+    """Return whether a connection's socket has unread bytes or an end of file."""
     handle = connection.transport.getHandle()
     if handle is None or handle.fileno() < 0:
         return True
@@ -38,7 +38,7 @@
         self._used: set[int] = set()
 
     def getConnection(self, key: Hashable, endpoint: Any) -> Deferred:  # noqa: N802
-        """Return a clean idle connection, or a new one."""
+        """Return an idle connection without unread data, or a new one."""
         while True:
             waiting = super().getConnection(key, endpoint)
             connection = getattr(waiting, "result", None)
--- a/packages/router/src/damaskwind/router/drain.py
+++ b/packages/router/src/damaskwind/router/drain.py
@@ -1,4 +1,4 @@
-"""Leave without cutting off a request: the drain, whose state chart is `drain.toml`."""
+"""Drain a router before it stops, following the state chart in `drain.toml`."""
 
 from pathlib import Path
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class Drain:
-    """Drain one listener. `stopped` fires when no request is left."""
+    """Drain one listener. `stopped` fires when no connection is left."""
 
     def __init__(
         self,
@@ -36,47 +36,47 @@
 
     @property
     def state(self) -> str:
-        """Name the state of the drain."""
+        """Return the state of the drain."""
         return self._machine.state
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer may send new requests."""
+        """Return whether the balancer may send new requests."""
         return self._machine.state == "serving"
 
     def stop(self) -> Deferred:
-        """Begin to drain; a second call changes nothing."""
+        """Start to drain; a second call has no effect."""
         self._machine.feed("stop")
         return self.stopped
 
     def fail_readiness(self) -> None:
-        """Let each answer from now on end its connection."""
+        """End keep-alive, so that each answer from now on closes its connection."""
         self._site.end_keep_alive()
 
     def start_delay(self) -> None:
-        """Give the balancer time to notice."""
+        """Wait until the balancer has had time to notice the failing readiness check."""
         self._clock.callLater(self._delay_s, self._machine.feed, "delay_over")
 
     def close_listener(self) -> None:
-        """Take no more connections and close those without a request."""
+        """Stop accepting connections and close those without a request."""
         self._port.stopListening()
         self._site.close_idle()
 
     def start_limit(self) -> None:
-        """Bound the time for what is in progress."""
+        """Start the time limit for requests in progress."""
         self._timer = self._clock.callLater(self._limit_s, self._machine.feed, "limit_over")
 
     def watch_requests(self) -> None:
-        """Wait until no connection is left: each ends with the answer in progress."""
+        """Wait until no connection is left: each closes after the answer in progress."""
         self._site.when_empty(lambda: self._machine.feed("idle"))
 
     def cut_rest(self) -> None:
-        """Give up on the requests that outlast the limit."""
+        """Abort the connections that are still open at the time limit."""
         logger.warning("drain limit reached", connections_cut=len(self._site.channels))
         self._site.close_all()
 
     def release(self) -> None:
-        """Report that the drain is over."""
+        """Report that the drain has ended."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self.stopped.callback(None)
--- a/packages/router/src/damaskwind/router/engine_client.py
+++ b/packages/router/src/damaskwind/router/engine_client.py
@@ -1,4 +1,4 @@
-"""Talk to model engines: chats, resumes and cancels."""
+"""Send chats, resumes and cancels to model engines."""
 
 from typing import Any, NamedTuple
 
@@ -32,7 +32,7 @@
 
 
 class EngineChat(NamedTuple):
-    """A chat as an engine gets it."""
+    """A chat as it is sent to an engine."""
 
     request_id: str
     name: ModelName
@@ -42,16 +42,16 @@
 
 
 def header_text(response: IResponse, name: str) -> str:
-    """Return one header of a response, empty when it is not there."""
+    """Return one header of a response, or an empty text if it is missing."""
     values = response.headers.getRawHeaders(name.encode())
     return values[0].decode("latin-1") if values else ""
 
 
 def parse_load(response: IResponse, age_s: float) -> LoadReport | None:
-    """Return the load that an answer carries, if it does.
+    """Return the load report in an answer's headers, or `None`.
 
-    An engine may write its headers long before it sends them, with the first
-    token; `age_s`, since the request was sent, is the most that they can be old.
+    An engine may write its headers long before it sends them with the first token.
+    `age_s`, the time since the request was sent, is the upper bound of their age.
     """
     load = header_text(response, "x-load-tokens")
     capacity = header_text(response, "x-capacity-tokens")
@@ -61,13 +61,13 @@
 
 
 async def check_not_run(response: IResponse, clock: Any) -> None:
-    """Raise `AttemptError` when a target says that it did not run the request."""
+    """Raise `AttemptError` if a target reports that it did not run the request."""
     if response.code >= 400 and header_text(response, "x-verdict") == Verdict.NOT_RUN:
         await check_refusal(response, clock)
 
 
 async def _refusal_text(response: IResponse, clock: Any) -> str:
-    """Return the first words of an error; one without words is an error all the same."""
+    """Return the start of an error's body, or why the body could not be read."""
     try:
         body = await read_whole(response, _REFUSAL_LIMIT_BYTES, _REFUSAL_TIMEOUT_S, clock)
     except AttemptError as error:
@@ -76,7 +76,7 @@
 
 
 async def check_refusal(response: IResponse, clock: Any) -> None:
-    """Raise `AttemptError` when a target answered with an error."""
+    """Raise `AttemptError` if a target answered with an error status."""
     if response.code < 400:
         return
     reported_not_run = header_text(response, "x-verdict") == Verdict.NOT_RUN
@@ -96,7 +96,7 @@
 
 
 class EngineClient:
-    """Send requests to engines and check that the answers are theirs."""
+    """Send requests to engines and check that each answer belongs to its request."""
 
     def __init__(self, client: TargetClient) -> None:
         self._client = client
@@ -104,7 +104,7 @@
     async def chat(
         self, target: TargetView, chat: EngineChat, timeout_s: float, caller: Caller
     ) -> IResponse:
-        """Return an engine's answer from its headers on; raise `AttemptError` else."""
+        """Return an engine's response once its headers arrived, or raise `AttemptError`."""
         headers = Headers(
             {
                 b"content-type": [b"application/json"],
@@ -128,7 +128,7 @@
         timeout_s: float,
         caller: Caller,
     ) -> IResponse:
-        """Return the rest of an answer that was cut; raise `AttemptError` when it can't be."""
+        """Return the rest of a cut answer; raise `AttemptError` if it can't be resumed."""
         path = build_path("v1", "requests", request_id, "resume")
         path += b"?from_token=%d" % from_token
         headers = Headers({b"x-request-id": [request_id.encode()]})
@@ -136,11 +136,11 @@
         return await self._send_checked(call, request_id, timeout_s, caller)
 
     def cancel(self, target: TargetView, request_id: str) -> Deferred:
-        """Tell an engine that nobody waits for an answer any more."""
+        """Tell an engine to stop generating an answer that is no longer needed."""
         return ensureDeferred(self._cancel(target, request_id))
 
     async def _cancel(self, target: TargetView, request_id: str) -> None:
-        """Send the cancel; an engine that can't be reached needs none."""
+        """Send the cancel and ignore failures: an unreachable engine needs no cancel."""
         path = build_path("v1", "requests", request_id)
         call = TargetCall(b"DELETE", target.address, path, Headers())
         try:
@@ -152,7 +152,7 @@
     async def _send_checked(
         self, call: TargetCall, request_id: str, timeout_s: float, caller: Caller
     ) -> IResponse:
-        """Send a call and make sure that the answer belongs to it."""
+        """Send a call and check that the answer carries its request id and no error."""
         response: Any = await self._client.send(call, timeout_s, caller)
         answered_id = header_text(response, "x-request-id")
         if answered_id != request_id and (answered_id or response.code < 400):
--- a/packages/router/src/damaskwind/router/event_stream.py
+++ b/packages/router/src/damaskwind/router/event_stream.py
@@ -1,8 +1,8 @@
-"""Follow a stream of server-sent events without parsing each token's JSON.
+"""Scan a stream of server-sent events without parsing the JSON of each token.
 
-Only whole events pass. Each is counted; the end marker and the few chunks that
-are no token are found by substring searches over the bytes, so that a token
-costs four searches and no parsing.
+Only complete events are forwarded, and tokens are counted. The end marker and the few
+chunks that carry no token are found by substring searches over the bytes, so that a
+token costs four searches and no parsing.
 """
 
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 def _is_plain(event: bytes) -> bool:
-    """Tell from the bytes alone whether an event is a token and nothing else."""
+    """Return whether the bytes of an event show that it is a token and nothing else."""
     if b"[DONE]" in event or b'"usage"' in event or b'"role"' in event:
         return False
     at = event.find(_FINISH)
@@ -28,7 +28,7 @@
 
 
 def _parse(event: bytes) -> dict[str, Any]:
-    """Return an event's JSON object, or an empty one when it has none."""
+    """Return an event's JSON object, or an empty one if it has none."""
     try:
         chunk = msgspec.json.decode(event.removeprefix(_PREFIX))
     except msgspec.DecodeError:
@@ -37,16 +37,16 @@
 
 
 def _has_token(chunk: dict[str, Any]) -> bool:
-    """Tell whether a chunk carries a generated token."""
+    """Return whether a chunk carries a generated token."""
     return any((choice.get("delta") or {}).get("content") for choice in chunk.get("choices") or ())
 
 
 class EventScanner:
-    """Pass the whole events of one answer, counting the tokens delivered.
+    """Forward the complete events of one answer and count the delivered tokens.
 
-    `delivered_tokens` is the token from which an engine is asked to resume,
-    `received_chunks` counts what came in, so that a stall can be seen.
-    `complete` is set once the end marker was seen; nothing passes after it.
+    `delivered_tokens` is the token from which an engine is asked to resume.
+    `received_chunks` counts the pieces received, so that a stall can be detected.
+    `complete` is set at the end marker; nothing is forwarded after it.
 
     >>> scanner = EventScanner(keep_usage=False)
     >>> scanner.feed(b"data: {}" + _END + b"data: {")
@@ -66,7 +66,7 @@
         self._partial = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes in and return those that may pass now."""
+        """Process received bytes and return those to forward now."""
         self.received_chunks += 1
         if self.complete:
             return b""
@@ -86,7 +86,7 @@
         return b"".join(self._pass_event(event) for event in data.split(_END)[:-1])
 
     def _pass_event(self, event: bytes) -> bytes:
-        """Count one event and return what of it may pass."""
+        """Count one event and return the bytes of it to forward."""
         if self.complete:
             return b""
         if event == _DONE:
@@ -104,28 +104,28 @@
         return event + _END
 
     def end(self, in_order: bool) -> bool:
-        """Tell whether the answer was whole, now that no more comes of it."""
+        """Return whether the answer was complete, after its connection ended."""
         return self.complete
 
     def restart(self) -> None:
-        """Drop the half event of an answer that was cut; a resumed one follows."""
+        """Discard the partial event of a cut answer before a resumed answer follows."""
         self._partial = b""
 
 
 class PassThrough:
-    """Pass a plain service's body on as it is; only an orderly end makes it whole."""
+    """Forward a plain service's body unchanged; it is complete if its HTTP response is."""
 
     def __init__(self) -> None:
         self.received_chunks = 0
         self.complete = False
 
     def feed(self, data: bytes) -> bytes:
-        """Count and pass a piece."""
+        """Count a piece and return it."""
         self.received_chunks += 1
         return data
 
     def end(self, in_order: bool) -> bool:
-        """Tell whether the body was whole, now that no more comes of it."""
+        """Return whether the body was complete, after its connection ended."""
         self.complete = in_order
         return in_order
 
--- a/packages/router/src/damaskwind/router/explain.py
+++ b/packages/router/src/damaskwind/router/explain.py
@@ -1,4 +1,4 @@
-"""Keep a bounded record of what was done with each request, and why."""
+"""Record how each request was handled, and why, for a bounded number of requests."""
 
 from collections import OrderedDict
 from typing import Any, NamedTuple
@@ -14,7 +14,7 @@
 
 
 class AttemptRecord(NamedTuple):
-    """One attempt at one target; `reason` and `detail` are empty when it served."""
+    """One attempt at one target; `reason` and `detail` are empty if it succeeded."""
 
     target_id: str
     started_ms: float
@@ -25,7 +25,7 @@
 
 
 class ChoiceRecord(NamedTuple):
-    """One placement: the choice, why, the candidates asked, and the pool they came from."""
+    """One placement: the chosen target, the reason, the candidates, and the pool's state."""
 
     at_ms: float
     target_id: str | None
@@ -45,7 +45,7 @@
 
 
 class RequestRecord:
-    """What is known of one request; times count from its arrival."""
+    """The record of one request; times count from its arrival."""
 
     __slots__ = ("account", "attempts", "choices", "ended", "events", "path", "request_id")
     __slots__ += ("started_s",)
@@ -61,11 +61,11 @@
         self.ended: dict[str, Any] | None = None
 
     def elapsed_ms(self, now_s: float) -> float:
-        """Return the milliseconds since the request came."""
+        """Return the milliseconds since the request arrived."""
         return round((now_s - self.started_s) * 1000, 2)
 
     def record_choice(self, choice: PlacementChoice, pool: PoolSnapshot, now_s: float) -> None:
-        """Note a placement."""
+        """Record a placement."""
         considered = len(choice.candidates)
         kept = choice.candidates[:_MAX_CANDIDATES]
         now_ms = self.elapsed_ms(now_s)
@@ -74,11 +74,11 @@
         )
 
     def add_event(self, text: str, now_s: float) -> None:
-        """Note anything else that mattered: a wait, a resume, a crossed answer."""
+        """Record another event that explains the result, such as a wait or a resume."""
         self.events.append((self.elapsed_ms(now_s), text))
 
     def end(self, verdict: Verdict, reason: Reason | None, detail: str, now_s: float) -> None:
-        """Note how it ended; the first end counts."""
+        """Record how the request ended; only the first call counts."""
         if self.ended is None:
             duration_ms = self.elapsed_ms(now_s)
             self.ended = {"verdict": verdict, "reason": reason or "", "detail": detail}
@@ -98,7 +98,7 @@
 
 
 class ExplainLog:
-    """The last `limit` requests by id."""
+    """The records of the last `limit` requests, by request id."""
 
     def __init__(self, limit: int) -> None:
         self._limit = max(limit, 1)
@@ -108,7 +108,7 @@
         return len(self._records)
 
     def start(self, request_id: str, path: str, now_s: float) -> RequestRecord:
-        """Begin a record and forget the oldest one over the limit."""
+        """Start a record, and drop the oldest one if the limit is exceeded."""
         record = RequestRecord(request_id, path, now_s)
         self._records[request_id] = record
         if len(self._records) > self._limit:
@@ -116,12 +116,12 @@
         return record
 
     def find(self, request_id: str) -> RequestRecord | None:
-        """Return a request's record while it is kept."""
+        """Return a request's record, or `None` if it is not stored."""
         return self._records.get(request_id)
 
 
 def router_of(request_id: str) -> str:
-    """Return the id of the router that a request id names.
+    """Return the id of the router that issued a request id.
 
     >>> router_of("router-1.0f3a")
     'router-1'
--- a/packages/router/src/damaskwind/router/fleet_links.py
+++ b/packages/router/src/damaskwind/router/fleet_links.py
@@ -1,4 +1,4 @@
-"""What ties a router to the rest of the fleet: gossip, configurations and claims."""
+"""Connect a router to the rest of the fleet: membership, configurations and claims."""
 
 import socket
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 class FleetLinks:
-    """The links of one router; each part owns its sockets."""
+    """The links of one router; each component owns its sockets."""
 
     def __init__(self, settings: Settings, reactor: Any, random: Random) -> None:
         node, router = settings.node, settings.router
@@ -62,7 +62,7 @@
         self.claims = self._make_claims(settings, random)
 
     def _make_claims(self, settings: Settings, random: Random) -> ClaimsClient | None:
-        """Make the client of the claim holders, which the control replicas are."""
+        """Return a client of the claim holders, which run in the control replicas."""
         replicas = settings.router.replicas
         if not replicas:
             return None
@@ -75,7 +75,7 @@
     async def start(
         self, handle_event: Callable[[Event], None], apply: Callable[[Configuration], None]
     ) -> None:
-        """Open the sockets and begin to gossip and to follow."""
+        """Open the sockets, and start gossip and following configurations."""
         await self._server.start(sock=self._listening)
         self.membership.subscribe(self._forward_hint)
         self.membership.subscribe(handle_event)
@@ -95,19 +95,19 @@
         await self._server.wait_closed()
 
     def _charge_control_bytes(self, sent_bytes: int, received_bytes: int) -> None:
-        """Take the bytes of configurations from the control budget."""
+        """Charge the bytes of configurations to the control budget."""
         self.membership.count_control("follow", sent_bytes, received_bytes)
 
     def _peers(self) -> list[Address]:
-        """Return where other routers serve their configuration."""
+        """Return the addresses at which other routers serve their configuration."""
         routers = self.membership.routers()
         return [router.peer_address for router in routers if router.router_id != self._router_id]
 
     def _forward_hint(self, event: Event) -> None:
-        """Pass hints of newer revisions on to the follower."""
+        """Forward hints of newer revisions to the follower."""
         if isinstance(event, RevisionHeard) and not self._configuration_file:
             self.follower.handle_revision_hint(event.peer_address, event.revision)
 
     def _publish_revision(self, configuration: Configuration) -> None:
-        """Let peers know which revision is in force here."""
+        """Publish to peers which revision is in force here."""
         self.membership.publish_revision(configuration.revision)
--- a/packages/router/src/damaskwind/router/front.py
+++ b/packages/router/src/damaskwind/router/front.py
@@ -21,7 +21,7 @@
 
 
 class HttpFrontend:
-    """What callers, targets and the platform's balancer can ask of a router."""
+    """The HTTP routes for callers, targets and the platform's load balancer."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._install(self.app)
 
     def _install(self, app: Klein) -> None:
-        """Add the routes and the answers to errors."""
+        """Add the routes and the error handlers."""
         app.route("/v1/chat/completions", methods=["POST"])(self.chat)
         app.route("/v1/models", methods=["GET"])(self.models)
         app.route("/services/", branch=True)(self.service)
@@ -52,11 +52,11 @@
         app.handle_errors(MethodNotAllowed)(self.wrong_method)
 
     def chat(self, request: Any) -> Deferred:
-        """Answer a chat."""
+        """Serve a chat."""
         return self._gateway.handle(request, self._chats.serve)
 
     def service(self, request: Any) -> Deferred:
-        """Pass a call on to a plain service."""
+        """Forward a call to a plain service."""
         return self._gateway.handle(request, self._services.serve)
 
     def models(self, request: Any) -> bytes:
@@ -71,29 +71,29 @@
         return answer_json(request, 200, {"object": "list", "data": listed})
 
     def live(self, request: Any) -> bytes:
-        """Say that the process runs."""
+        """Answer the liveness check."""
         request.setHeader(b"content-type", b"text/plain")
         return b"ok\n"
 
     def ready(self, request: Any) -> bytes:
-        """Say whether the balancer may send requests here."""
+        """Answer the readiness check: whether the balancer may send requests here."""
         reason = self._not_ready()
         request.setHeader(b"content-type", b"text/plain")
         request.setResponseCode(503 if reason else 200)
         return (reason or "ok").encode() + b"\n"
 
     def refused(self, request: Any, failure: Any) -> bytes:
-        """Answer a refusal that a route raised."""
+        """Answer with a refusal that a route raised."""
         return refuse(request, request.request_id, failure.value.refusal)
 
     def not_found(self, request: Any, failure: Any) -> bytes:
-        """Answer for a path that does not exist."""
+        """Answer a request for a path that does not exist."""
         detail = "there is nothing at this path"
         refusal = Refusal(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail)
         return refuse(request, request.request_id, refusal)
 
     def wrong_method(self, request: Any, failure: Any) -> bytes:
-        """Answer for a method that the path does not take."""
+        """Answer a request with a method that the path does not support."""
         detail = f"{request.method.decode('latin-1')} is not allowed at this path"
         refusal = Refusal(Reason.BAD_REQUEST, Verdict.NOT_RUN, detail)
         body = refuse(request, request.request_id, refusal)
--- a/packages/router/src/damaskwind/router/membership/codec.py
+++ b/packages/router/src/damaskwind/router/membership/codec.py
@@ -1,10 +1,9 @@
 """Encode, authenticate and check the datagrams between routers.
 
-A datagram is four bytes that stand for the cluster, a tag of twelve bytes
-(keyed BLAKE2b, RFC 7693) over all the rest, and an envelope in MessagePack:
-sender, incarnation, sequence, kind and body. A large body is compressed, since
-records of one pool resemble each other. Every way in which a datagram can
-be wrong has a name.
+A datagram consists of a four-byte hash of the cluster name, a tag of twelve bytes
+(keyed BLAKE2b, RFC 7693) over all the rest, and a MessagePack envelope: sender,
+incarnation, sequence, kind and body. A large body is compressed, since records of
+one pool resemble each other. `DatagramFault` names each reason to reject a datagram.
 """
 
 import zlib
@@ -67,7 +66,7 @@
 
 
 class _Envelope(NamedTuple):
-    """What stands around each message."""
+    """The envelope of each message."""
 
     sender_id: str
     incarnation: int
@@ -77,7 +76,7 @@
 
 
 class Received(NamedTuple):
-    """A datagram that passed every check."""
+    """The content of a datagram that passed every check."""
 
     sender_id: str
     incarnation: int
@@ -92,7 +91,7 @@
 
 
 def _decompress(packed: bytes) -> bytes:
-    """Return an unpacked body; raise `zlib.error` when it would be too large."""
+    """Return a decompressed body; raise `zlib.error` if it is cut or too large."""
     unpacker = zlib.decompressobj()
     body = unpacker.decompress(packed, BODY_LIMIT_BYTES)
     if not unpacker.eof:
@@ -101,7 +100,7 @@
 
 
 class Codec:
-    """The encoding of one router, with its sequence and its view of others' sequences."""
+    """The codec of one router, with its send sequence and the replay guard for senders."""
 
     def __init__(self, router_id: str, cluster: str, cluster_key: str) -> None:
         self._router_id = router_id
@@ -114,7 +113,7 @@
         self._bodies = {name: msgspec.msgpack.Decoder(kind) for name, kind in _KINDS.items()}
 
     def encode(self, message: Message, incarnation: int) -> bytes:
-        """Return the datagram of a message; raise `MessageError` when it is too large."""
+        """Return the datagram of a message; raise `MessageError` if it is too large."""
         self._sequence += 1
         encoded = self._encoder.encode(message)
         kind = _KIND_OF[type(message)]
@@ -132,7 +131,7 @@
         return datagram
 
     def decode(self, datagram: bytes) -> Received | DatagramFault:
-        """Return the message of a datagram, or why there is none."""
+        """Return the message of a datagram, or the fault for which it is rejected."""
         if len(datagram) > MAX_DATAGRAM_BYTES:
             return DatagramFault.OVERSIZED
         if len(datagram) <= _HEADER_BYTES:
@@ -161,7 +160,7 @@
         return Received(envelope.sender_id, envelope.incarnation, kind, message)
 
     def _tag(self, payload: bytes) -> bytes:
-        """Return the tag of a payload, which covers the cluster too."""
+        """Return the tag of a payload, which also covers the cluster hash."""
         hashed = blake2b(
             self._cluster, digest_size=TAG_BYTES, key=self._key, person=_PERSONALIZATION
         )
--- a/packages/router/src/damaskwind/router/membership/node.py
+++ b/packages/router/src/damaskwind/router/membership/node.py
@@ -1,7 +1,7 @@
-"""Join the membership core, the pacer and the codec into one gossip node.
+"""Combine the membership core, the pacer and the codec into one gossip node.
 
-The node has no socket and no clock: datagrams and `now_s` come in, datagrams go
-out, and events go to a handler. The service puts it on a UDP port.
+The node has no socket and no clock. It takes datagrams and `now_s`, returns datagrams,
+and passes events to a handler. The service runs it on a UDP port.
 """
 
 from collections import Counter
@@ -23,7 +23,7 @@
 
 __all__ = ["HTTP_OVERHEAD_BYTES", "Datagram", "GossipNode"]
 
-# Headers of a small request and its answer, counted in for each announcement.
+# HTTP headers of a small request and its answer, added to the size of each announcement.
 HTTP_OVERHEAD_BYTES = 300
 CUSTOM_LIMIT_BYTES = 1000
 
@@ -36,14 +36,14 @@
 
 
 class _Queued(NamedTuple):
-    """A datagram in the pacer, with the send that it came from."""
+    """A datagram in the pacer, with the send that it encodes."""
 
     datagram: Datagram
     send: Send
 
 
 def _kind_name(message: Message) -> str:
-    """Return the name under which a message's bytes are counted."""
+    """Return the kind under which a message's bytes are counted."""
     if isinstance(message, Custom):
         return message.kind
     if isinstance(message, News) and message.repair:
@@ -52,7 +52,7 @@
 
 
 class GossipNode:
-    """One router's gossip without its socket."""
+    """The gossip of one router, without socket and clock."""
 
     def __init__(
         self,
@@ -77,14 +77,14 @@
     def announce(
         self, announcement: TargetAnnouncement, body_bytes: int, now_s: float
     ) -> AnnouncementOutcome:
-        """Take a target's announcement, which cost `body_bytes` to receive."""
+        """Handle a target's announcement, whose body had `body_bytes`."""
         self.pacer.received(body_bytes, "announcement", now_s, HTTP_OVERHEAD_BYTES)
         outcome, output = self.core.announce(announcement, now_s)
         self._apply_output(output, now_s)
         return outcome
 
     def receive(self, payload: bytes, source: Address, now_s: float) -> list[Datagram]:
-        """Take a datagram; return those that may go now."""
+        """Handle a received datagram; return the datagrams to send now."""
         received = self._codec.decode(payload)
         if isinstance(received, DatagramFault):
             self.faults[received] += 1
@@ -108,21 +108,21 @@
         return self.release(now_s)
 
     def tick(self, now_s: float) -> list[Datagram]:
-        """Do what time asks for; return the datagrams that may go now."""
+        """Run the periodic work of the core; return the datagrams to send now."""
         self._apply_output(self.core.tick(now_s, self.pacer.headroom_bytes(now_s)), now_s)
         return self.release(now_s)
 
     def leave(self, now_s: float) -> list[Datagram]:
-        """Say good-bye."""
+        """Announce that this router leaves; return the datagrams to send now."""
         self._apply_output(self.core.leave(now_s), now_s)
         return self.release(now_s)
 
     def observe_load(self, target_id: str, report: LoadReport, now_s: float) -> None:
-        """Take a load that came with an engine's answer."""
+        """Record a load report from an engine's answer."""
         self.core.observe_load(target_id, report, now_s)
 
     def publish_spills(self, notes: Iterable[SpillNote], now_s: float) -> None:
-        """Pass spill notes on."""
+        """Queue spill notes for gossip."""
         self.core.publish_spills(notes, now_s)
 
     def register_kind(self, kind: str, handler: Callable[[str, bytes], None]) -> None:
@@ -132,7 +132,7 @@
     def send(
         self, kind: str, router_id: str, payload: bytes, urgency: Urgency, now_s: float
     ) -> bool:
-        """Queue a datagram of another part; `False` when the router is unknown."""
+        """Queue a datagram of another component; return `False` if the router is unknown."""
         record = self.core.router_table.get(router_id)
         if record is None:
             return False
@@ -143,14 +143,14 @@
         return True
 
     def release(self, now_s: float) -> list[Datagram]:
-        """Return the datagrams that may go now."""
+        """Return the datagrams that the pacer allows now; report dropped ones to the core."""
         ready = [queued.datagram for queued in self.pacer.pop_ready(now_s)]
         for queued in self.pacer.pop_dropped():
             self.core.handle_dropped(queued.send)
         return ready
 
     def _apply_output(self, output: Output, now_s: float) -> None:
-        """Queue the sends of an output and hand its events on."""
+        """Queue the sends of an output and pass its events to the handler."""
         for send in output.sends:
             self._enqueue(send, now_s)
         for event in output.events:
@@ -169,14 +169,14 @@
         self.pacer.offer(queued, len(payload), send.urgency, _kind_name(message), now_s)
 
     def _enqueue_halves(self, send: Send, now_s: float) -> None:
-        """Queue news that compressed less than expected as two datagrams."""
+        """Queue updates that compressed less than expected as two datagrams."""
         halves = split_updates(send.message) if isinstance(send.message, News) else ()
         self.oversized_sends += not halves
         for half in halves:
             self._enqueue(send._replace(message=half), now_s)
 
     def _dispatch_custom(self, sender_id: str, message: Custom) -> None:
-        """Hand a datagram of another part to its handler."""
+        """Pass a datagram of another component to its handler."""
         handler = self._kinds.get(message.kind)
         if handler is None:
             self.faults[DatagramFault.UNKNOWN_KIND] += 1
--- a/packages/router/src/damaskwind/router/membership/replay.py
+++ b/packages/router/src/damaskwind/router/membership/replay.py
@@ -1,8 +1,8 @@
-"""Refuse datagrams that were taken before.
+"""Reject replayed datagrams.
 
-The method is the sliding window of IPsec (RFC 4303): for each sender the
-highest sequence and a bit map of those just below it. A sender that restarts
-has a higher incarnation, which starts a new window and ends the old one.
+The method is the sliding window of IPsec (RFC 4303): for each sender the highest
+sequence and a bitmap of those just below it. A sender that restarts has a higher
+incarnation, which starts a new window and invalidates the old one.
 
 >>> guard = ReplayGuard()
 >>> [guard.check("a", 1, sequence).value for sequence in (5, 4, 5, 4)]
@@ -19,7 +19,7 @@
 
 
 class ReplayOutcome(Enum):
-    """What a sequence is to the receiver."""
+    """The result of checking the sequence of a datagram."""
 
     FRESH = "fresh"
     REPLAYED = "replayed"
@@ -27,7 +27,7 @@
 
 
 class _Window:
-    """What was taken from one incarnation of a sender."""
+    """The sequences accepted from one incarnation of a sender."""
 
     __slots__ = ("highest", "incarnation", "seen")
 
@@ -37,7 +37,7 @@
         self.seen = 1
 
     def accept(self, sequence: int) -> bool:
-        """Take a sequence; tell whether it was new."""
+        """Record a sequence; return whether it was new."""
         ahead = sequence - self.highest
         if ahead > 0:
             self.seen = (self.seen << min(ahead, WINDOW) | 1) & _MASK
@@ -51,13 +51,13 @@
 
 
 class ReplayGuard:
-    """The windows of all senders; the one longest known goes when there are too many."""
+    """The windows of all senders; the oldest one is evicted when there are too many."""
 
     def __init__(self) -> None:
         self._windows: dict[str, _Window] = {}
 
     def check(self, sender_id: str, incarnation: int, sequence: int) -> ReplayOutcome:
-        """Take a datagram's numbers."""
+        """Check and record the incarnation and sequence of a datagram."""
         window = self._windows.get(sender_id)
         if window is None or incarnation > window.incarnation:
             self._windows.pop(sender_id, None)
--- a/packages/router/src/damaskwind/router/membership/service.py
+++ b/packages/router/src/damaskwind/router/membership/service.py
@@ -1,4 +1,4 @@
-"""Own the datagram socket of a router and run its gossip node on it."""
+"""Run a router's gossip node on a UDP socket."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -25,9 +25,9 @@
 
 
 class MembershipSettings(NamedTuple):
-    """Who this router is and whom it asks first; `address` with port 0 takes a free one.
+    """The identity of a router and its seeds; port 0 in `address` selects a free port.
 
-    Spill notes and load vectors also go to the routers of `near_domains`.
+    Spill notes and load vectors are also sent to the routers of `near_domains`.
     """
 
     router_id: str
@@ -42,22 +42,22 @@
 
 
 class _DatagramReceiver(DatagramProtocol):
-    """Hand datagrams to the service."""
+    """Pass received datagrams to the service."""
 
     def __init__(self, received: Callable[[bytes, Address], None]) -> None:
         self._handle_datagram = received
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
-        """Take a datagram from Twisted."""
+        """Handle a datagram received by Twisted."""
         self._handle_datagram(datagram, Address(*addr[:2]))
 
 
 class MembershipService:
-    """The routers and targets that this router knows, kept by gossip.
+    """The live routers and targets, maintained by gossip.
 
     `clock` returns monotonic seconds. The incarnation is the wall clock's
-    milliseconds at the start, so that it grows with each restart; should the
-    clock have gone back, the router learns from its peers and goes higher.
+    milliseconds at the start, so that it grows with each restart. If the wall clock
+    was set back, the router learns its former incarnation from peers and exceeds it.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         return address
 
     def _make_node(self, address: Address) -> GossipNode:
-        """Make the node once the port is known."""
+        """Create the node after the port is known."""
         settings = self._settings
         own_record = RouterRecord(
             settings.router_id,
@@ -128,7 +128,10 @@
         return node
 
     def stop(self) -> Any:
-        """Tell peers that this router leaves and close the socket; fires when closed."""
+        """Announce to peers that this router leaves, and close the socket.
+
+        The returned Deferred fires when the socket is closed.
+        """
         if self._listener is None:
             return None
         if self._ticking.running:
@@ -142,26 +145,26 @@
         self._handlers.append(handler)
 
     def announce(self, announcement: TargetAnnouncement, body_bytes: int) -> AnnouncementOutcome:
-        """Take a target's announcement, which cost `body_bytes` on the wire."""
+        """Handle a target's announcement, whose body had `body_bytes`."""
         now_s = self._clock()
         outcome = self.node.announce(announcement, body_bytes, now_s)
         self._send_datagrams(self.node.release(now_s))
         return outcome
 
     def next_announcement_s(self, lease_s: float) -> float:
-        """Return when a target with this lease should announce itself again."""
+        """Return the seconds until a target with this lease should announce itself again."""
         return self.node.core.next_announcement_s(lease_s)
 
     def observe_load(self, target_id: str, report: LoadReport) -> None:
-        """Take a load that came with an engine's answer."""
+        """Record a load report from an engine's answer."""
         self.node.observe_load(target_id, report, self._clock())
 
     def publish_revision(self, revision: int) -> None:
-        """Tell peers which configuration revision is in force here."""
+        """Publish to peers which configuration revision is in force here."""
         self.node.core.publish_revision(revision)
 
     def publish_spills(self, notes: Iterable[SpillNote]) -> None:
-        """Pass spill notes to the routers of this and the near failure domains."""
+        """Publish spill notes to the routers of this and the near failure domains."""
         self.node.publish_spills(notes, self._clock())
 
     def register_kind(self, kind: str, handler: Callable[[str, bytes], None]) -> None:
@@ -171,28 +174,28 @@
             self._node.register_kind(kind, handler)
 
     def send(self, kind: str, router_id: str, payload: bytes, urgency: Urgency) -> bool:
-        """Queue a datagram of another part; `False` when the router is unknown."""
+        """Queue a datagram of another component; return `False` if the router is unknown."""
         now_s = self._clock()
         queued = self.node.send(kind, router_id, payload, urgency, now_s)
         self._send_datagrams(self.node.release(now_s))
         return queued
 
     def count_control(self, kind: str, sent_bytes: int, received_bytes: int) -> None:
-        """Charge control bytes that went by streams or calls to the budget."""
+        """Charge control bytes of streams or calls to the budget."""
         now_s = self._clock()
         self.node.pacer.sent_on_stream(sent_bytes, kind, now_s)
         self.node.pacer.received_on_stream(received_bytes, kind, now_s)
 
     def routers(self) -> list[RouterRecord]:
-        """Return the routers held alive, this one among them."""
+        """Return the live routers, including this one."""
         return self.node.core.routers()
 
     def targets(self) -> list[TargetView]:
-        """Return the targets that may take work."""
+        """Return the targets that may be sent work."""
         return self.node.core.targets(self._clock())
 
     def counters(self) -> dict[str, float]:
-        """Return the counters for the metrics by name."""
+        """Return the counters of the control traffic by name, for the metrics."""
         node = self.node
         paced = node.pacer.counters(self._clock())
         counters = {f"sent_bytes.{kind}": size for kind, size in paced.sent_bytes.items()}
@@ -211,15 +214,15 @@
         }
 
     def _tick(self) -> None:
-        """Do what time asks for."""
+        """Run the periodic work of the node."""
         self._send_datagrams(self.node.tick(self._clock()))
 
     def _handle_datagram(self, payload: bytes, source: Address) -> None:
-        """Take a datagram."""
+        """Handle a received datagram."""
         self._send_datagrams(self.node.receive(payload, source, self._clock()))
 
     def _send_datagrams(self, datagrams: list[Datagram]) -> None:
-        """Put datagrams on the wire; one that can't be sent counts as lost."""
+        """Send datagrams; one that can't be sent counts as lost."""
         for datagram in datagrams:
             try:
                 self._listener.write(datagram.payload, tuple(datagram.address))
@@ -227,7 +230,7 @@
                 logger.debug("datagram to {} not sent: {}", datagram.address, error)
 
     def _publish(self, event: Event) -> None:
-        """Hand an event to every subscriber; a faulty one does not stop the rest."""
+        """Pass an event to every subscriber, even if one of them raises an exception."""
         for handler in self._handlers:
             try:
                 handler(event)
--- a/packages/router/src/damaskwind/router/operator_api.py
+++ b/packages/router/src/damaskwind/router/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a router: explain, targets, its own state, metrics."""
+"""The operator API of a router: explain, targets, the router's state, and metrics."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -34,12 +34,12 @@
 
 
 def _not_found(detail: str) -> RefusedError:
-    """Make the error for something that this router does not know."""
+    """Return the error for an object that is unknown to this router."""
     return RefusedError(Refusal(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail))
 
 
 def _make_leave(view: TargetView) -> TargetAnnouncement:
-    """Make the announcement that a target would make to leave; it ends its incarnation."""
+    """Return the announcement with which a target leaves; it ends the target's incarnation."""
     return TargetAnnouncement(
         target_id=view.target_id,
         incarnation=view.incarnation,
@@ -56,7 +56,7 @@
 
 
 class Sources(NamedTuple):
-    """What the answers to operators are made from."""
+    """The components of the router that the operator API reads."""
 
     router_id: str
     gateway: Gateway
@@ -73,7 +73,7 @@
 
 
 class OperatorApi:
-    """The routes below `/operator/v1/` and `/metrics`."""
+    """The handlers of the routes below `/operator/v1/` and of `/metrics`."""
 
     def __init__(self, sources: Sources, clock: Any) -> None:
         self._sources = sources
@@ -89,7 +89,7 @@
         app.route("/metrics", methods=["GET"])(self.metrics)
 
     def _authorize(self, request: Any, roles: frozenset[str] = frozenset()) -> None:
-        """Raise `RefusedError` unless an operator asks who has one of the roles."""
+        """Raise `RefusedError` unless the caller is an operator with one of the roles."""
         operators = operator_index(self._sources.gateway.configuration)
         operator = operators.owner(bearer_key(request.getHeader("authorization")))
         if roles and not roles & set(operator.roles):
@@ -97,7 +97,7 @@
             raise RefusedError(Refusal(Reason.FORBIDDEN, Verdict.NOT_RUN, detail))
 
     def explain(self, request: Any, request_id: str) -> bytes | Deferred:
-        """Tell what was done with a request, here or at the router that its id names."""
+        """Return a request's record, from here or from the router that its id names."""
         self._authorize(request)
         record = self._sources.explain.find(request_id)
         if record is not None:
@@ -111,7 +111,7 @@
         return ensureDeferred(self._forward(request, request_id, router_id))
 
     async def _forward(self, request: Any, request_id: str, router_id: str) -> bytes:
-        """Ask the router that a request id names."""
+        """Forward the query to the router that a request id names."""
         address = await self._sources.peers.request_address(router_id)
         if address is None:
             detail = f"router '{router_id}' can't be asked about request '{request_id}'"
@@ -133,18 +133,18 @@
         return body
 
     def targets(self, request: Any) -> bytes:
-        """List the targets that this router knows."""
+        """List the live targets known to this router."""
         self._authorize(request)
         return answer_json(
             request, 200, {"targets": [self._describe_target(v) for v in self._sorted()]}
         )
 
     def _sorted(self) -> list[TargetView]:
-        """Return the targets by id."""
+        """Return the targets sorted by id."""
         return sorted(self._sources.directory.views(), key=lambda view: view.target_id)
 
     def _describe_target(self, view: TargetView) -> dict[str, Any]:
-        """Return one target as operators see it."""
+        """Return the description of one target for operators."""
         now_s = self._clock.seconds()
         estimate = self._sources.directory.placers[view.kind].estimate_tokens(view.target_id, now_s)
         return {
@@ -163,9 +163,10 @@
         }
 
     def drain(self, request: Any, target_id: str) -> bytes:
-        """Give a target no new work, here and wherever the news reaches.
+        """Stop sending new work to a target, here and at all routers that gossip reaches.
 
-        It holds for the target's present incarnation: a restart brings it back.
+        This applies to the target's current incarnation only: after a restart it gets
+        work again.
         """
         self._authorize(request, _DRAIN_ROLES)
         view = self._sources.directory.find(target_id)
@@ -176,11 +177,11 @@
         return answer_json(request, 200, answer)
 
     def router(self, request: Any) -> bytes:
-        """Tell the state of this router."""
+        """Return the state of this router."""
         self._authorize(request)
         return answer_json(request, 200, self._sources.own_state())
 
     def metrics(self, request: Any) -> bytes:
-        """Return the metrics for a scraper, which needs no key."""
+        """Return the metrics in Prometheus text format; scrapers need no key."""
         request.setHeader(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
         return self._sources.telemetry.metrics.render()
--- a/packages/router/src/damaskwind/router/peer_addresses.py
+++ b/packages/router/src/damaskwind/router/peer_addresses.py
@@ -1,4 +1,4 @@
-"""Learn where another router listens for HTTP, by a datagram when it is needed."""
+"""Query the HTTP addresses of other routers by datagram, on demand."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 class PeerAddresses:
-    """The HTTP addresses of the routers that were asked for theirs."""
+    """Send and answer queries for HTTP addresses of routers."""
 
     def __init__(self, membership: Any, clock: Any) -> None:
         self._membership = membership
@@ -25,7 +25,7 @@
         membership.register_kind(KIND, self._receive)
 
     def request_address(self, router_id: str) -> Deferred:
-        """Return a Deferred with a router's address, or `None` when it stays silent."""
+        """Return a Deferred with a router's address, or `None` if it does not answer in time."""
         answer: Deferred = Deferred()
         if not self._membership.send(KIND, router_id, _QUERY, Urgency.REPAIR):
             answer.callback(None)
@@ -41,7 +41,7 @@
         return answer.addBoth(stop_timer)
 
     def _receive(self, router_id: str, payload: bytes) -> None:
-        """Answer a question, or take an answer in."""
+        """Answer a query, or resolve pending queries with an answer."""
         if payload == _QUERY:
             own = self.own_address.encode()
             self._membership.send(KIND, router_id, own, Urgency.REPAIR)
@@ -53,6 +53,6 @@
         self._resolve(router_id, address)
 
     def _resolve(self, router_id: str, address: Any) -> None:
-        """Tell everybody who asked for a router's address."""
+        """Resolve all pending queries for a router's address."""
         for answer in self._waiting.pop(router_id, []):
             answer.callback(address)
--- a/packages/router/src/damaskwind/router/process.py
+++ b/packages/router/src/damaskwind/router/process.py
@@ -1,4 +1,4 @@
-"""Start and stop a router: its sockets, its parts and how they hang together."""
+"""Start and stop a router: create its components, connect them and open its sockets."""
 
 import asyncio
 import secrets
@@ -69,7 +69,7 @@
         self._stopping: asyncio.Future | None = None
 
     def _make_decisions(self, random: Random) -> None:
-        """Make what decides on requests: placement, health, queue, limits, retries."""
+        """Create the components that decide on requests: placement, health, queues, limits."""
         settings, reactor = self.settings, self._reactor
         node = settings.node
         self.explain = ExplainLog(settings.router.explain_records)
@@ -107,7 +107,7 @@
         self.dispatcher.on_attempt_ended = self.telemetry.attempt_ended
 
     def _make_frontend(self) -> None:
-        """Make what callers, targets and operators talk to."""
+        """Create the HTTP interfaces for callers, targets and operators."""
         router, reactor = self.settings.router, self._reactor
         announcements = Announcements(self.membership, router.announce_key, self._observe_load)
         frontend = HttpFrontend(
@@ -125,7 +125,7 @@
         self.http_address = parse_address(router.http_address)
 
     def _chat_path(self) -> ChatPath:
-        """Make what answers chats."""
+        """Return the handler of chats."""
         return ChatPath(
             self.dispatcher,
             EngineClient(self.client),
@@ -137,7 +137,7 @@
         )
 
     def _service_path(self) -> ServicePath:
-        """Make what passes calls on to plain services."""
+        """Return the handler of calls to plain services."""
         return ServicePath(
             self.dispatcher,
             self.client,
@@ -147,7 +147,7 @@
         )
 
     def _operator_sources(self) -> Sources:
-        """Name the parts that operators can ask about."""
+        """Return the components that the operator API reads."""
         return Sources(
             router_id=self.settings.node.node_id,
             gateway=self.gateway,
@@ -164,11 +164,11 @@
         )
 
     def _new_request_id(self) -> str:
-        """Return an id that names this router, so that any other can ask it."""
+        """Return an id that contains this router's id, so that any router can look it up."""
         return f"{self.settings.node.node_id}.{secrets.token_hex(_REQUEST_ID_BYTES)}"
 
     def not_ready(self) -> str:
-        """Say why the balancer should send nothing here, or nothing when it may."""
+        """Return why the router is not ready, or an empty text if it is ready."""
         if self._drain is None or not self._drain.ready:
             return "draining"
         if self.gateway.configuration.revision == 0:
@@ -178,7 +178,7 @@
         return ""
 
     def apply(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration to all components."""
         self.directory.set_policy(configuration.policy)
         self.health.set_policy(configuration.policy)
         self.dispatcher.set_policy(configuration.policy)
@@ -188,34 +188,35 @@
         self.directory.capacity_changed()
 
     def _handle_event(self, event: Event) -> None:
-        """Take in an event of the membership."""
+        """Apply a membership event."""
         self.directory.handle_event(event)
         if isinstance(event, RouterJoined | RouterGone):
             domains = [router.failure_domain for router in self.membership.routers()]
-            # Behind a cut no router is heard; chats at home there would only fail.
+            # Behind a network partition no router of a domain is live here. Chats with a home
+            # in that domain would only fail.
             self.directory.set_near_domains(set(domains).intersection(self._near_domains))
             near = sum(domain in self._near_domains for domain in domains)
             own = domains.count(self.settings.node.failure_domain)
             self.directory.set_router_counts(max(1, near), max(1, own))
 
     def _observe_load(self, target_id: str, report: LoadReport) -> None:
-        """Take in a load that a target announced here."""
+        """Apply a load report that a target announced here."""
         self.directory.observe_report(target_id, report)
         self.directory.capacity_changed()
 
     def _observe_answer(self, target_id: str, report: LoadReport) -> None:
-        """Take in a load that came with an engine's answer, and tell the peers."""
+        """Apply a load report from an engine's answer, and share it with the peers."""
         self.directory.observe_report(target_id, report)
         self.membership.observe_load(target_id, report)
 
     def _publish_spill_notes(self) -> None:
-        """Tell the peers of this failure domain where chats went that left home."""
+        """Publish to peers where chats were served away from their homes."""
         notes = self.directory.pop_spill_notes()
         if notes:
             self.membership.publish_spills(notes)
 
     async def start(self) -> None:
-        """Open every socket; callers come last."""
+        """Open every socket, the one for callers last."""
         await self.links.start(self._handle_event, self.apply)
         file = self.settings.router.configuration_file
         if file:
@@ -230,7 +231,7 @@
         write_ready_file(self.settings.router.ready_file, self.addresses())
 
     def _listen(self) -> None:
-        """Open the socket towards callers."""
+        """Open the listening socket for callers."""
         host, port = self.http_address
         listener = self._reactor.listenTCP(port, self.site, interface=host, backlog=_LISTEN_BACKLOG)
         self.http_address = Address(host, listener.getHost().port)
@@ -248,7 +249,7 @@
         }
 
     def state(self) -> dict[str, Any]:
-        """Return what operators see of this router."""
+        """Return the state of this router for operators."""
         node = self.settings.node
         return {
             "router_id": node.node_id,
@@ -267,13 +268,13 @@
         }
 
     async def stop(self) -> None:
-        """Drain, then release everything; a second call waits for the first."""
+        """Drain, then release all resources; a second call waits for the first."""
         if self._stopping is None:
             self._stopping = asyncio.ensure_future(self._stop())
         await asyncio.shield(self._stopping)
 
     async def _stop(self) -> None:
-        """Do what `stop` says."""
+        """Drain and release all resources."""
         await to_future(self._drain.stop())
         self._spill_notes_loop.stop()
         self.limits.stop()
@@ -284,7 +285,7 @@
 
 
 async def start_router(settings: Settings, reactor: Any = None) -> RouterProcess:
-    """Start a router on the reactor that is installed and return it."""
+    """Start a router on the installed reactor and return it."""
     if reactor is None:
         from twisted.internet import reactor
     process = RouterProcess(settings, reactor)
--- a/packages/router/src/damaskwind/router/service_path.py
+++ b/packages/router/src/damaskwind/router/service_path.py
@@ -1,4 +1,4 @@
-"""Pass calls on to plain services, bodies streamed both ways."""
+"""Forward calls to plain services, streaming the bodies in both directions."""
 
 from posixpath import normpath
 from typing import Any, NamedTuple
@@ -37,7 +37,7 @@
 
 
 class ServiceCall(NamedTuple):
-    """A call to a plain service as the router understands it."""
+    """A parsed call to a plain service."""
 
     service: Service
     path: bytes
@@ -45,16 +45,16 @@
 
 
 def _unknown_service(name: str) -> RefusedError:
-    """Make the one error for a service that is unknown or not allowed."""
+    """Return the error for a service that is unknown or not allowed; both look the same."""
     detail = f"the service '{name}' does not exist or you do not have access to it"
     return RefusedError(Refusal(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail))
 
 
 def find_route(service: Service, method: str, path: str) -> ServiceRoute:
-    """Return the route of a call: the longest prefix wins.
+    """Return the route of a call with the longest matching path prefix.
 
-    A path that a target might read in another way (`..`, doubled slashes) takes
-    no route, so that it is never held to be idempotent.
+    A path that a target might interpret differently (`..`, doubled slashes) matches
+    no route, so that the call is never treated as idempotent.
     """
     plain = unquote(path)
     if normpath(plain).rstrip("/") != plain.rstrip("/"):
@@ -68,7 +68,7 @@
 
 
 def parse_call(admitted: AdmittedRequest) -> ServiceCall:
-    """Find the service and route that a request names."""
+    """Return the service and route that a request names; raise `RefusedError` if unknown."""
     request = admitted.request
     rest = request.uri[len(SERVICES_PREFIX) :]
     end = min(index for index in (rest.find(b"/"), rest.find(b"?"), len(rest)) if index >= 0)
@@ -85,13 +85,13 @@
 
 
 def _hop_headers(headers: Headers) -> set[bytes]:
-    """Name the headers that end at this hop, those named in `Connection` among them."""
+    """Return the hop-by-hop headers that `Connection` names."""
     named = headers.getRawHeaders(b"connection") or []
     return {token.strip().lower() for value in named for token in value.split(b",")}
 
 
 def _forwarded_headers(headers: Headers, own: frozenset[bytes]) -> Headers:
-    """Copy the headers that go on."""
+    """Return a copy of the end-to-end headers, without those in `own`."""
     dropped = _HOP_BY_HOP | own | _hop_headers(headers)
     passed = Headers()
     for name, values in headers.getAllRawHeaders():
@@ -101,7 +101,7 @@
 
 
 class _CallContext(NamedTuple):
-    """All that one call carries through this module."""
+    """The state of one call while it is served."""
 
     admitted: AdmittedRequest
     call: ServiceCall
@@ -127,7 +127,7 @@
         self._stall_timeout_s = stall_timeout_s
 
     async def serve(self, admitted: AdmittedRequest) -> bytes | None:
-        """Answer one call; raise `RefusedError` when nothing was passed on."""
+        """Serve one call; raise `RefusedError` if nothing was sent to the caller."""
         call = parse_call(admitted)
         body = admitted.request.upload or BytesProducer(admitted.request.content.read())
         context = _CallContext(admitted, call, self._make_work_item(admitted, call), body)
@@ -140,7 +140,7 @@
         return None
 
     def _make_work_item(self, admitted: AdmittedRequest, call: ServiceCall) -> WorkItem:
-        """Describe the work that a call is."""
+        """Return the work item of a call."""
         query = PlacementQuery(
             chat_digest=admitted.request_id,
             prefix_digests=(),
@@ -164,7 +164,7 @@
         )
 
     async def _send(self, context: _CallContext, target: TargetView) -> IResponse:
-        """Send a call to one target; a body that was begun can't be sent to another."""
+        """Send a call to one target; once its body was started, no other target can get it."""
         try:
             return await self._send_once(context, target)
         except AttemptError as error:
@@ -172,7 +172,7 @@
             raise
 
     async def _send_once(self, context: _CallContext, target: TargetView) -> IResponse:
-        """Send a call and check that the answer belongs to it."""
+        """Send a call and check that the answer carries its request id."""
         request, work = context.admitted.request, context.work
         headers = _forwarded_headers(request.requestHeaders, _ROUTER_HEADERS)
         headers.setRawHeaders(b"x-request-id", [work.request_id.encode()])
@@ -193,12 +193,12 @@
         return response
 
     def _is_small(self, admitted: AdmittedRequest, response: IResponse) -> bool:
-        """Tell whether an answer is read whole, so that its verdict is known at once."""
+        """Return whether an answer is buffered whole, so that its headers carry a final verdict."""
         known = response.length is not UNKNOWN_LENGTH and response.length <= BUFFERED_BYTES
         return known or admitted.request.method == b"HEAD" or response.code in _NO_BODY_STATUSES
 
     def _write_head(self, admitted: AdmittedRequest, response: IResponse, verdict: Verdict) -> None:
-        """Set status and headers of the answer."""
+        """Set the status and headers of the answer."""
         request = admitted.request
         request.setResponseCode(response.code, response.phrase)
         own = frozenset((b"x-request-id", b"x-verdict"))
@@ -211,7 +211,7 @@
             request.setHeader(b"connection", b"close")
 
     async def _send_whole(self, context: _CallContext, answer: TargetAnswer) -> bytes:
-        """Return a small answer whole, or refuse."""
+        """Return a small answer complete, or refuse."""
         work = context.work
         timeout_s = work.deadline_s - self._reactor.seconds()
         try:
@@ -228,7 +228,7 @@
         return body
 
     async def _send_stream(self, context: _CallContext, answer: TargetAnswer) -> None:
-        """Relay a large answer; one that is cut ends the caller's connection."""
+        """Relay a large answer; if it is cut, close the caller's connection."""
         admitted, work = context.admitted, context.work
         self._write_head(admitted, answer.response, Verdict.MAY_HAVE_RUN)
         relay = StreamRelay(
--- a/packages/router/src/damaskwind/router/stream_relay.py
+++ b/packages/router/src/damaskwind/router/stream_relay.py
@@ -1,4 +1,4 @@
-"""Pass an engine's stream on to the caller as bytes, with backpressure both ways."""
+"""Relay a target's answer to the caller as bytes, with backpressure in both directions."""
 
 from enum import StrEnum
 from typing import Any
@@ -15,12 +15,12 @@
 
 __all__ = ["RelayEnd", "StreamRelay"]
 
-# After its end marker an answer may still send the end of its body, and no more.
+# Time that an answer has after its end marker to end its body before it is closed.
 _TAIL_TIMEOUT_S = 5.0
 
 
 class RelayEnd(StrEnum):
-    """How one engine answer ended."""
+    """How one answer ended."""
 
     COMPLETE = "complete"
     CUT = "cut"
@@ -29,7 +29,7 @@
 
 
 class _Body(Protocol):
-    """The body of one engine answer."""
+    """The body of one answer."""
 
     def __init__(self, relay: "StreamRelay") -> None:
         self.ended: Deferred = Deferred()
@@ -39,7 +39,7 @@
         self._write = relay.request.write
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass on what may pass."""
+        """Forward the data that the scanner releases."""
         passed = self._scanner.feed(data)
         if passed and not self._relay.caller.gone:
             self._write(passed)
@@ -48,24 +48,24 @@
             self._end(RelayEnd.COMPLETE)
 
     def _close(self) -> None:
-        """Close a connection on which nothing more is wanted."""
+        """Close a connection that has sent all that is needed."""
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Note that no more comes; without its end marker an answer was cut."""
+        """End the relay; an answer without its end marker was cut."""
         if self._tail is not None and self._tail.active():
             self._tail.cancel()
         whole = self._scanner.end(bool(reason.check(ResponseDone)))
         self._end(RelayEnd.COMPLETE if whole else RelayEnd.CUT)
 
     def drop(self, end: RelayEnd) -> None:
-        """Close the engine's connection."""
+        """End the relay and close the target's connection."""
         if not self.ended.called:
             self._end(end)
             self._close()
 
     def _end(self, end: RelayEnd) -> None:
-        """Tell the relay, once; what still follows is read and dropped."""
+        """Report the end once; data that still follows is read and discarded."""
         if not self.ended.called:
             self.transport.resumeProducing()
             self.ended.callback(end)
@@ -73,10 +73,10 @@
 
 @implementer(IPushProducer)
 class StreamRelay:
-    """One caller's stream, fed by one engine answer after the other.
+    """One caller's stream, fed by consecutive answers of a target.
 
-    A caller that does not read for `stall_timeout_s` is dropped; an engine
-    that sends nothing for as long while the caller reads counts as cut.
+    A caller that does not read for `stall_timeout_s` is disconnected. A target that
+    sends nothing for that long while the caller reads counts as stalled.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         caller.when_gone(self.stopProducing)
 
     async def relay(self, response: IResponse) -> RelayEnd:
-        """Pass one answer on and return how it ended."""
+        """Relay one answer and return how it ended."""
         if self.caller.gone:
             return RelayEnd.CALLER_GONE
         self.scanner.restart()
@@ -115,29 +115,32 @@
         return end
 
     def close(self) -> None:
-        """Let the caller's connection be: nothing more is relayed."""
+        """Detach from the caller's connection after the last answer."""
         if not self.caller.gone:
             self.request.unregisterProducer()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop reading from the engine: the caller reads too slowly."""
+        """Stop reading from the target because the caller reads too slowly."""
         self._paused = True
         if self._body is not None and not self._body.ended.called:
             self._body.transport.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read from the engine again."""
+        """Resume reading from the target."""
         self._paused = False
         if self._body is not None and not self._body.ended.called:
             self._body.transport.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Drop the engine's answer: the caller has gone."""
+        """Drop the answer because the caller disconnected."""
         if self._body is not None:
             self._body.drop(RelayEnd.CALLER_GONE)
 
     def _check_progress(self) -> None:
-        """Find out who holds the stream up, if nothing moved since the last check."""
+        """Drop the caller or the target if no data arrived since the last check.
+
+        While reading is paused the caller is the cause, otherwise the target.
+        """
         self._check = self.clock.callLater(self._stall_timeout_s, self._check_progress)
         received = self.scanner.received_chunks
         if received != self._received:
--- a/packages/router/src/damaskwind/router/target_client.py
+++ b/packages/router/src/damaskwind/router/target_client.py
@@ -1,8 +1,8 @@
-"""Send one request to one target and say honestly what became of it.
+"""Send one request to one target and return its response or the verdict of its failure.
 
-"Not run" is claimed only when the connection was never made, or by the target's
-own word. Once a request may have been written, everything else that fails means
-that it may have run.
+The verdict is "not run" only if no connection was established or the target itself
+reported it. Once a request may have been written, every other failure means that it
+may have run.
 """
 
 from typing import Any, NamedTuple
@@ -33,10 +33,10 @@
 
 
 class AttemptError(DamaskwindError):
-    """One attempt at a target failed; `verdict` says whether it may have run there.
+    """A failed attempt at a target; `verdict` tells whether the request may have run there.
 
-    `suspect` is set when the failure speaks against the target's health, `final`
-    when no other target would do better. `signals` is what the target asked for.
+    `suspect` is set if the failure counts against the target's health, `final` if a
+    retry at another target would not help. `signals` are the target's signals.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
 
 @implementer(IBodyProducer)
 class BytesProducer:
-    """A request body that is already whole."""
+    """A request body that is completely in memory."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
@@ -96,20 +96,20 @@
 
 @implementer(IAgentEndpointFactory)
 class _NumericEndpoints:
-    """Connect to IP numbers: no name is ever looked up."""
+    """Connect to numeric IP addresses without name resolution."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
 
     def endpointForURI(self, uri: Any) -> Any:  # noqa: N802
-        """Return the endpoint of a URI."""
+        """Return the TCP endpoint of a URI."""
         host = uri.host.decode("ascii")
         kind = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
         return kind(self._reactor, host, uri.port, _CONNECT_TIMEOUT_S)
 
 
 class TargetClient:
-    """Send requests over one pool of connections."""
+    """Send requests over a shared connection pool."""
 
     def __init__(self, reactor: Any) -> None:
         self.clock = IReactorTime(reactor)
@@ -121,9 +121,9 @@
     async def send(
         self, call: TargetCall, timeout_s: float, caller: Caller | None = None
     ) -> IResponse:
-        """Return the response once its headers are here; raise `AttemptError` else.
+        """Return the response once its headers arrived, or raise `AttemptError`.
 
-        A caller that goes away ends the attempt at once.
+        If the caller disconnects, the attempt is cancelled immediately.
         """
         uri = b"http://%s:%d%s" % (call.address.host.encode(), call.address.port, call.path)
         waiting = self._agent.request(call.method, uri, call.headers, call.body)
@@ -139,7 +139,7 @@
         except CancelledError as error:
             detail = "the target did not answer in time"
             raise AttemptError(Verdict.MAY_HAVE_RUN, Reason.DEADLINE, detail) from error
-        except Exception as error:  # whatever broke after the connection was there
+        except Exception as error:  # any failure after the connection was established
             detail = f"the target broke off before its answer: {type(error).__name__}"
             raise AttemptError(Verdict.MAY_HAVE_RUN, Reason.TARGET_FAILED, detail) from error
         finally:
@@ -148,7 +148,7 @@
                 timer.cancel()
 
     async def close(self) -> None:
-        """Let what is on its way end, for a short time, and close the connections."""
+        """Wait a short time for requests in progress, then close the connections."""
         limit = self.clock.callLater(_CLOSE_TIMEOUT_S, self._cancel_all)
         while self._waiting:
             self._settled = Deferred()
@@ -158,12 +158,12 @@
         await self._pool.closeCachedConnections()
 
     def _cancel_all(self) -> None:
-        """Give up on everything that waits for an answer."""
+        """Cancel all requests in progress."""
         for waiting in list(self._waiting):
             waiting.cancel()
 
     def _finish(self, waiting: Deferred) -> None:
-        """Note that a request got its answer or failed."""
+        """Remove a request that was answered or failed."""
         self._waiting.discard(waiting)
         settled, self._settled = self._settled, None
         if settled is not None:
--- a/packages/router/src/damaskwind/router/telemetry.py
+++ b/packages/router/src/damaskwind/router/telemetry.py
@@ -1,4 +1,4 @@
-"""The router's metrics: what was asked, how it ended, and what is in hand."""
+"""The router's metrics: requests, attempts, queues, and control traffic."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -17,7 +17,7 @@
 
 
 class _Gauge(NamedTuple):
-    """A gauge of the control traffic: its metric, and the counter that it shows."""
+    """A gauge of the control traffic: the counter that it reads, and its metric."""
 
     counter: str
     metric: str
@@ -41,7 +41,7 @@
 
 
 class Telemetry:
-    """The instruments of one router. Gauges read the parts when a scraper asks."""
+    """The instruments of one router. Gauges read the components at each scrape."""
 
     def __init__(self, node_id: str) -> None:
         self.metrics = Metrics(node_id)
@@ -57,7 +57,7 @@
         )
 
     def watch_components(self, gateway: Any, queues: Any, directory: Any, explain: Any) -> None:
-        """Show what the parts of the router have in hand."""
+        """Register gauges of the current state of the router's components."""
         gauge = self.metrics.gauge
         gauge(
             "requests_in_progress",
@@ -78,7 +78,7 @@
         gauge("targets", "1", "Live targets known, by kind.", lambda: _targets(directory))
 
     def watch_control(self, counters: Counters) -> None:
-        """Show the control traffic, as `counters` gives it by name."""
+        """Register the metrics of the control traffic, read from `counters` by name."""
         total = self.metrics.total
         total(
             "control",
@@ -108,7 +108,7 @@
             self._watch_gauge(gauge, counters)
 
     def watch_claims(self, claims: Any) -> None:
-        """Show the bytes of the calls to claim holders, which grow with keyed calls."""
+        """Register the bytes of calls to claim holders, which grow with keyed requests."""
         self.metrics.total(
             "claim",
             "By",
@@ -120,7 +120,7 @@
         )
 
     def _watch_gauge(self, gauge: _Gauge, counters: Counters) -> None:
-        """Show one value of the control traffic that may fall."""
+        """Register a gauge for a value of the control traffic that may decrease."""
         self.metrics.gauge(
             gauge.metric,
             gauge.unit,
@@ -129,7 +129,7 @@
         )
 
     def request_ended(self, record: RequestRecord) -> None:
-        """Count a request from its record."""
+        """Count an ended request, with labels and duration from its record."""
         end = record.ended or {}
         labels = {
             "verdict": str(end.get("verdict", "")),
@@ -139,7 +139,7 @@
         self._duration.record(end.get("duration_ms", 0.0) / 1000, labels)
 
     def attempt_ended(self, work: WorkItem, verdict: Verdict, reason: str) -> None:
-        """Count an attempt at a target."""
+        """Count an ended attempt at a target."""
         labels = {"kind": str(work.kind), "verdict": str(verdict), "reason": reason}
         self._attempts.add(1, labels)
 
@@ -155,12 +155,12 @@
 
 
 def _control_sends(counters: Mapping[str, float]) -> list[Sample]:
-    """Return the sends that did not go at once, by what became of them."""
+    """Return the sends that were not sent immediately, by outcome."""
     return [Sample(counters[name], {"outcome": outcome}) for name, outcome in _SENDS.items()]
 
 
 def _control_faults(counters: Mapping[str, float]) -> list[Sample]:
-    """Return the datagrams refused, by fault."""
+    """Return the rejected datagrams by fault."""
     return [
         Sample(value, {"fault": name.removeprefix(_FAULT_PREFIX)})
         for name, value in counters.items()
--- a/packages/router/src/damaskwind/router/upload.py
+++ b/packages/router/src/damaskwind/router/upload.py
@@ -1,4 +1,4 @@
-"""Pass a caller's body on to a target while it still arrives, with backpressure."""
+"""Stream a caller's body to a target while it still arrives, with backpressure."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,15 +11,15 @@
 
 
 class CallerLeftError(Exception):
-    """The caller went away in the middle of its body."""
+    """The caller disconnected before the end of its body."""
 
 
 @implementer(IBodyProducer)
 class Upload:
     """A body that arrives piece by piece.
 
-    `begun` is set once a target was given the first piece: from then on the
-    body can't be sent to another one.
+    `begun` is set when a target starts to receive the body: from then on the body
+    can't be sent to another target.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._discarding = False
 
     def receive(self, data: bytes) -> None:
-        """Take a piece from the caller."""
+        """Forward a piece from the caller, or buffer it until a target is connected."""
         if self._discarding:
             return
         if self._consumer is not None:
@@ -46,18 +46,18 @@
         self._pause()
 
     def finish(self) -> None:
-        """Note that the caller sent its last piece."""
+        """Mark the body as complete."""
         self.complete = True
         if self._consumer is not None:
             self._fire(None)
 
     def fail(self) -> None:
-        """Note that the caller went away before its last piece."""
+        """Fail the body if the caller disconnected before its last piece."""
         if not self.complete:
             self._fire(CallerLeftError("the caller left in the middle of its body"))
 
     def startProducing(self, consumer: Any) -> Deferred:  # noqa: N802
-        """Begin to pass the body on."""
+        """Start to send the body to a target."""
         self.begun = True
         self._consumer = consumer
         waiting, self._waiting = self._waiting, []
@@ -70,23 +70,23 @@
         return self._done
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Read no more from the caller: the target reads too slowly."""
+        """Stop reading from the caller because the target reads too slowly."""
         if not self.complete:
             self._pause()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read from the caller again."""
+        """Resume reading from the caller."""
         if not self.complete:
             self._resume()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Drop the rest: the target wants no more."""
+        """Discard the rest of the body because the target stopped reading."""
         self._discarding = True
         self._consumer = None
         self._resume()
 
     def _fire(self, result: Any) -> None:
-        """End the body, once."""
+        """Fire the Deferred of the body once, and discard what still arrives."""
         done, self._consumer = self._done, None
         self._discarding = True
         if not done.called and self.begun:
