--- a/packages/router/src/damaskwind/router/__init__.py
+++ b/packages/router/src/damaskwind/router/__init__.py
@@ -1,1 +1,1 @@
-"""The process between callers and targets."""
+"""The router: the process that forwards requests from callers to targets."""
--- a/packages/router/src/damaskwind/router/claims/client.py
+++ b/packages/router/src/damaskwind/router/claims/client.py
@@ -1,4 +1,4 @@
-"""Claim idempotency keys from the holders and record how requests ended."""
+"""Claim idempotency keys from the claim holders and record the outcomes of requests."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -45,11 +45,11 @@
 
 
 class ClaimsClient:
-    """One router's client of the holders; it owns its connections.
+    """One router's client of the claim holders; it owns its connections.
 
-    `holders` names every holder with its address. `clock` gives monotonic
-    seconds. Each claim needs a `request_id` of its own, also when a caller
-    resends: the id names who may run. The byte counts add estimated headers.
+    `holders` names every holder with its address. `clock` returns monotonic seconds.
+    Each claim needs its own `request_id`, even if a caller resends, because the id
+    identifies the request that may run. The byte counts include estimated headers.
     """
 
     def __init__(
@@ -73,11 +73,10 @@
     async def claim(
         self, key: str, request_digest: str, request_id: str, timeout_s: float
     ) -> ClaimOutcome:
-        """Claim a key for a request; without a majority in time it is `NO_QUORUM`.
+        """Claim a key for a request; without a majority in time return `NO_QUORUM`.
 
-        A claim that ends undecided, or whose task is cancelled, is abandoned:
-        the holders are told that its request never runs, so that the key is free
-        for a resend.
+        A claim that times out undecided, or whose task is cancelled, is abandoned: the
+        holders are informed that its request never runs, so that a resend can claim the key.
         """
         value = ClaimValue(request_id, request_digest)
         proposer = ClaimProposer(key, value, tuple(self._addresses))
@@ -95,10 +94,10 @@
     async def record(
         self, key: str, accepted: Accepted, outcome: Outcome, timeout_s: float
     ) -> bool:
-        """Record how a granted request ended; tell whether a majority keeps it.
+        """Record the outcome of a granted request; return whether a majority stored it.
 
-        After `not-run` the request must never be sent. All holders are told, also
-        after the majority answered.
+        After `not-run` the request must never be sent. The record is sent to all holders,
+        even if a majority answers before the others.
         """
         message = Record(key, accepted, outcome)
         calls = [
@@ -113,7 +112,7 @@
         return False
 
     async def close(self) -> None:
-        """Cancel what is under way and close the connections."""
+        """Cancel the calls in progress and close the connections."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -121,7 +120,7 @@
             self._drop_channel(holder_id)
 
     async def _run_rounds(self, proposer: ClaimProposer) -> ClaimOutcome:
-        """Run rounds, with a growing random pause between them, until one decides."""
+        """Run rounds, with random exponential backoff between them, until one decides."""
         pause_s = INITIAL_BACKOFF_S
         while True:
             outcome = await self._run_round(proposer)
@@ -131,7 +130,7 @@
             pause_s = min(MAX_BACKOFF_S, 2 * pause_s)
 
     async def _run_round(self, proposer: ClaimProposer) -> ClaimOutcome | None:
-        """Run one round; `None` when it failed."""
+        """Run one round; return `None` if it failed."""
         replies: asyncio.Queue = asyncio.Queue()
         step = proposer.start_round()
         while step.outcome is None and proposer.phase != Phase.FAILED:
@@ -150,7 +149,7 @@
             self._spawn(call_holder(holder_id, message))
 
     async def _call(self, holder_id: str, message: Any, timeout_s: float) -> Any:
-        """Make one call; `None` when it failed."""
+        """Make one call; return `None` if it failed."""
         kind = type(message)
         request = ClaimCall(holder_id=holder_id, body=encode_claim_message(message))
         channel = self._channel(holder_id)
@@ -168,21 +167,21 @@
             return None
 
     def _abandon(self, proposer: ClaimProposer) -> None:
-        """Tell the holders, as far as they hear, that a request never runs."""
+        """Inform all reachable holders that a request never runs."""
         accepted = Accepted(proposer.ballot, proposer.value)
         message = Record(proposer.key, accepted, Outcome(Verdict.NOT_RUN))
         for holder_id in self._addresses:
             self._spawn(self._call(holder_id, message, ABANDON_TIMEOUT_S))
 
     def _spawn(self, coroutine: Any) -> asyncio.Task:
-        """Run a coroutine as a task that is kept until it ends."""
+        """Run a coroutine as a task, holding a reference until it ends."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def _channel(self, holder_id: str) -> Channel:
-        """Return the connection to a holder, making it when first needed."""
+        """Return the connection to a holder, creating it on first use."""
         channel = self._channels.get(holder_id)
         if channel is None:
             address = self._addresses[holder_id]
@@ -190,6 +189,6 @@
         return channel
 
     def _drop_channel(self, holder_id: str, channel: Channel | None = None) -> None:
-        """Close a connection that hangs, unless another took its place already."""
+        """Close a hanging connection, unless it was already replaced by another."""
         if channel is None or self._channels.get(holder_id) is channel:
             self._channels.pop(holder_id).close()
--- a/packages/router/src/damaskwind/router/configuration/call_rate_limiter.py
+++ b/packages/router/src/damaskwind/router/configuration/call_rate_limiter.py
@@ -13,7 +13,7 @@
 
 
 class CallRateLimiter:
-    """A rate of bytes with `BURST_S` of it to spend at once; no pause is endless."""
+    """A limiter of bytes per second with a burst of `BURST_S` seconds and a maximum pause."""
 
     def __init__(self, bytes_per_s: float, now_s: float) -> None:
         self._bytes_per_s = bytes_per_s
--- a/packages/router/src/damaskwind/router/configuration/follower.py
+++ b/packages/router/src/damaskwind/router/configuration/follower.py
@@ -1,10 +1,10 @@
 """Follow the confirmed configuration; never move to a lower revision.
 
-One stream to one replica brings each revision as it is confirmed. While no
-replica that is current can be reached, hints from other routers tell of newer
-revisions, which are fetched from those routers. A router without any revision
-first asks everyone it knows and, unless a current replica answers, takes the
-highest it heard of within a settling time: the first to answer may be the one
+One stream from one replica delivers each revision as it is confirmed. While no
+current replica can be reached, hints from other routers announce newer revisions,
+which are fetched from those routers. A router without any revision first polls all
+known replicas and routers. Unless a current replica answers, it applies the highest
+revision received within a settling time, because the first to answer may be the one
 that is furthest behind.
 """
 
@@ -37,7 +37,7 @@
 
 
 class FollowerTiming:
-    """Periods of the follower, in seconds."""
+    """Timeouts and delays of the follower, in seconds."""
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
 
 
 class ConfigurationFollower:
-    """Keep one router's configuration.
+    """Maintain one router's configuration.
 
-    `configuration` is what the router enforces: subscribers are called before
-    the revision is reported to anyone. `peers` returns the addresses of other
-    routers at which `service` is served. Streams that fail and rounds of asking
-    each get a share of `control_bytes_per_s`.
+    `configuration` is the one that the router enforces: subscribers are called before
+    the revision is reported to anyone. `peers` returns the addresses at which other
+    routers serve their `service`. Attempts to open a stream and rounds of polling are
+    each limited to a share of `control_bytes_per_s`.
     """
 
     def __init__(
@@ -107,37 +107,37 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether a configuration is in force."""
+        """Return whether a configuration is in force."""
         return self.configuration is not None
 
     @property
     def may_be_behind(self) -> bool:
-        """Tell whether no current replica has confirmed the revision in force lately."""
+        """Return whether no current replica confirmed the revision in force recently."""
         return read_clock() > self._current_until_s or self._highest_seen > self.revision
 
     @property
     def received_bytes(self) -> int:
-        """Return the bytes received, with headers as estimated."""
+        """Return the bytes received, including estimated headers."""
         return self._upstream.received_bytes
 
     @property
     def sent_bytes(self) -> int:
-        """Return the bytes sent, with headers as estimated."""
+        """Return the bytes sent, including estimated headers."""
         return self._upstream.sent_bytes
 
     def charge_bytes(self, charge: Callable[[int, int], None]) -> None:
-        """Have `charge(sent, received)` take all bytes: own calls and peers' fetches."""
+        """Call `charge(sent, received)` for all bytes, of own calls and of peers' fetches."""
         self._upstream.on_bytes = charge
         self.service.on_bytes = charge
 
     def subscribe(self, callback: Callable[[Configuration], None]) -> None:
-        """Have `callback` put each new configuration in force."""
+        """Call `callback` to put each new configuration in force."""
         self._subscribers.append(callback)
         if self.configuration is not None:
             callback(self.configuration)
 
     async def start(self) -> None:
-        """Take up the state file and begin to follow."""
+        """Read the state file and start to follow."""
         if self._state_file is not None:
             stored = read_state_file(self._state_file)
             if stored is not None:
@@ -146,7 +146,7 @@
         self._spawn(self._poll_until_ready())
 
     async def stop(self) -> None:
-        """Stop following; the configuration stays."""
+        """Stop following; the configuration stays in force."""
         self._upstream.close()
         if self._settle_timer is not None:
             self._settle_timer.cancel()
@@ -158,7 +158,7 @@
             await asyncio.wait([self._write_task])
 
     def handle_revision_hint(self, peer_address: Address, revision: int) -> None:
-        """Take a hint that a router enforces a revision; fetch it if it is newer."""
+        """Handle a hint that a router enforces a revision; fetch it if it is newer."""
         self._highest_seen = max(self._highest_seen, revision)
         if revision <= self.revision:
             return
@@ -168,13 +168,13 @@
             self._spawn(self._fetch_hint(peer_address))
 
     def _spawn(self, coroutine: object) -> None:
-        """Run a coroutine until this follower stops."""
+        """Run a coroutine as a task that `stop` cancels."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _follow(self) -> None:
-        """Keep a stream to a replica, one replica after another."""
+        """Keep a stream from one replica open, trying the replicas in turn."""
         backoff_s = self._timing.initial_backoff_s
         attempt = 0
         while self._replicas and not self._upstream.is_closed:
@@ -185,7 +185,8 @@
             try:
                 await self._watch(address)
             except MessageError as error:
-                # Closing the connection ends the stream before the cancelled wait is reached.
+                # `stop` closes the connection, which fails the stream before this task
+                # receives its cancellation.
                 if self._upstream.is_closed:
                     return
                 logger.warning(
@@ -199,7 +200,7 @@
                 backoff_s = min(2 * backoff_s, self._timing.max_backoff_s)
 
     async def _watch(self, address: Address) -> None:
-        """Follow one replica until it fails, falls silent or is not current."""
+        """Follow one replica until it fails, exceeds the silence timeout or is not current."""
         stale_updates = 0
         async with self._upstream.watch(address, self._base()) as stream:
             while not self._upstream.is_closed:
@@ -207,23 +208,23 @@
                 await self._handle_update(update, f"replica {address}")
                 stale_updates = 0 if update.is_current else stale_updates + 1
                 if stale_updates > 1 and len(self._replicas) > 1:
-                    raise MessageError("replica is not current")
+                    raise MessageError("the replica is not current")
                 await stream.report(self.revision)
 
     def _latest_known(self) -> Configuration | None:
-        """Return the highest configuration known here, in force or not yet."""
+        """Return the highest configuration known here, whether or not it is in force."""
         accepted = self._accepted[0] if self._accepted is not None else None
         return accepted or self.configuration or self._candidate
 
     def _base(self) -> int:
-        """Return the revision to which a delta may be sent; 0 asks for the whole."""
+        """Return the revision against which a delta may be sent; 0 requests the full state."""
         latest = self._latest_known()
         return 0 if self._needs_full or latest is None else latest.revision
 
     async def _handle_update(self, update: UpstreamUpdate, source: str) -> None:
-        """Take an update from a replica or a router; wait until what it brought is in force.
+        """Apply an update from a replica or a router, and wait until it is in force.
 
-        After one that does not come out as it was sent, the whole is asked for.
+        After an update that can't be decoded, the full configuration is requested.
         """
         encoded = update.encoded
         self._highest_seen = max(self._highest_seen, encoded.revision)
@@ -235,7 +236,7 @@
             self._needs_full = False
             self._offer(whole, source, update.is_current)
         elif encoded.revision < latest_revision:
-            logger.debug("lower revision refused", source=source, revision=encoded.revision)
+            logger.debug("lower revision ignored", source=source, revision=encoded.revision)
         elif update.is_current and self.configuration is None and latest is not None:
             self._apply(latest, source)
         if self._write_task is not None:
@@ -244,7 +245,10 @@
             self._current_until_s = read_clock() + self._timing.silence_s
 
     def _offer(self, whole: Configuration, source: str, is_current: bool) -> None:
-        """Apply a configuration, or hold it back while others may know a higher one."""
+        """Apply a configuration, or keep it as a candidate while settling.
+
+        While settling, another source may still deliver a higher revision.
+        """
         latest = self._latest_known()
         if latest is not None and whole.revision <= latest.revision:
             return
@@ -258,15 +262,15 @@
             self._settle_timer = loop.call_later(self._timing.settle_s, self._apply_candidate)
 
     def _apply_candidate(self) -> None:
-        """Take the highest revision heard of while settling."""
+        """Apply the highest revision received while settling."""
         if self.configuration is None and self._candidate is not None:
             self._apply(self._candidate, self.source)
 
     def _apply(self, whole: Configuration, source: str) -> None:
-        """Put a configuration in force, once it is stored if there is a file for it.
+        """Put a configuration in force, after writing it to the state file if there is one.
 
-        What was in force but not stored would be forgotten with this process, which
-        would then start again below it.
+        A configuration that was in force but not stored would be lost at a restart, and
+        the router would then start with a lower revision.
         """
         self._candidate = None
         if self._state_file is None:
@@ -277,9 +281,9 @@
             self._write_task = asyncio.ensure_future(self._write_accepted(self._state_file))
 
     async def _write_accepted(self, path: Path) -> None:
-        """Write what is accepted to the file and put it in force, until nothing is left.
+        """Write accepted configurations to the file and enforce them, until none is left.
 
-        A file that can't be written must not keep a confirmed change from being enforced.
+        A failed write must not prevent a confirmed change from being enforced.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -296,7 +300,7 @@
             self._write_task = None
 
     def _enforce(self, whole: Configuration, source: str) -> None:
-        """Put a configuration in force, then let others know."""
+        """Put a configuration in force, then publish it to others."""
         self.configuration = whole
         self.source = source
         for callback in self._subscribers:
@@ -305,9 +309,9 @@
         logger.info("configuration applied", revision=whole.revision, source=source)
 
     async def _poll_until_ready(self) -> None:
-        """Ask all replicas and routers until a configuration is in force.
+        """Poll all replicas and routers until a configuration is in force.
 
-        The stream from a current replica mostly makes this needless.
+        Usually the stream from a current replica delivers one before the first poll.
         """
         await asyncio.sleep(self._timing.hint_delay_s)
         while not self.is_ready and not self._upstream.is_closed:
@@ -317,7 +321,7 @@
             await asyncio.sleep(self._poll_limiter.pause_s(read_clock()))
 
     async def _poll_sources(self) -> None:
-        """Ask for revisions alone, then fetch the highest from one that has it."""
+        """Poll for revision numbers only, then fetch the highest from a source that has it."""
         peers = self._peers()
         polled = self._random.sample(peers, min(len(peers), MAX_POLLED_PEERS))
         addresses = list(dict.fromkeys([*self._replicas, *polled]))
@@ -330,16 +334,19 @@
                 await self._fetch(address)
 
     async def _poll_revision(self, address: Address) -> int:
-        """Return the revision that one replica or router has, 0 when it does not answer."""
+        """Return the revision that one replica or router has, or 0 if it does not answer."""
         try:
             update = await self._upstream.fetch(address, REVISION_ONLY, POLL_TIMEOUT_S)
         except MessageError as error:
-            logger.debug("not asked", source=str(address), error=str(error))
+            logger.debug("poll for the revision failed", source=str(address), error=str(error))
             return 0
         return update.encoded.revision
 
     async def _fetch_hint(self, address: Address) -> None:
-        """Fetch what a router was said to have, unless it comes by itself first."""
+        """Fetch the revision that a router was reported to have.
+
+        If a current replica is followed, wait first, since its stream may deliver it.
+        """
         pause_s = self._timing.hint_delay_s
         try:
             if read_clock() <= self._current_until_s:
@@ -363,18 +370,18 @@
 
 
 def _never_current() -> bool:
-    """Say that a router never vouches for being current."""
+    """Return `False`: a router never claims to be current."""
     return False
 
 
 def _ignore_report(router_id: str, failure_domain: str, revision: int) -> None:
-    """Drop a report: routers report to replicas."""
+    """Ignore a report, since routers report to replicas."""
 
 
 def _local_first(
     replicas: tuple[ReplicaSettings, ...], failure_domain: str, random: Random
 ) -> list[Address]:
-    """Return the replicas' addresses in random order, those of the own domain first."""
+    """Return the replicas' addresses in random order, those in the own domain first."""
     shuffled = random.sample(replicas, len(replicas))
     shuffled.sort(key=lambda replica: replica.failure_domain != failure_domain)
     return [parse_address(replica.address) for replica in shuffled]
--- a/packages/router/src/damaskwind/router/configuration/state_file.py
+++ b/packages/router/src/damaskwind/router/configuration/state_file.py
@@ -1,4 +1,4 @@
-"""Keep the configuration in force over a restart of the router."""
+"""Store the configuration in force, so that it survives a restart of the router."""
 
 from pathlib import Path
 
@@ -16,15 +16,15 @@
 
 
 def write_state_file(path: Path, configuration: Configuration) -> None:
-    """Replace the file by a configuration, configuration or not at all."""
+    """Replace the file atomically by one with a configuration."""
     data = encode_configuration(configuration)
     replace_file_synced(path, xxhash.xxh3_128_digest(data) + data)
 
 
 def read_state_file(path: Path) -> Configuration | None:
-    """Return the configuration in a file; `None` when there is none or it is damaged.
+    """Return the configuration in a file, or `None` if it is missing or damaged.
 
-    A damaged file is only a lost hint: the router asks the others, as a new one does.
+    A damaged file does no harm: the router polls other sources, as a new router does.
     """
     try:
         content = path.read_bytes()
--- a/packages/router/src/damaskwind/router/configuration/upstream.py
+++ b/packages/router/src/damaskwind/router/configuration/upstream.py
@@ -1,8 +1,7 @@
 """Call replicas and other routers for configurations, and count the bytes.
 
-The byte counts add to each message an estimate of its framing: HTTP/2 and gRPC
-heads, one TCP segment with its acknowledgement; and to each connection its
-set-up.
+The byte counts include an estimate of the framing of each message (HTTP/2 and gRPC
+headers, one TCP segment with its acknowledgement) and of the set-up of each connection.
 """
 
 import asyncio
@@ -38,7 +37,7 @@
 
 
 class UpstreamUpdate(NamedTuple):
-    """A verified update; `is_current` is the sender's word that it knows the latest."""
+    """A verified update; `is_current` is set if the sender reports having the latest."""
 
     encoded: EncodedRevision
     is_current: bool
@@ -58,20 +57,20 @@
         """Return the next update; raise `MessageError` when none comes in time."""
         update = await asyncio.wait_for(self._stream.recv_message(), timeout_s)
         if update is None:
-            raise MessageError("stream closed")
+            raise MessageError("the stream was closed")
         self._owner.count_received(update.ByteSize())
         self._updates.check(update)
         return UpstreamUpdate(read_update(update), update.is_current)
 
     async def report(self, applied_revision: int) -> None:
-        """Say which revision is in force here."""
+        """Report which revision is in force here."""
         progress = self._progress.seal(self._owner.progress(applied_revision))
         self._owner.count_sent(progress.ByteSize())
         await self._stream.send_message(progress)
 
 
 class Upstream:
-    """Make the calls of one router."""
+    """The client of one router for replicas and other routers."""
 
     def __init__(self, router_id: str, failure_domain: str, signer: CallSigner) -> None:
         self.signer = signer
@@ -84,7 +83,7 @@
         self._channels: set[Channel] = set()
 
     def progress(self, applied_revision: int) -> Any:
-        """Return what this router says of itself."""
+        """Return this router's progress report."""
         return make_progress(self._router_id, self._failure_domain, applied_revision)
 
     def count_received(self, size_bytes: int) -> None:
@@ -96,7 +95,7 @@
         self._count(size_bytes + MESSAGE_OVERHEAD_BYTES, 0)
 
     def _count(self, sent_bytes: int, received_bytes: int) -> None:
-        """Count bytes and let `on_bytes` know."""
+        """Count bytes and pass them to `on_bytes`."""
         self.sent_bytes += sent_bytes
         self.received_bytes += received_bytes
         self.on_bytes(sent_bytes, received_bytes)
@@ -127,7 +126,7 @@
     async def fetch(
         self, address: Address, applied_revision: int, timeout_s: float = FETCH_TIMEOUT_S
     ) -> UpstreamUpdate:
-        """Return the latest that a replica or router has, as a change if it can."""
+        """Return the latest revision of a replica or router, as a delta if possible."""
         request = FetchRequest(applied_revision=applied_revision)
         metadata = self._sign("Fetch", request)
         with self._channel(address) as channel:
@@ -142,28 +141,28 @@
         return UpstreamUpdate(read_update(update), update.is_current)
 
     def _sign(self, method: str, message: Any) -> dict[str, str]:
-        """Sign the opening of a call and count it."""
+        """Sign the first message of a call and count its bytes."""
         body = message.SerializeToString(deterministic=True)
         self.count_sent(len(body) + CALL_BYTES)
         return self.signer.sign(f"/damaskwind.follow.Follow/{method}", body)
 
     def _channel(self, address: Address) -> "_ChannelContext":
-        """Return a connection for the length of a `with` block."""
+        """Return a context manager for a connection."""
         return _ChannelContext(self, address)
 
     def add_channel(self, channel: Channel) -> None:
-        """Remember an open connection and count its set-up."""
+        """Register an open connection and count its set-up."""
         self._channels.add(channel)
         self._count(CONNECTION_BYTES, CONNECTION_BYTES)
 
     def close_channel(self, channel: Channel) -> None:
-        """Close a connection."""
+        """Close and unregister a connection."""
         self._channels.discard(channel)
         channel.close()
 
 
 class _ChannelContext:
-    """Open a connection at the start of a block and close it at its end."""
+    """Open a connection at the start of a `with` block and close it at its end."""
 
     def __init__(self, owner: Upstream, address: Address) -> None:
         self._owner = owner
@@ -178,4 +177,4 @@
 
 
 def _ignore_bytes(sent_bytes: int, received_bytes: int) -> None:
-    """Let nobody know."""
+    """Ignore the byte counts."""
--- a/packages/router/src/damaskwind/router/membership/__init__.py
+++ b/packages/router/src/damaskwind/router/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The UDP shell around the membership core."""
+"""The gossip node and UDP service around the membership core."""
