--- a/packages/router/src/damaskwind/router/claims/tests/holders.py
+++ b/packages/router/src/damaskwind/router/claims/tests/holders.py
@@ -1,4 +1,4 @@
-"""Real claim holders in this process, on ports of their own."""
+"""Real claim holders in this process, each on its own port."""
 
 import asyncio
 import os
@@ -20,7 +20,7 @@
 
 
 class Holders:
-    """A group of holders that can be killed and restarted empty."""
+    """A group of claim holders that can be stopped and restarted without their records."""
 
     def __init__(self, count: int = 3, policy: HolderPolicy | None = None) -> None:
         self.policy = policy or HolderPolicy()
@@ -34,7 +34,7 @@
             await self.start(holder_id, 1, first=True)
 
     async def start(self, holder_id: str, incarnation: int, first: bool = False) -> ClaimHolder:
-        """Start a holder, on the port that it had before if any."""
+        """Start a holder, on its former port if it had one."""
         holder = ClaimHolder(holder_id, incarnation, self.ids, self.policy, read_clock(), first)
         service = ClaimHolderService(holder, CallVerifier(CLUSTER, KEY), read_clock)
         before = self.addresses.get(holder_id, Address("127.0.0.1", 0))
@@ -53,7 +53,7 @@
         await server.wait_closed()
 
     async def catch_up(self, holder_id: str, limit_s: float = 5.0) -> None:
-        """Let a restarted holder read the others until it votes."""
+        """Let a restarted holder copy the records of the others until it may vote."""
         others = {name: where for name, where in self.addresses.items() if name != holder_id}
         signer = CallSigner(CLUSTER, KEY, holder_id)
         reading = catch_up(self.holders[holder_id], others, signer, read_clock, 0.02)
--- a/packages/router/src/damaskwind/router/claims/tests/test_client.py
+++ b/packages/router/src/damaskwind/router/claims/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the claims client against real holders on loopback."""
+"""Tests of the claims client against real claim holders on loopback."""
 
 import asyncio
 from random import Random
@@ -39,7 +39,7 @@
         return await self.clients[client].claim(key, digest, request_id, timeout_s)
 
     @asyncio_test
-    async def test_racing_routers_get_one_grant_a_key(self):
+    async def test_racing_routers_get_one_grant_per_key(self):
         await self.set_up()
         try:
             for number in range(20):
@@ -102,7 +102,7 @@
             await self.tear_down()
 
     @asyncio_test
-    async def test_full_holders_and_strangers_are_refused(self):
+    async def test_full_holders_and_wrong_cluster_keys_refuse_claims(self):
         await self.set_up(policy=HolderPolicy(max_records=2))
         try:
             for number in range(2):
--- a/packages/router/src/damaskwind/router/configuration/tests/sources.py
+++ b/packages/router/src/damaskwind/router/configuration/tests/sources.py
@@ -1,4 +1,4 @@
-"""Sources of configurations for tests of the follower: replicas and routers that serve them."""
+"""Replicas and routers that serve configurations, for tests of the follower."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 __all__ = [
     "LARGE",
-    "CredulousVerifier",
+    "PermissiveVerifier",
     "Source",
     "large_revision",
     "revision",
@@ -30,7 +30,7 @@
 
 
 def large_revision(number):
-    """Return a configuration that does not compress well."""
+    """Return a large configuration that does not compress well."""
     random = Random(number)
     accounts = {
         f"a{i}": ClientAccount(f"a{i}", (random.randbytes(32).hex(),), "c", 8, 1000.0)
@@ -59,8 +59,8 @@
     return Address(*listening.getsockname())
 
 
-class CredulousVerifier(CallVerifier):
-    """Let every caller in."""
+class PermissiveVerifier(CallVerifier):
+    """Accept every caller."""
 
     def verify(self, method, body, metadata):
         return "anyone"
--- a/packages/router/src/damaskwind/router/configuration/tests/test_follower.py
+++ b/packages/router/src/damaskwind/router/configuration/tests/test_follower.py
@@ -13,7 +13,7 @@
 from damaskwind.router.configuration.state_file import read_state_file, write_state_file
 from damaskwind.router.configuration.tests.sources import (
     LARGE,
-    CredulousVerifier,
+    PermissiveVerifier,
     Source,
     revision,
     serve,
@@ -57,7 +57,7 @@
             **options,
         )
         self.applied = []
-        follower.subscribe(lambda whole: self.applied.append(whole.revision))
+        follower.subscribe(lambda configuration: self.applied.append(configuration.revision))
         self.stops.append(follower)
         return follower
 
@@ -85,7 +85,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_stop_warns_of_no_stream_and_a_replica_that_ends_it_is_told(self):
+    async def test_stop_logs_no_warning_and_a_stream_ended_by_a_replica_does(self):
         replica, warnings = await self.source(3), []
         sink = logger.add(lambda line: warnings.append(line.record["extra"]), level="WARNING")
         self.addCleanup(logger.remove, sink)
@@ -117,27 +117,27 @@
             charged[name][1] += received_bytes
 
         follower.charge_bytes(lambda *sizes: charge("stream", *sizes))
-        whole_bytes = len(replica.service.history.encode_for(0).body)
+        full_bytes = len(replica.service.history.encode_for(0).body)
         serving = Server([follower.service])
         address = await serve(serving)
         try:
             await follower.start()
             await until(lambda: follower.is_ready and follower.sent_bytes > 1500)
             self.assertEqual(charged["stream"], [follower.sent_bytes, follower.received_bytes])
-            self.assertGreater(follower.received_bytes, whole_bytes)
+            self.assertGreater(follower.received_bytes, full_bytes)
             follower.service.on_bytes = lambda *sizes: charge("served", *sizes)
             peer = Upstream("router-2", "d", CallSigner("kl", "key", "router-2"))
             await peer.fetch(address, 0)
             self.assertEqual(charged["served"][0], peer.received_bytes)
             self.assertAlmostEqual(charged["served"][1], peer.sent_bytes, delta=8)
-            self.assertGreater(charged["served"][0], whole_bytes)
+            self.assertGreater(charged["served"][0], full_bytes)
         finally:
             await self.stop_all()
             serving.close()
             await serving.wait_closed()
 
     @asyncio_test
-    async def test_calls_that_fail_over_and_over_keep_to_their_share_of_the_budget(self):
+    async def test_repeated_failing_calls_stay_within_their_share_of_the_budget(self):
         replica = await self.source(verifier=CallVerifier("kl", "other"))
         follower = self.follower(replica, control_bytes_per_s=1200.0)
         spent = []
@@ -145,7 +145,8 @@
         try:
             await follower.start()
             await until(lambda: sum(spent) >= 2 * 1868)
-            # One call of each kind is its credit; without pauses many more come in this time.
+            # The burst allows one call of each kind. Without pauses there would be many more
+            # calls in this time.
             await asyncio.sleep(0.5)
             self.assertEqual(sum(spent) // 1868, 2)
         finally:
@@ -171,7 +172,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_restart_before_a_control_plane_that_began_anew_keeps_the_higher_revision(self):
+    async def test_restart_with_a_reset_control_plane_keeps_the_higher_revision(self):
         write_state_file(self.state_file, revision(7))
         replica = await self.source(5)
         follower = self.follower(replica, state_file=self.state_file)
@@ -183,7 +184,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_restart_needs_no_settling_when_a_current_replica_has_the_kept_revision(self):
+    async def test_restart_needs_no_settling_when_a_current_replica_has_the_stored_revision(self):
         write_state_file(self.state_file, revision(7))
         replica = await self.source(7)
         follower = self.follower(replica, state_file=self.state_file, settle_s=60.0)
@@ -195,7 +196,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_cut_off_start_moves_the_whole_once_however_many_it_asks(self):
+    async def test_isolated_start_fetches_the_full_configuration_once_from_many_sources(self):
         sources = [await self.source(9, is_current=False) for _ in range(8)]
         for source in sources:
             source.service.publish(LARGE)
@@ -211,7 +212,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_cut_off_start_takes_the_highest_that_its_domain_knows(self):
+    async def test_isolated_start_applies_the_highest_revision_of_its_sources(self):
         low, high = await self.source(4, is_current=False), await self.source(9, is_current=False)
         follower = self.follower(low, peers=[high], settle_s=3.0)
         try:
@@ -223,7 +224,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_with_nothing_at_all_it_is_not_ready(self):
+    async def test_without_any_configuration_it_is_not_ready(self):
         lone = await self.source(0, is_current=False)
         follower = self.follower(lone, settle_s=0.05)
         try:
@@ -236,7 +237,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_serves_on_through_a_partition_and_hears_of_news_from_a_router(self):
+    async def test_serves_through_a_partition_and_fetches_updates_from_a_router(self):
         replica, router = await self.source(2), await self.source(2, is_current=False)
         follower = self.follower(replica)
         try:
@@ -257,7 +258,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_leaves_a_replica_that_is_not_current_for_one_that_is(self):
+    async def test_switches_from_a_replica_that_is_not_current_to_one_that_is(self):
         stale, good = await self.source(2, is_current=False), await self.source(3)
         follower = self.follower(stale, good)
         try:
@@ -272,20 +273,20 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_source_with_another_key_is_not_believed(self):
-        liar = await self.source(50, verifier=CredulousVerifier("kl", "other"))
-        follower = self.follower(liar, peers=[liar], settle_s=0.05)
+    async def test_source_with_another_key_is_rejected(self):
+        untrusted = await self.source(50, verifier=PermissiveVerifier("kl", "other"))
+        follower = self.follower(untrusted, peers=[untrusted], settle_s=0.05)
         try:
             await follower.start()
-            follower.handle_revision_hint(liar.address, 50)
-            await until(lambda: liar.calls > 6)
+            follower.handle_revision_hint(untrusted.address, 50)
+            await until(lambda: untrusted.calls > 6)
             self.assertFalse(follower.is_ready)
             self.assertTrue(follower.may_be_behind)
         finally:
             await self.stop_all()
 
     @asyncio_test
-    async def test_passes_news_on_to_other_routers(self):
+    async def test_serves_updates_to_other_routers(self):
         replica = await self.source(6)
         first = self.follower(replica)
         try:
@@ -317,20 +318,20 @@
         self.assertIsNone(read_state_file(self.state_file))
 
     @asyncio_test
-    async def test_revision_is_in_force_only_once_it_is_kept(self):
+    async def test_revision_is_in_force_only_once_it_is_stored(self):
         replica = await self.source(3)
         follower = self.follower(replica, state_file=self.state_file)
-        may_write, asked = threading.Event(), []
+        may_write, requested = threading.Event(), []
 
-        def held_back(path, whole):
-            asked.append(whole.revision)
+        def blocked_write(path, configuration):
+            requested.append(configuration.revision)
             may_write.wait(DEADLINE_S)
-            write_state_file(path, whole)
+            write_state_file(path, configuration)
 
-        self.patch(follower_module, "write_state_file", held_back)
+        self.patch(follower_module, "write_state_file", blocked_write)
         try:
             await follower.start()
-            await until(lambda: asked == [3])
+            await until(lambda: requested == [3])
             replica.service.publish(revision(4))
             await asyncio.sleep(0.2)
             self.assertEqual((self.applied, follower.is_ready), ([], False))
@@ -344,7 +345,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_file_that_cannot_be_written_keeps_no_revision_from_being_enforced(self):
+    async def test_unwritable_state_file_does_not_prevent_enforcement(self):
         replica = await self.source(3)
         follower = self.follower(replica, state_file=self.state_file / "no" / "folder")
         try:
--- a/packages/router/src/damaskwind/router/membership/tests/test_codec.py
+++ b/packages/router/src/damaskwind/router/membership/tests/test_codec.py
@@ -41,8 +41,8 @@
     def datagram(self) -> bytes:
         return self.sender.encode(Ack(1, 2), 7)
 
-    def test_every_kind_comes_back_as_it_went(self):
-        news = News(
+    def test_every_kind_round_trips(self):
+        updates = News(
             (ROUTER,),
             tuple(target(index) for index in range(12)),
             (Tombstone("t", 1, 2, GoneReason.LEAVING, "d", 0.5),),
@@ -50,8 +50,8 @@
         )
         summary = Summary("d", 0.0, b"1234")
         messages = [
-            news,
-            Probe(1, 2, ROUTER, b"loads", b"", (summary,), news),
+            updates,
+            Probe(1, 2, ROUTER, b"loads", b"", (summary,), updates),
             Ack(1, 2),
             Sketch("d", b"12", b"12345678"),
             Custom("limits", b"payload"),
@@ -61,18 +61,18 @@
             self.assertEqual(received.message, message)
             self.assertEqual((received.sender_id, received.incarnation), ("a", 7))
 
-    def test_each_fault_has_its_name(self):
-        whole = self.datagram()
-        other = Codec("a", "elsewhere", "key").encode(Ack(1, 2), 7)
-        wrong = Codec("a", "cluster", "other key").encode(Ack(1, 2), 7)
-        flipped = whole[:-1] + bytes([whole[-1] ^ 1])
+    def test_each_fault_is_detected(self):
+        valid = self.datagram()
+        other_cluster = Codec("a", "elsewhere", "key").encode(Ack(1, 2), 7)
+        wrong_key = Codec("a", "cluster", "other key").encode(Ack(1, 2), 7)
+        flipped = valid[:-1] + bytes([valid[-1] ^ 1])
         faults = {
             b"": DatagramFault.TRUNCATED,
-            whole[:16]: DatagramFault.TRUNCATED,
-            whole[:-1]: DatagramFault.WRONG_KEY,
+            valid[:16]: DatagramFault.TRUNCATED,
+            valid[:-1]: DatagramFault.WRONG_KEY,
             flipped: DatagramFault.WRONG_KEY,
-            wrong: DatagramFault.WRONG_KEY,
-            other: DatagramFault.OTHER_CLUSTER,
+            wrong_key: DatagramFault.WRONG_KEY,
+            other_cluster: DatagramFault.OTHER_CLUSTER,
             bytes(1201): DatagramFault.OVERSIZED,
             self.receiver.encode(Ack(1, 2), 7): DatagramFault.ECHOED,
         }
@@ -83,7 +83,7 @@
         cluster = blake2b(b"cluster", digest_size=4).digest()
         return cluster + self.sender._tag(payload) + payload
 
-    def test_signed_nonsense_is_malformed(self):
+    def test_signed_garbage_is_malformed(self):
         encode = msgspec.msgpack.encode
         bomb = encode(zlib.compress(bytes(1 << 20)))
         cases = {
@@ -111,11 +111,11 @@
         self.receiver.decode(datagrams[-1])
         self.assertEqual(self.receiver.decode(datagrams[4]), DatagramFault.REPLAYED)
 
-    def test_a_restarted_sender_is_heard_and_its_former_life_is_not(self):
+    def test_a_restarted_sender_is_accepted_and_its_old_incarnation_is_not(self):
         old = [self.datagram() for _ in range(3)]
         self.receiver.decode(old[0])
-        reborn = Codec("a", "cluster", "key").encode(Ack(1, 2), 8)
-        self.assertEqual(self.receiver.decode(reborn).incarnation, 8)
+        restarted = Codec("a", "cluster", "key").encode(Ack(1, 2), 8)
+        self.assertEqual(self.receiver.decode(restarted).incarnation, 8)
         self.assertEqual(self.receiver.decode(old[1]), DatagramFault.OLD_INCARNATION)
 
     def test_a_message_too_large_is_not_encoded(self):
--- a/packages/router/src/damaskwind/router/membership/tests/test_node.py
+++ b/packages/router/src/damaskwind/router/membership/tests/test_node.py
@@ -20,20 +20,20 @@
 
 
 class Fleet:
-    """Nodes on one simulated clock, with a record of every byte a router moved."""
+    """Nodes on one simulated clock, with a record of the bytes each router sent or received."""
 
     def __init__(self, domains: list[str], parameters: MembershipParameters) -> None:
         self.now_s = 0.0
         self.nodes: dict[Address, GossipNode] = {}
-        self.moved: dict[Address, list[tuple[float, int]]] = defaultdict(list)
+        self.traffic: dict[Address, list[tuple[float, int]]] = defaultdict(list)
         self.gone: list[TargetGone] = []
         self._queue: list[tuple] = []
         self._order = itertools.count()
         seeds = (Address("10.0.0.0", 1), Address("10.0.0.1", 1))
         for index, domain in enumerate(domains):
             address = Address(f"10.0.0.{index}", 1)
-            me = RouterRecord(f"r-{index}", 1, RouterState.ALIVE, domain, address, address)
-            node = GossipNode(me, "c", "k", seeds, Random(index), 0.0, parameters)
+            own_record = RouterRecord(f"r-{index}", 1, RouterState.ALIVE, domain, address, address)
+            node = GossipNode(own_record, "c", "k", seeds, Random(index), 0.0, parameters)
             node.handler = self._handle
             self.nodes[address] = node
             self._push(index * 0.007, lambda a=address: self._tick(a))
@@ -47,22 +47,22 @@
 
     def _tick(self, address: Address) -> None:
         if address in self.nodes:
-            self._post(address, self.nodes[address].tick(self.now_s))
+            self._send(address, self.nodes[address].tick(self.now_s))
             self._push(self.now_s + TICK_S, lambda: self._tick(address))
 
-    def _post(self, source: Address, datagrams: list[Datagram]) -> None:
+    def _send(self, source: Address, datagrams: list[Datagram]) -> None:
         for payload, address in datagrams:
-            self._move(source, len(payload) + UDP_HEADER_BYTES)
+            self._count_bytes(source, len(payload) + UDP_HEADER_BYTES)
             action = lambda p=payload, a=address: self._deliver(source, p, a)  # noqa: E731
             self._push(self.now_s + DELAY_S, action)
 
     def _deliver(self, source: Address, payload: bytes, address: Address) -> None:
         if address in self.nodes:
-            self._move(address, len(payload) + UDP_HEADER_BYTES)
-            self._post(address, self.nodes[address].receive(payload, source, self.now_s))
+            self._count_bytes(address, len(payload) + UDP_HEADER_BYTES)
+            self._send(address, self.nodes[address].receive(payload, source, self.now_s))
 
-    def _move(self, address: Address, size_bytes: int) -> None:
-        self.moved[address].append((self.now_s, size_bytes))
+    def _count_bytes(self, address: Address, size_bytes: int) -> None:
+        self.traffic[address].append((self.now_s, size_bytes))
 
     def run(self, seconds: float) -> None:
         end_s = self.now_s + seconds
@@ -71,10 +71,10 @@
             action()
         self.now_s = end_s
 
-    def most_in(self, length_s: float, since_s: float) -> int:
-        """Return the most bytes that any router moved in a stretch of this length."""
-        most = 0
-        for entries in self.moved.values():
+    def max_bytes_in(self, length_s: float, since_s: float) -> int:
+        """Return the maximum traffic of any router in an interval of this length."""
+        highest = 0
+        for entries in self.traffic.values():
             entries = [entry for entry in entries if entry[0] >= since_s]
             start = total = 0
             for when_s, size in entries:
@@ -82,8 +82,8 @@
                 while entries[start][0] <= when_s - length_s:
                     total -= entries[start][1]
                     start += 1
-                most = max(most, total)
-        return most
+                highest = max(highest, total)
+        return highest
 
 
 class GossipNodeTest(TestCase):
@@ -93,15 +93,15 @@
         fleet.run(15.0)
         addresses = list(fleet.nodes)
         for index in range(250):
-            said = announcement(f"t-{index}", lease_s=6.0)
-            fleet.nodes[addresses[index % 6]].announce(said, 0, fleet.now_s)
+            message = announcement(f"t-{index}", lease_s=6.0)
+            fleet.nodes[addresses[index % 6]].announce(message, 0, fleet.now_s)
         fleet.run(5.0)
         failing_s = fleet.now_s
         for address in addresses[6:]:
             del fleet.nodes[address]
         for index in range(0, 250, 2):
-            said = announcement(f"t-{index}", sequence=2, state=TargetState.LEAVING)
-            fleet.nodes[addresses[index % 6]].announce(said, 0, fleet.now_s)
+            message = announcement(f"t-{index}", sequence=2, state=TargetState.LEAVING)
+            fleet.nodes[addresses[index % 6]].announce(message, 0, fleet.now_s)
         for _ in range(200):
             for address in addresses[:6]:
                 node = fleet.nodes[address]
@@ -109,12 +109,14 @@
                 node.send("limits", "r-1", bytes(600), Urgency.LIMITS, fleet.now_s)
             fleet.run(TICK_S)
         fleet.run(60.0)
-        held = [len(fleet.nodes[address].core.targets(fleet.now_s)) for address in addresses[:6]]
-        self.assertEqual(held, [0] * 6)
+        target_counts = [
+            len(fleet.nodes[address].core.targets(fleet.now_s)) for address in addresses[:6]
+        ]
+        self.assertEqual(target_counts, [0] * 6)
         self.assertGreaterEqual(len(fleet.gone), 250)
         for length_s in (1.0, 5.0, 20.0):
             bound = BUDGET * (length_s * FILL_SHARE + BURST_S + OVERDRAFT_S)
-            self.assertLessEqual(fleet.most_in(length_s, failing_s), bound)
+            self.assertLessEqual(fleet.max_bytes_in(length_s, failing_s), bound)
         survivors = [fleet.nodes[address] for address in addresses[:6]]
         self.assertEqual({len(node.core.router_table.ring("a")) for node in survivors}, {6})
 
@@ -123,28 +125,28 @@
         fleet.run(30.0)
         addresses = list(fleet.nodes)
         for index in range(30):
-            said = announcement(f"t-{index}", domain="abc"[index % 3], lease_s=60.0)
-            fleet.nodes[addresses[index % 3]].announce(said, 400, fleet.now_s)
+            message = announcement(f"t-{index}", domain="abc"[index % 3], lease_s=60.0)
+            fleet.nodes[addresses[index % 3]].announce(message, 400, fleet.now_s)
         fleet.run(40.0)
         cores = [node.core for node in fleet.nodes.values()]
         self.assertEqual({len(core.targets(fleet.now_s)) for core in cores}, {30})
         for index in range(30):
-            said = announcement(f"t-{index}", sequence=2, state=TargetState.LEAVING)
-            fleet.nodes[addresses[index % 8]].announce(said, 400, fleet.now_s)
+            message = announcement(f"t-{index}", sequence=2, state=TargetState.LEAVING)
+            fleet.nodes[addresses[index % 8]].announce(message, 400, fleet.now_s)
         fleet.run(2.0)
         self.assertEqual({len(core.targets(fleet.now_s)) for core in cores}, {0})
 
-    def test_other_parts_share_the_socket_by_kind(self):
+    def test_other_components_share_the_socket_by_kind(self):
         fleet = Fleet(["a"] * 2, MembershipParameters())
         fleet.run(10.0)
         first, second = fleet.nodes.values()
-        heard = []
-        second.register_kind("limits", lambda *call: heard.append(call))
+        received = []
+        second.register_kind("limits", lambda *call: received.append(call))
         self.assertTrue(first.send("limits", "r-1", b"share", Urgency.LIMITS, fleet.now_s))
         self.assertTrue(first.send("unknown", "r-1", b"share", Urgency.LIMITS, fleet.now_s))
         self.assertFalse(first.send("limits", "r-9", b"share", Urgency.LIMITS, fleet.now_s))
         with self.assertRaises(MessageError):
             first.send("limits", "r-1", bytes(2000), Urgency.LIMITS, fleet.now_s)
         fleet.run(1.0)
-        self.assertEqual(heard, [("r-0", b"share")])
+        self.assertEqual(received, [("r-0", b"share")])
         self.assertEqual(second.faults.total(), 1)
--- a/packages/router/src/damaskwind/router/membership/tests/test_service.py
+++ b/packages/router/src/damaskwind/router/membership/tests/test_service.py
@@ -58,18 +58,18 @@
             yield deferLater(reactor, STEP_S)
         self.fail(f"not in {DEADLINE_S} s: {what}")
 
-    def everyone_knows(self, count: int) -> Deferred:
+    def wait_for_routers(self, count: int) -> Deferred:
         return self.until(
             lambda: all(len(service.routers()) == count for service in self.services),
             "all routers know each other",
         )
 
     @inlineCallbacks
-    def test_routers_find_each_other_and_pass_on_a_target_and_its_leave(self):
+    def test_routers_find_each_other_and_gossip_a_target_and_its_leave(self):
         self.start(4)
         gone = []
         self.services[3].subscribe(gone.append)
-        yield self.everyone_knows(4)
+        yield self.wait_for_routers(4)
         self.assertTrue(self.services[0].announce(announcement(1), 400).accepted)
         yield self.until(
             lambda: all(service.targets() for service in self.services),
@@ -87,18 +87,18 @@
     @inlineCallbacks
     def test_other_kinds_spills_and_revisions_travel_on_the_same_socket(self):
         self.start(2, "a")
-        heard = []
+        received = []
         events = []
-        self.services[1].register_kind("limits", lambda *call: heard.append(call))
+        self.services[1].register_kind("limits", lambda *call: received.append(call))
         self.services[1].subscribe(events.append)
-        yield self.everyone_knows(2)
+        yield self.wait_for_routers(2)
         self.assertTrue(self.services[0].send("limits", "router-1", b"share", Urgency.LIMITS))
         self.assertFalse(self.services[0].send("limits", "nobody", b"share", Urgency.LIMITS))
         self.services[0].publish_revision(7)
         self.services[1].announce(announcement(1), 400)
         self.services[0].publish_spills([SpillNote("00a0abc", "target-1")])
-        yield self.until(lambda: heard, "the datagram arrives")
-        self.assertEqual(heard, [("router-0", b"share")])
+        yield self.until(lambda: received, "the datagram arrives")
+        self.assertEqual(received, [("router-0", b"share")])
         yield self.until(
             lambda: any(getattr(event, "revision", 0) == 7 for event in events)
             and any(
@@ -110,17 +110,17 @@
     @inlineCallbacks
     def test_a_router_that_stops_is_gone_at_once(self):
         self.start(3, "a")
-        yield self.everyone_knows(3)
+        yield self.wait_for_routers(3)
         stopped = self.services.pop()
         yield stopped.stop()
-        yield self.everyone_knows(2)
+        yield self.wait_for_routers(2)
 
     @inlineCallbacks
     def test_garbage_is_counted_and_a_failing_subscriber_does_no_harm(self):
         self.start(2, "a")
         self.services[0].subscribe(lambda event: 1 / 0)
         self.services[1]._listener.write(b"garbage" * 10, tuple(self.addresses[0]))
-        yield self.everyone_knows(2)
+        yield self.wait_for_routers(2)
         yield self.until(
             lambda: self.services[0].counters().get("faults.other_cluster"), "garbage is counted"
         )
--- a/packages/router/src/damaskwind/router/tests/bench.py
+++ b/packages/router/src/damaskwind/router/tests/bench.py
@@ -1,4 +1,4 @@
-"""Start a router with stand-ins in this process, for the tests."""
+"""Start a router with stand-in targets in this process, for tests."""
 
 import asyncio
 import os
@@ -45,7 +45,7 @@
 
 
 def hash_of(key: str) -> str:
-    """Return the hash under which a key is kept."""
+    """Return the hash under which a key is stored."""
     return sha256(key.encode()).hexdigest()
 
 
@@ -122,7 +122,7 @@
         engine_fields: dict[str, Any] | None = None,
         **router: Any,
     ) -> "TestBench":
-        """Start everything and wait until the router knows the targets."""
+        """Start the router and the targets, and wait until the router knows all targets."""
         self.router = await start_router(make_settings(**router), reactor)
         self.router.apply(configuration or make_configuration())
         announce = AnnounceSettings((str(self.router.http_address),), ANNOUNCE_KEY, 0.2, 2.0)
@@ -142,20 +142,20 @@
         return self
 
     async def start_peer(self, node_id: str, **router: Any) -> RouterProcess:
-        """Start one more router and wait until it is ready and knows the targets."""
+        """Start another router and wait until it is ready and knows all targets."""
         seeds = (str(self.router.links.datagram_address),)
         peer = await start_router(make_settings(node_id, seeds=seeds, **router), reactor)
         self.peers.append(peer)
         peer.apply(self.router.gateway.configuration)
         known = len(self.router.directory.views())
         await self.until(lambda: len(peer.directory.views()) == known)
-        # A router that starts beside others is ready after one lease of the limits.
+        # A router that joins others becomes ready after one lease of the account limits.
         await self.until(lambda: not peer.not_ready(), limit_s=15)
         return peer
 
     @property
     def url(self) -> str:
-        """Return where the router is."""
+        """Return the base URL of the router."""
         return f"http://{self.router.http_address}"
 
     async def until(self, condition: Any, limit_s: float = 10.0) -> None:
@@ -163,11 +163,11 @@
         deadline_s = reactor.seconds() + limit_s
         while not condition():
             if reactor.seconds() > deadline_s:
-                raise AssertionError("the condition did not come true in time")
+                raise AssertionError("the condition did not become true in time")
             await asyncio.sleep(0.005)
 
     def stopped(self) -> Any:
-        """Return a Deferred that fires when everything has stopped, for a test's clean-up."""
+        """Return a Deferred that fires when everything has stopped, for test clean-up."""
         return to_deferred(self.stop())
 
     async def stop(self) -> None:
--- a/packages/router/src/damaskwind/router/tests/request_fuzzing.py
+++ b/packages/router/src/damaskwind/router/tests/request_fuzzing.py
@@ -1,4 +1,4 @@
-"""Run histories of requests from a seed, also with bugs that are put in on purpose."""
+"""Run random histories of requests from a seed, optionally with an injected bug."""
 
 from damaskwind.router import dispatcher as dispatcher_module
 from damaskwind.router.placing import Placing
@@ -12,18 +12,18 @@
 
 
 def run_batch(seed, histories):
-    """Run so many histories; without a seed the same ones every time."""
+    """Run a number of histories; without a seed they are the same every time."""
     run_machine(RequestsAgainstCounts, STEPS, seed, histories)
 
 
 def _resend(verdict, idempotent, *others):
-    """Decide as if every request were idempotent."""
+    """Decide on a retry as if every request were idempotent."""
     return _DECIDE(verdict, True, *others)
 
 
 _DECIDE = dispatcher_module.decide_retry
 
-# Bugs to put in on purpose: the run has to find each of them.
+# Bugs to inject; the run must detect each of them.
 SEEDED_BUGS = {
     "resend_what_may_have_run": SeededBug(dispatcher_module, "decide_retry", _resend),
     "last_verdict_counts": SeededBug(
@@ -38,6 +38,6 @@
 
 
 def fuzz_requests(seed, seconds, histories, bug=None):
-    """Run histories until the time or the count is used up, or one fails."""
+    """Run histories until the time or the count is exhausted, or until one fails."""
     with seeded_bug(SEEDED_BUGS, bug):
         return fuzz_histories(RequestsAgainstCounts, STEPS, seed, seconds, histories)
--- a/packages/router/src/damaskwind/router/tests/request_histories.py
+++ b/packages/router/src/damaskwind/router/tests/request_histories.py
@@ -1,9 +1,9 @@
-"""Histories of requests through the router's dispatcher, against the targets' own counts.
+"""Random histories of requests through the dispatcher, checked against run counts at targets.
 
-Targets join, leave and fail in every way that a request can; callers ask, wait
-in the queue and go away, by a clock that the history moves. A request must be
-answered whole to whom it belongs or refused truthfully, run at most once unless
-it is idempotent, and go to no target that has left.
+Targets join, leave and fail in every way that an attempt can. Callers send requests,
+wait in the queue and disconnect, on a clock that the history advances. Each request must
+get its own complete answer or a refusal with a correct verdict, run at most once unless
+it is idempotent, and never go to a target that has left.
 """
 
 from collections import Counter
@@ -73,7 +73,7 @@
     signals: AnswerSignals = NO_SIGNALS
 
 
-# An attempt that answers is reported nothing yet: its answer may still be cut.
+# An attempt that answers has no verdict yet, because its answer may still be cut.
 FATES = {
     "connection refused": Fate(False, Verdict.NOT_RUN),
     "target refuses": Fate(False, Verdict.NOT_RUN),
@@ -88,17 +88,17 @@
 
 
 class NoLimits:
-    """Account limits that admit everything."""
+    """Account limits that admit every request."""
 
     async def admit(self, work):
-        """Admit."""
+        """Admit the request."""
 
     def release(self, work, used_tokens):
-        """Take nothing back."""
+        """Do nothing, since nothing was reserved."""
 
 
 class FakeRequest:
-    """A caller's request, as far as `Caller` asks."""
+    """A caller's request with the attributes that `Caller` uses."""
 
     channel = None
 
@@ -110,7 +110,7 @@
 
 
 class Answer(NamedTuple):
-    """What a target answers: whose answer it is, who gave it, and its head."""
+    """The answer of a target: the request that it belongs to, the target, and its head."""
 
     request_id: str
     target_id: str
@@ -119,7 +119,7 @@
 
 
 class Attempt(NamedTuple):
-    """An attempt that the history has not ended yet."""
+    """An attempt that is still in progress."""
 
     asked: "TrackedRequest"
     target_id: str
@@ -128,7 +128,7 @@
 
 
 class TrackedRequest:
-    """A request and what the oracle knows of it."""
+    """A request and the state that the oracle tracks for it."""
 
     def __init__(self, work, request):
         self.work = work
@@ -141,7 +141,7 @@
 
 
 class RequestsAgainstCounts(RuleBasedStateMachine):
-    """The dispatcher with all its parts, and targets that count."""
+    """The dispatcher with all its components, and targets that count runs."""
 
     made = 0
 
@@ -177,7 +177,7 @@
         self.attempts = []
         self.asked = []
         self.at_target = Counter()
-        # What went wrong inside a Deferred, where an exception would be lost.
+        # Failures detected inside a Deferred, where an exception would be lost.
         self.faults = []
         for name in TARGETS[:2]:
             self.join(name)
@@ -207,7 +207,7 @@
 
     @rule(name=st.sampled_from(TARGETS), reason=st.sampled_from(list(GoneReason)))
     def leave(self, name, reason):
-        """Let a target leave or lapse; its work in progress goes on."""
+        """Let a target leave or its lease expire; its requests in progress continue."""
         self.present.discard(name)
         self.directory.handle_event(TargetGone(name, reason))
 
@@ -215,7 +215,7 @@
 
     @rule(idempotent=st.booleans(), chat=st.integers(0, 5))
     def ask(self, idempotent, chat):
-        """Begin a request."""
+        """Start a request."""
         request_id = f"r.{len(self.asked)}"
         digest = xxhash.xxh3_128_hexdigest(str(chat).encode())
         request = FakeRequest()
@@ -240,7 +240,7 @@
         )
 
     async def send(self, asked, view):
-        """Take an attempt at a target and leave its end to the history."""
+        """Check an attempt at a target, and leave it open until the history ends it."""
         asked.attempts += 1
         self.at_target[view.target_id] += 1
         if view.target_id not in self.present:
@@ -266,7 +266,7 @@
         asked.answer = answer
 
     def refused(self, asked, why):
-        """Hold a refusal against the count."""
+        """Record a refusal, or a fault if the request failed in another way."""
         asked.is_over = True
         if why.check(RefusedError):
             asked.refusal = why.value.refusal
@@ -274,7 +274,7 @@
             self.faults.append(f"{asked.work.request_id}: {why.getErrorMessage()}")
 
     def end(self, attempt, fate):
-        """End an attempt."""
+        """End an attempt with the given result."""
         self.attempts.remove(attempt)
         self.at_target[attempt.target_id] -= 1
         attempt.asked.runs += fate.runs
@@ -292,7 +292,7 @@
         )
 
     def record_signals(self, attempt, signals):
-        """Hold the router to what a target asked for."""
+        """Record the signals of a target, which the router must respect."""
         incarnation = (attempt.target_id, attempt.incarnation)
         until_s = self.clock.seconds() + signals.rest_s
         self.paused_until_s[incarnation] = max(self.paused_until_s[incarnation], until_s)
@@ -302,7 +302,7 @@
     @precondition(lambda self: self.attempts)
     @rule(data=st.data(), fate=st.sampled_from(sorted(FATES)))
     def end_attempt(self, data, fate):
-        """Let one of the attempts end in some way."""
+        """End one of the attempts with any result."""
         self.end(data.draw(st.sampled_from(self.attempts)), FATES[fate])
 
     @rule(
@@ -310,7 +310,7 @@
         fates=st.lists(st.sampled_from(sorted(FATES)), min_size=2, max_size=3),
     )
     def ask_and_fail(self, idempotent, fates):
-        """Begin a request and end one attempt of it after the other."""
+        """Start a request and end its attempts one after the other."""
         self.ask(idempotent, 0)
         for fate in fates:
             mine = [one for one in self.attempts if one.asked is self.asked[-1]]
@@ -319,13 +319,13 @@
                 self.clock.pump([PUMP_S] * 4)
 
     def open_answers(self):
-        """Return the requests whose answers are on their way."""
+        """Return the requests whose answers are in progress."""
         return [asked for asked in self.asked if asked.answer and not asked.is_over]
 
     @precondition(lambda self: self.open_answers())
     @rule(data=st.data(), whole=st.booleans())
     def end_answer(self, data, whole):
-        """Let an answer end in order, or cut."""
+        """Let an answer end complete or cut."""
         asked = data.draw(st.sampled_from(self.open_answers()))
         verdict = Verdict.RAN if whole else Verdict.MAY_HAVE_RUN
         self.dispatcher.finish(asked.work, asked.answer, verdict)
@@ -334,7 +334,7 @@
     @precondition(lambda self: any(not asked.is_over for asked in self.asked))
     @rule(data=st.data(), ran=st.booleans())
     def caller_leaves(self, data, ran):
-        """Let a caller go away; an attempt under way is given up, run or not."""
+        """Let a caller disconnect; its attempt in progress is cancelled, run or not."""
         asked = data.draw(st.sampled_from([one for one in self.asked if not one.is_over]))
         if not asked.request.finished.called:
             asked.request.finished.errback(ConnectionError("gone"))
@@ -346,7 +346,7 @@
         """Let time pass."""
         self.clock.pump([PUMP_S] * pumps)
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
     def nothing_went_wrong(self):
@@ -367,7 +367,7 @@
                 assert not (not_run and asked.runs), f"{asked.work.request_id} ran, told not-run"
 
     def teardown(self):
-        """Let every attempt fail and time run out: each request must have come to an end."""
+        """Fail every attempt and let all deadlines pass: each request must have ended."""
         for _ in range(POLICY.max_attempts + 1):
             for attempt in list(self.attempts):
                 self.end(attempt, FATES["reset after it ran"])
--- a/packages/router/src/damaskwind/router/tests/test_answer_body.py
+++ b/packages/router/src/damaskwind/router/tests/test_answer_body.py
@@ -1,4 +1,4 @@
-"""Tests of targets that begin an answer and then send no more."""
+"""Tests of targets that start an answer and then stall."""
 
 import treq
 from twisted.internet import reactor
@@ -13,7 +13,7 @@
 
 
 class HalfAnswer(Protocol):
-    """A target that sends half a body and then nothing."""
+    """A target that sends half a body and then stalls."""
 
     def dataReceived(self, data):  # noqa: N802
         self.factory.connections.append(self.transport)
@@ -21,7 +21,7 @@
 
 
 def announcement_of(port):
-    """Return what a plain service on a port would announce."""
+    """Return the announcement of a plain service on a port."""
     return TargetAnnouncement(
         target_id="half",
         incarnation=1,
@@ -61,7 +61,7 @@
         return record
 
     @asyncio_test
-    async def test_answer_that_stalls_may_have_run_and_is_counted_out(self):
+    async def test_stalled_answer_may_have_run_and_frees_its_slot(self):
         bench = await self.start()
         response = await to_future(self.ask(bench, 0.3))
         verdict = response.headers.getRawHeaders("x-verdict")
@@ -69,7 +69,7 @@
         self.assertFalse(bench.router.placing.in_flight)
 
     @asyncio_test
-    async def test_caller_that_leaves_a_stalled_answer_may_have_run(self):
+    async def test_stalled_answer_of_a_disconnected_caller_may_have_run(self):
         bench = await self.start()
         asking = self.ask(bench, 20)
         asking.addErrback(lambda failure: None)
--- a/packages/router/src/damaskwind/router/tests/test_chats.py
+++ b/packages/router/src/damaskwind/router/tests/test_chats.py
@@ -117,7 +117,7 @@
         self.assertEqual(response.code, 401)
 
     @asyncio_test
-    async def test_chat_that_went_home_is_explained_by_its_pool(self):
+    async def test_chat_placed_at_its_home_is_explained_with_its_pool(self):
         bench = await self.bench(engines=6)
         fields = {"model": "damask", "messages": MESSAGES, "max_tokens": 2}
         response, _ = await self.raw(bench, "/v1/chat/completions", json=fields)
@@ -135,11 +135,11 @@
             self.assertGreaterEqual(target["estimated_load_tokens"], 0)
 
     @asyncio_test
-    async def test_reset_after_read_is_never_sent_again(self):
+    async def test_reset_after_read_is_never_retried(self):
         bench = await self.bench(engines=2)
         for engine in bench.engines:
             engine.faults.arm(Fault.RESET_AFTER_READ, 1)
-        # The client must not send it again either, as it does by itself on other 5xx.
+        # The client must not retry it either, as it does by default on other 5xx.
         client = bench.client.with_options(max_retries=2)
         with self.assertRaises(APIStatusError) as caught:
             await client.chat.completions.create(model="damask", messages=MESSAGES)
@@ -156,7 +156,7 @@
         self.assertEqual(caught.exception.response.headers["x-verdict"], "not-run")
 
     @asyncio_test
-    async def test_cut_stream_is_resumed_and_whole(self):
+    async def test_cut_stream_is_resumed_and_complete(self):
         bench = await self.bench()
         bench.engines[0].faults.arm(Fault.CUT_ANSWER, 1)
         self.assertEqual((await read_stream(bench.client))[0], EXPECTED)
@@ -173,7 +173,7 @@
             self.assertEqual(caught.exception.code, "answer_cut")
 
     @asyncio_test
-    async def test_others_answer_is_never_delivered(self):
+    async def test_answer_of_another_request_is_never_delivered(self):
         bench = await self.bench()
         for stream in (False, True):
             bench.engines[0].faults.arm(Fault.OTHERS_ID, 1)
@@ -205,7 +205,7 @@
                     model="damask", messages=MESSAGES
                 )
             except APIStatusError as error:
-                # The late answer came in place of this request's own.
+                # The late answer arrived instead of this request's own answer.
                 self.assertEqual(error.response.headers["x-verdict"], "may-have-run")
                 continue
             served += 1
@@ -213,7 +213,7 @@
         self.assertGreater(served, 6)
 
     @asyncio_test
-    async def test_caller_that_leaves_cancels_at_the_engine(self):
+    async def test_disconnected_caller_cancels_at_the_engine(self):
         bench = await self.bench(engine_fields={"token_interval_s": 0.02})
         stream = await bench.client.chat.completions.create(
             model="damask", messages=MESSAGES, stream=True, max_tokens=5000
--- a/packages/router/src/damaskwind/router/tests/test_event_stream.py
+++ b/packages/router/src/damaskwind/router/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Tests of what passes of a stream, and how its tokens are counted."""
+"""Tests of which events of a stream are forwarded and how its tokens are counted."""
 
 import json
 from unittest import TestCase
@@ -7,7 +7,7 @@
 
 
 def event(delta, finish_reason=None, **extra):
-    """Return one event as engines write it."""
+    """Return one event in the format of engines."""
     choice = {"index": 0, "delta": delta, "finish_reason": finish_reason}
     return b"data: " + json.dumps({"choices": [choice], **extra}).encode() + b"\n\n"
 
@@ -21,7 +21,7 @@
 
 
 class EventScannerTest(TestCase):
-    def test_any_cut_into_pieces_gives_the_same(self):
+    def test_result_does_not_depend_on_chunk_boundaries(self):
         for size in range(1, len(WHOLE)):
             scanner = EventScanner(keep_usage=False)
             passed = b"".join(
@@ -32,10 +32,10 @@
             self.assertEqual(scanner.usage, {"total_tokens": 7})
             self.assertTrue(scanner.end(True))
 
-    def test_usage_passes_when_asked_for(self):
+    def test_usage_is_forwarded_if_requested(self):
         self.assertEqual(EventScanner(keep_usage=True).feed(WHOLE), WHOLE)
 
-    def test_half_an_event_never_passes_and_is_dropped_at_a_resume(self):
+    def test_partial_event_is_not_forwarded_and_is_dropped_at_a_resume(self):
         scanner = EventScanner(keep_usage=False)
         half = TOKENS[1][:-3]
         self.assertEqual(scanner.feed(TOKENS[0] + half), TOKENS[0])
@@ -44,7 +44,7 @@
         self.assertEqual(scanner.feed(TOKENS[1]), TOKENS[1])
         self.assertEqual(scanner.delivered_tokens, 2)
 
-    def test_nothing_passes_after_the_end_marker(self):
+    def test_nothing_is_forwarded_after_the_end_marker(self):
         scanner = EventScanner(keep_usage=False)
         self.assertEqual(scanner.feed(DONE + TOKENS[0]), DONE)
         self.assertEqual(scanner.feed(TOKENS[0]), b"")
--- a/packages/router/src/damaskwind/router/tests/test_failure_domains.py
+++ b/packages/router/src/damaskwind/router/tests/test_failure_domains.py
@@ -1,4 +1,4 @@
-"""Tests of the failure domains that a router's settings name."""
+"""Tests of the failure domains that are derived from a router's settings."""
 
 from unittest import TestCase
 
@@ -25,12 +25,12 @@
     def settings(self, **more):
         return check_settings({"node": NODE, "router": {**ROUTER, **more}})
 
-    def test_without_a_list_the_replicas_name_them(self):
+    def test_without_a_list_the_replicas_define_them(self):
         settings = self.settings()
         self.assertEqual(all_failure_domains(settings), ("a", "b"))
         self.assertEqual(near_failure_domains(settings), ("a", "b"))
 
-    def test_lists_count_and_the_own_one_always_belongs(self):
+    def test_lists_are_used_and_always_include_the_own_domain(self):
         settings = self.settings(failure_domains=["b", "c"], near_failure_domains=["c"])
         self.assertEqual(all_failure_domains(settings), ("a", "b", "c"))
         self.assertEqual(near_failure_domains(settings), ("a", "c"))
--- a/packages/router/src/damaskwind/router/tests/test_fleet.py
+++ b/packages/router/src/damaskwind/router/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of two routers together: keys, news of targets, explain."""
+"""Tests of two routers together: idempotency keys, target updates and explain."""
 
 import json
 
@@ -59,7 +59,7 @@
         return response.headers.getRawHeaders("x-verdict")[0]
 
     @asyncio_test
-    async def test_keys_news_and_explain_across_routers(self):
+    async def test_keys_target_updates_and_explain_across_routers(self):
         bench, peer = await self.start()
         oracle = bench.services[0].oracle
         first, body = await self.migrate(0, "k1")
--- a/packages/router/src/damaskwind/router/tests/test_front.py
+++ b/packages/router/src/damaskwind/router/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Tests of callers that are slow, targets that announce, queues and the drain."""
+"""Tests of slow callers, announcements of targets, queues and the drain."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
 
 
 class RawCaller(Protocol):
-    """A caller that writes what the test says."""
+    """A caller that writes raw bytes given by the test."""
 
     def __init__(self):
         self.received = b""
@@ -96,12 +96,12 @@
         await bench.until(lambda: bench.router.gateway.in_progress == 0)
         self.assertFalse(bench.router.placing.in_flight)
         self.assertEqual(record.ended["verdict"], "may-have-run")
-        # An answer would mean that the call's own time limit ended it, much later.
+        # An answer would mean that the call's own timeout ended it, much later.
         self.assertEqual(caller.received, b"")
         self.assertEqual(bench.services[0].oracle.events["run"], 0)
 
     @asyncio_test
-    async def test_upload_that_keeps_coming_outlives_the_stall_limit(self):
+    async def test_upload_that_makes_progress_is_not_cut_by_the_stall_limit(self):
         bench = await self.bench(services=1, body_timeout_s=1.0)
         caller = await self.raw_caller(bench)
         head = f"POST /services/edge-api/migrate HTTP/1.1\r\nhost: x\r\n{AUTHORIZATION}\r\n"
@@ -120,8 +120,8 @@
         caller.transport.pauseProducing()
         caller.transport.write(chat_bytes(stream=True, max_tokens=99_999))
         await bench.until(lambda: bench.router.gateway.in_progress == 1)
-        # All that the system takes for a caller has to be made first, a token in each turn of the
-        # loop; 99,999 tokens take longer than this wait.
+        # The socket buffers towards the caller have to fill up first, by one token in each
+        # iteration of the event loop. 99,999 tokens take longer than this wait.
         await bench.until(lambda: bench.router.gateway.in_progress == 0, 45)
         await bench.until(lambda: bench.engines[0].is_idle)
 
@@ -162,8 +162,8 @@
         self.assertGreaterEqual(int(headers["retry-after"]), 1)
         status, _ = await self.ask(bench, "GET", "/services/edge-api/status", ACCOUNT_KEY)
         self.assertEqual(status, 200)
-        for one in running:
-            one.cancel()
+        for task in running:
+            task.cancel()
         await bench.until(lambda: not bench.router.placing.in_flight)
         self.assertEqual((await self.create(bench, max_tokens=1)).usage.completion_tokens, 1)
 
@@ -182,11 +182,11 @@
         self.assertEqual(headers["x-verdict"], "not-run")
         self.assertGreaterEqual(int(headers["retry-after"]), 1)
         self.assertLess(reactor.seconds() - started_s, 5)
-        for one in running:
-            one.cancel()
+        for task in running:
+            task.cancel()
 
     @asyncio_test
-    async def test_queued_request_runs_when_room_appears(self):
+    async def test_queued_request_runs_when_capacity_is_free(self):
         fields = {"capacity_tokens": 300, "token_interval_s": 0.002}
         configuration = make_configuration(queue_timeout_s=20.0)
         bench = await self.bench(engine_fields=fields, configuration=configuration)
--- a/packages/router/src/damaskwind/router/tests/test_request_fuzzing.py
+++ b/packages/router/src/damaskwind/router/tests/test_request_fuzzing.py
@@ -1,4 +1,4 @@
-"""Tests by histories: requests through the dispatcher against the targets' counts."""
+"""Randomized tests of the dispatcher against the run counts of its targets."""
 
 from unittest import TestCase
 
@@ -9,7 +9,7 @@
 
 
 class RequestHistoriesTest(TestCase):
-    def test_answered_whole_or_refused_truthfully_and_at_most_once(self):
+    def test_requests_are_answered_or_refused_correctly_and_run_at_most_once(self):
         run_batch(None, HISTORIES)
 
     def test_every_seeded_bug_is_found(self):
--- a/packages/router/src/damaskwind/router/tests/test_services.py
+++ b/packages/router/src/damaskwind/router/tests/test_services.py
@@ -27,7 +27,7 @@
 
 @implementer(IBodyProducer)
 class SlowBody:
-    """A body whose pieces the test hands over one by one."""
+    """A body whose pieces the test writes one by one."""
 
     def __init__(self):
         self.length = UNKNOWN_LENGTH
@@ -65,7 +65,7 @@
         return response.headers.getRawHeaders(name, [None])[0]
 
     @asyncio_test
-    async def test_every_method_and_path_as_it_came(self):
+    async def test_every_method_and_path_is_forwarded_unchanged(self):
         bench = await self.bench()
         for method in ("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"):
             response, body = await self.call(bench, method, "/a%20b//c?x=1&y=%2F", data=b"in")
@@ -88,7 +88,7 @@
         self.assertEqual(bench.services[0].oracle.events["run"], 1)
 
     @asyncio_test
-    async def test_body_is_passed_on_while_it_arrives(self):
+    async def test_body_is_streamed_while_it_arrives(self):
         bench = await self.bench()
         body = SlowBody()
         pool = HTTPConnectionPool(reactor, persistent=False)
@@ -108,7 +108,7 @@
         )
 
     @asyncio_test
-    async def test_begun_body_goes_to_no_other_target(self):
+    async def test_started_body_is_not_sent_to_another_target(self):
         bench = await self.bench(services=2)
         for service in bench.services:
             service.faults.arm(Fault.REFUSE, 1)
@@ -117,7 +117,7 @@
         self.assertEqual(sum(s.oracle.events["refused"] for s in bench.services), 1)
 
     @asyncio_test
-    async def test_calls_over_a_targets_limit_wait_for_their_turn(self):
+    async def test_calls_over_a_targets_limit_are_queued(self):
         configuration = make_configuration()
         service = configuration.services["edge-api"]._replace(max_concurrent_requests=1)
         services = {**configuration.services, "edge-api": service}
@@ -127,7 +127,7 @@
         self.assertEqual({response.code for response, _ in answers}, {200})
 
     @asyncio_test
-    async def test_caller_that_leaves_the_queue_after_a_failed_attempt_may_have_run(self):
+    async def test_caller_that_disconnects_in_the_queue_after_a_failed_attempt_may_have_run(self):
         configuration = make_configuration()
         service = configuration.services["edge-api"]._replace(max_concurrent_requests=1)
         services = {**configuration.services, "edge-api": service}
@@ -136,8 +136,8 @@
         )
         slow = asyncio.ensure_future(self.call(bench, "GET", "/status?delay_s=3"))
         await bench.until(lambda: sum(s.oracle.events["run"] for s in bench.services) == 1)
-        for one in bench.services:
-            one.faults.arm(Fault.RESET_AFTER_READ, 1)
+        for target in bench.services:
+            target.faults.arm(Fault.RESET_AFTER_READ, 1)
         headers = {"authorization": f"Bearer {ACCOUNT_KEY}"}
         url = f"{bench.url}/services/edge-api/status"
         asking = treq.get(url, headers=headers, persistent=False)
@@ -162,7 +162,7 @@
         self.assertEqual(bench.services[0].oracle.events["run"], 0)
 
     @asyncio_test
-    async def test_idempotent_call_is_sent_again(self):
+    async def test_idempotent_call_is_retried(self):
         bench = await self.bench(services=2)
         for _ in range(3):
             bench.services[0].faults.arm(Fault.RESET_AFTER_READ, 1)
@@ -170,7 +170,7 @@
             self.assertEqual(response.code, 200)
 
     @asyncio_test
-    async def test_other_call_runs_at_most_once(self):
+    async def test_non_idempotent_call_runs_at_most_once(self):
         bench = await self.bench(services=2)
         for service in bench.services:
             service.faults.arm(Fault.RESET_AFTER_READ, 1)
@@ -180,7 +180,7 @@
         self.assertEqual(sum(s.oracle.events["run"] for s in bench.services), 1)
 
     @asyncio_test
-    async def test_cut_crossed_or_short_answer_is_not_passed_on(self):
+    async def test_cut_mismatched_or_short_answer_is_not_forwarded(self):
         bench = await self.bench()
         for fault in (Fault.CUT_ANSWER, Fault.WRONG_LENGTH, Fault.OTHERS_ID):
             bench.services[0].faults.arm(fault, 1)
@@ -191,7 +191,7 @@
         with self.assertRaises(ResponseFailed):
             await self.call(bench, "POST", "/migrate?size_bytes=500000", data=b"x")
 
-    def test_longest_prefix_wins_and_odd_paths_are_never_idempotent(self):
+    def test_longest_prefix_wins_and_ambiguous_paths_are_never_idempotent(self):
         routes = (
             ServiceRoute("/a", ("GET", "POST"), False),
             ServiceRoute("/a/b", ("GET",), True),
--- a/packages/router/src/damaskwind/router/tests/test_target_client.py
+++ b/packages/router/src/damaskwind/router/tests/test_target_client.py
@@ -18,7 +18,7 @@
 
 
 def answer(body):
-    """Return a whole HTTP answer."""
+    """Return a complete HTTP answer."""
     return b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(body), body)
 
 
@@ -71,11 +71,11 @@
         self.assertEqual(await self.exchange(connection, self.send(), b"two"), b"two")
 
     @asyncio_test
-    async def test_unread_late_answer_never_meets_the_next_request(self):
+    async def test_late_answer_is_not_taken_for_the_next_one(self):
         sending = self.send()
         connection = await self.accept()
         await self.exchange(connection, sending, b"one")
-        # No turn of the loop lies between the late bytes and the next request.
+        # The event loop does not run between the late bytes and the next request.
         connection.sendall(answer(b"late"))
         sending = self.send()
         self.assertEqual(await self.exchange(await self.accept(), sending, b"two"), b"two")
--- a/packages/router/src/damaskwind/router/tests/test_target_signals.py
+++ b/packages/router/src/damaskwind/router/tests/test_target_signals.py
@@ -1,4 +1,4 @@
-"""Targets that ask for rest, or say in answers that they leave, get no chat and no call."""
+"""Tests that targets which ask for a pause or announce leaving get no new requests."""
 
 import asyncio
 import json
@@ -10,8 +10,8 @@
 from damaskwind.router.tests.bench import ACCOUNT_KEY, OPERATOR_KEY, TestBench
 from damaskwind.runtime.bridge import asyncio_test, to_future
 
-CHAT = "/v1/chat/completions"
-CALL = "/services/edge-api/status"
+CHAT_PATH = "/v1/chat/completions"
+CALL_PATH = "/services/edge-api/status"
 REST_S = 1.5
 
 
@@ -33,13 +33,13 @@
     async def chat(self, bench, text="which laptops are due?"):
         messages = [{"role": "user", "content": text}]
         fields = {"model": "damask", "messages": messages, "max_tokens": 2}
-        return (await self.ask(bench, CHAT, "POST", json=fields))[0]
+        return (await self.ask(bench, CHAT_PATH, "POST", json=fields))[0]
 
     async def call(self, bench):
-        return (await self.ask(bench, CALL))[0]
+        return (await self.ask(bench, CALL_PATH))[0]
 
     async def check_one_pauses(self, bench, targets, ask):
-        """Let one target ask for rest; all are served, and it is left alone for that time."""
+        """Let one target ask for a pause; all requests are served by others meanwhile."""
         pausing = targets[0]
         pausing.asks_rest_s = REST_S
         statuses = [(await ask(bench)).code for _ in range(30)]
@@ -52,7 +52,7 @@
         self.assertGreater(pausing.oracle.events["run"], 0)
 
     async def check_all_pause(self, bench, targets, ask):
-        """Let all ask for rest; callers are refused at once and told until when."""
+        """Let all targets ask for a pause; callers are refused immediately with Retry-After."""
         for target in targets:
             target.asks_rest_s = REST_S
         await ask(bench)
@@ -67,7 +67,7 @@
         self.assertEqual(sum(target.oracle.events["refused"] for target in targets), refused)
 
     async def check_one_leaves(self, bench, targets, ask):
-        """Let one target say in its answers that it leaves; it gets nothing after that."""
+        """Let one target announce leaving in its answers; it gets no requests after that."""
         leaving = targets[0]
         leaving.says_leaving = True
         for _ in range(30):
@@ -75,42 +75,42 @@
         self.assertEqual(leaving.oracle.events["run"], 1)
 
     def chats(self):
-        """Return what makes a chat with another home each time."""
-        numbers = iter(range(1000))
-        return lambda bench: self.chat(bench, f"chat {next(numbers)}")
+        """Return a function that sends a chat with a different home at each call."""
+        chat_numbers = iter(range(1000))
+        return lambda bench: self.chat(bench, f"chat {next(chat_numbers)}")
 
     @asyncio_test
-    async def test_resting_engine_gets_no_chats(self):
+    async def test_paused_engine_gets_no_chats(self):
         bench = await self.bench(engines=3)
         await self.check_one_pauses(bench, bench.engines, self.chats())
 
     @asyncio_test
-    async def test_resting_service_gets_no_calls(self):
+    async def test_paused_service_gets_no_calls(self):
         bench = await self.bench(engines=0, services=3)
         await self.check_one_pauses(bench, bench.services, self.call)
 
     @asyncio_test
-    async def test_chats_are_refused_until_the_first_engine_has_rested(self):
+    async def test_chats_are_refused_until_the_first_pause_of_an_engine_ends(self):
         bench = await self.bench(engines=2)
         await self.check_all_pause(bench, bench.engines, self.chat)
 
     @asyncio_test
-    async def test_calls_are_refused_until_the_first_service_has_rested(self):
+    async def test_calls_are_refused_until_the_first_pause_of_a_service_ends(self):
         bench = await self.bench(engines=0, services=2)
         await self.check_all_pause(bench, bench.services, self.call)
 
     @asyncio_test
-    async def test_engine_that_says_it_leaves_gets_no_chats(self):
+    async def test_engine_that_announces_leaving_gets_no_chats(self):
         bench = await self.bench(engines=2)
         await self.check_one_leaves(bench, bench.engines, self.chats())
 
     @asyncio_test
-    async def test_service_that_says_it_leaves_gets_no_calls(self):
+    async def test_service_that_announces_leaving_gets_no_calls(self):
         bench = await self.bench(engines=0, services=2)
         await self.check_one_leaves(bench, bench.services, self.call)
 
     @asyncio_test
-    async def test_operators_see_the_wish_and_a_new_life_has_none(self):
+    async def test_operators_see_the_signal_and_a_new_incarnation_has_none(self):
         bench = await self.bench(engines=1)
         bench.engines[0].asks_rest_s = 30.0
         await self.chat(bench)
@@ -127,7 +127,7 @@
         return [target["wish"] for target in json.loads(body)["targets"]]
 
     @asyncio_test
-    async def test_those_in_the_queue_are_told_when_all_rest(self):
+    async def test_queued_requests_are_refused_when_all_targets_pause(self):
         bench = await self.bench(engines=1)
         placing = bench.router.placing
         full_targets = placing._full_targets
--- a/packages/router/src/damaskwind/router/tests/test_telemetry.py
+++ b/packages/router/src/damaskwind/router/tests/test_telemetry.py
@@ -16,7 +16,7 @@
 
 
 class _Reactor:
-    """A reactor whose socket swallows what is sent."""
+    """A reactor whose socket discards all datagrams."""
 
     def listenUDP(self, *arguments, **options):  # noqa: N802 - Twisted's name
         return self
@@ -62,7 +62,7 @@
         self.assertEqual(page['control_bytes_total{direction="sent",kind="follow"}'], 400)
         self.assertEqual(page['control_bytes_total{direction="received",kind="follow"}'], 1011)
 
-    def test_what_may_fall_is_a_gauge(self):
+    def test_values_that_may_decrease_are_gauges(self):
         self.service.count_control("follow", 0, 5000)
         self.clock.now_s += 10
         first = self.page()
