--- a/packages/router/src/damaskwind/router/account_limits.py
+++ b/packages/router/src/damaskwind/router/account_limits.py
@@ -79,7 +79,7 @@
         self._learning_until_s = now_s if is_alone else now_s + self._policy.lease_s
         self._limiter = AccountLimiter(router_id, failure_domain, self._policy, first_sequence)
         self._allocator = ShareAllocator(router_id, failure_domain, self._policy, now_s, is_alone)
-        self._waiting: list[Deferred] = []
+        self._waiters: list[Deferred] = []
         self._timer: Any = None
         self._is_stopped = False
         membership.register_kind(REPORT_KIND, self._receive_report)
@@ -139,7 +139,7 @@
         """Return a Deferred that fires at the next grant, the next release or the timeout."""
         wakeup: Deferred = Deferred()
         timer = self._clock.callLater(max(timeout_s, 0.0), self._wake_one, wakeup)
-        self._waiting.append(wakeup)
+        self._waiters.append(wakeup)
         work.caller.when_gone(lambda: self._wake_one(wakeup))
 
         def stop_timer(result: Any) -> Any:
@@ -151,14 +151,14 @@
 
     def _wake_one(self, wakeup: Deferred) -> None:
         """Wake one waiting request."""
-        if wakeup in self._waiting:
-            self._waiting.remove(wakeup)
+        if wakeup in self._waiters:
+            self._waiters.remove(wakeup)
             wakeup.callback(None)
 
     def _wake_all(self) -> None:
         """Wake every waiting request."""
-        waiting, self._waiting = self._waiting, []
-        for wakeup in waiting:
+        waiters, self._waiters = self._waiters, []
+        for wakeup in waiters:
             wakeup.callback(None)
 
     def _schedule_report(self) -> None:
--- a/packages/router/src/damaskwind/router/caller.py
+++ b/packages/router/src/damaskwind/router/caller.py
@@ -24,7 +24,7 @@
             return
         self._watchers.append(watcher)
 
-    def lost(self) -> Deferred:
+    def wait_until_gone(self) -> Deferred:
         """Return a Deferred that fires when the connection is lost."""
         gone: Deferred = Deferred()
         self.when_gone(lambda: gone.callback(None))
--- a/packages/router/src/damaskwind/router/caller_site.py
+++ b/packages/router/src/damaskwind/router/caller_site.py
@@ -14,7 +14,7 @@
 _IDLE_TIMEOUT_S = 60.0
 _DEAD_PEER_TIMEOUT_S = 30
 _PROBE_INTERVAL_S = 10
-_PROBES = 3
+_PROBE_COUNT = 3
 
 
 class RequestLine(NamedTuple):
@@ -25,14 +25,14 @@
     version: bytes = b""
 
 
-def _watch_for_dead_peer(transport: Any) -> None:
+def _configure_socket(transport: Any) -> None:
     """Let the kernel close a connection whose peer neither reads nor answers keep-alives."""
     transport.setTcpNoDelay(True)
     transport.setTcpKeepAlive(True)
     handle = transport.getHandle()
     handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _DEAD_PEER_TIMEOUT_S)
     handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_INTERVAL_S)
-    handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
+    handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBE_COUNT)
     handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _DEAD_PEER_TIMEOUT_S * 1000)
 
 
@@ -44,7 +44,7 @@
     def connectionMade(self) -> None:  # noqa: N802
         """Register the connection with the site."""
         super().connectionMade()
-        _watch_for_dead_peer(self.transport)
+        _configure_socket(self.transport)
         self.site.channels.add(self)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
--- a/packages/router/src/damaskwind/router/chat_path.py
+++ b/packages/router/src/damaskwind/router/chat_path.py
@@ -216,4 +216,4 @@
         if not context.work.caller.gone:
             context.admitted.request.write(error_event(refusal, context.work.request_id))
             context.admitted.request.loseConnection()
-            await context.work.caller.lost()
+            await context.work.caller.wait_until_gone()
--- a/packages/router/src/damaskwind/router/chat_request.py
+++ b/packages/router/src/damaskwind/router/chat_request.py
@@ -51,7 +51,7 @@
     return RefusedError(Refusal(Reason.BAD_REQUEST, Verdict.NOT_RUN, detail))
 
 
-def _decode(body: bytes) -> dict[str, Any]:
+def _parse_fields(body: bytes) -> dict[str, Any]:
     """Parse a body and check the fields that the router reads."""
     try:
         fields = msgspec.json.decode(body)
@@ -70,7 +70,7 @@
     return fields
 
 
-def _messages(raw: list[Any]) -> list[Message]:
+def _parse_messages(raw: list[Any]) -> list[Message]:
     """Validate the messages and convert the content of each to canonical text."""
     if not raw:
         raise _bad_request("'messages' is empty")
@@ -81,12 +81,12 @@
         content = item.get("content")
         if content is not None and not isinstance(content, str | list):
             raise _bad_request(f"'messages[{index}].content' must be text or a list of parts")
-        text = content if isinstance(content, str) else _canonical(content)
+        text = content if isinstance(content, str) else _canonical_text(content)
         messages.append(Message(item["role"], text))
     return messages
 
 
-def _canonical(content: Any) -> str:
+def _canonical_text(content: Any) -> str:
     """Return the canonical text of content that is not plain text: JSON with sorted keys."""
     return msgspec.json.encode(content, order="sorted").decode()
 
@@ -119,7 +119,7 @@
     return RefusedError(Refusal(Reason.UNKNOWN_MODEL, Verdict.NOT_RUN, detail))
 
 
-def _resolve(text: str, account: ClientAccount, configuration: Configuration) -> ModelName:
+def _resolve_model(text: str, account: ClientAccount, configuration: Configuration) -> ModelName:
     """Fill in the default version and check the account's grants."""
     name = parse_model_name(text)
     model = configuration.models.get(name.model)
@@ -130,8 +130,8 @@
         if (grant.model, grant.version) != (name.model, name.version):
             continue
         version = next((v for v in model.versions if v.version == name.version), None)
-        known = version is not None and (not name.adapter or name.adapter in version.adapters)
-        if known and (not name.adapter or name.adapter in grant.adapters):
+        is_served = version is not None and (not name.adapter or name.adapter in version.adapters)
+        if is_served and (not name.adapter or name.adapter in grant.adapters):
             return name
     raise _unknown_model(text)
 
@@ -151,10 +151,10 @@
 
     Raise `RefusedError` for a malformed body or a model that the account may not use.
     """
-    fields = _decode(body)
-    messages = _messages(fields["messages"])
+    fields = _parse_fields(body)
+    messages = _parse_messages(fields["messages"])
     generated = _generated_tokens(fields)
-    name = _resolve(fields["model"], account, configuration)
+    name = _resolve_model(fields["model"], account, configuration)
     pool = PoolName(configuration.models[name.model].service, *name)
     stream = bool(fields.get("stream"))
     return ChatRequest(
--- a/packages/router/src/damaskwind/router/configuration/follower.py
+++ b/packages/router/src/damaskwind/router/configuration/follower.py
@@ -232,9 +232,9 @@
         latest_revision = latest.revision if latest is not None else 0
         if encoded.body and encoded.revision > latest_revision:
             self._needs_full = True
-            whole = decode_revision(encoded, latest)
+            configuration = decode_revision(encoded, latest)
             self._needs_full = False
-            self._offer(whole, source, update.is_current)
+            self._offer(configuration, source, update.is_current)
         elif encoded.revision < latest_revision:
             logger.debug("lower revision ignored", source=source, revision=encoded.revision)
         elif update.is_current and self.configuration is None and latest is not None:
@@ -244,18 +244,18 @@
         if update.is_current and encoded.revision == self.revision:
             self._current_until_s = read_clock() + self._timing.silence_s
 
-    def _offer(self, whole: Configuration, source: str, is_current: bool) -> None:
+    def _offer(self, configuration: Configuration, source: str, is_current: bool) -> None:
         """Apply a configuration, or keep it as a candidate while settling.
 
         While settling, another source may still deliver a higher revision.
         """
         latest = self._latest_known()
-        if latest is not None and whole.revision <= latest.revision:
+        if latest is not None and configuration.revision <= latest.revision:
             return
         if self.configuration is not None or self._accepted is not None or is_current:
-            self._apply(whole, source)
+            self._apply(configuration, source)
             return
-        self._candidate = whole
+        self._candidate = configuration
         self.source = source
         if self._settle_timer is None:
             loop = asyncio.get_running_loop()
@@ -266,7 +266,7 @@
         if self.configuration is None and self._candidate is not None:
             self._apply(self._candidate, self.source)
 
-    def _apply(self, whole: Configuration, source: str) -> None:
+    def _apply(self, configuration: Configuration, source: str) -> None:
         """Put a configuration in force, after writing it to the state file if there is one.
 
         A configuration that was in force but not stored would be lost at a restart, and
@@ -274,9 +274,9 @@
         """
         self._candidate = None
         if self._state_file is None:
-            self._enforce(whole, source)
+            self._enforce(configuration, source)
             return
-        self._accepted = (whole, source)
+        self._accepted = (configuration, source)
         if self._write_task is None:
             self._write_task = asyncio.ensure_future(self._write_accepted(self._state_file))
 
@@ -288,25 +288,25 @@
         loop = asyncio.get_running_loop()
         try:
             while self._accepted is not None:
-                whole, source = self._accepted
+                configuration, source = self._accepted
                 try:
-                    await loop.run_in_executor(None, write_state_file, path, whole)
+                    await loop.run_in_executor(None, write_state_file, path, configuration)
                 except OSError as error:
                     logger.warning("state file not written", path=str(path), error=str(error))
-                if self._accepted[0] is whole:
+                if self._accepted[0] is configuration:
                     self._accepted = None
-                self._enforce(whole, source)
+                self._enforce(configuration, source)
         finally:
             self._write_task = None
 
-    def _enforce(self, whole: Configuration, source: str) -> None:
+    def _enforce(self, configuration: Configuration, source: str) -> None:
         """Put a configuration in force, then publish it to others."""
-        self.configuration = whole
+        self.configuration = configuration
         self.source = source
         for callback in self._subscribers:
-            callback(whole)
-        self.service.publish(whole)
-        logger.info("configuration applied", revision=whole.revision, source=source)
+            callback(configuration)
+        self.service.publish(configuration)
+        logger.info("configuration applied", revision=configuration.revision, source=source)
 
     async def _poll_until_ready(self) -> None:
         """Poll all replicas and routers until a configuration is in force.
--- a/packages/router/src/damaskwind/router/event_stream.py
+++ b/packages/router/src/damaskwind/router/event_stream.py
@@ -19,7 +19,7 @@
 _VALUE_BYTES = 7
 
 
-def _is_plain(event: bytes) -> bool:
+def _is_plain_token(event: bytes) -> bool:
     """Return whether the bytes of an event show that it is a token and nothing else."""
     if b"[DONE]" in event or b'"usage"' in event or b'"role"' in event:
         return False
@@ -80,19 +80,19 @@
                 return b""
             self._partial = data[end:]
             data = data[:end]
-        if data.count(_END) == 1 and _is_plain(data):
+        if data.count(_END) == 1 and _is_plain_token(data):
             self.delivered_tokens += 1
             return data
-        return b"".join(self._pass_event(event) for event in data.split(_END)[:-1])
+        return b"".join(self._process_event(event) for event in data.split(_END)[:-1])
 
-    def _pass_event(self, event: bytes) -> bytes:
+    def _process_event(self, event: bytes) -> bytes:
         """Count one event and return the bytes of it to forward."""
         if self.complete:
             return b""
         if event == _DONE:
             self.complete = True
             return event + _END
-        if _is_plain(event):
+        if _is_plain_token(event):
             self.delivered_tokens += 1
             return event + _END
         chunk = _parse(event)
@@ -103,7 +103,7 @@
                 return b""
         return event + _END
 
-    def end(self, in_order: bool) -> bool:
+    def end(self, ended_normally: bool) -> bool:
         """Return whether the answer was complete, after its connection ended."""
         return self.complete
 
@@ -124,10 +124,10 @@
         self.received_chunks += 1
         return data
 
-    def end(self, in_order: bool) -> bool:
+    def end(self, ended_normally: bool) -> bool:
         """Return whether the body was complete, after its connection ended."""
-        self.complete = in_order
-        return in_order
+        self.complete = ended_normally
+        return ended_normally
 
     def restart(self) -> None:
         """Do nothing: a plain service's answer is never resumed."""
--- a/packages/router/src/damaskwind/router/idempotency.py
+++ b/packages/router/src/damaskwind/router/idempotency.py
@@ -102,7 +102,7 @@
             raise RefusedError(_make_refusal(outcome))
         return await self._run_claimed(admitted, serve, outcome.accepted)
 
-    async def settle(self) -> None:
+    async def flush(self) -> None:
         """Wait until every outcome has been sent to the holders."""
         while self._recording:
             await next(iter(self._recording))
--- a/packages/router/src/damaskwind/router/membership/codec.py
+++ b/packages/router/src/damaskwind/router/membership/codec.py
@@ -105,12 +105,12 @@
     def __init__(self, router_id: str, cluster: str, cluster_key: str) -> None:
         self._router_id = router_id
         self._sequence = 0
-        self._cluster = blake2b(cluster.encode(), digest_size=CLUSTER_BYTES).digest()
+        self._cluster_hash = blake2b(cluster.encode(), digest_size=CLUSTER_BYTES).digest()
         self._key = blake2b(cluster_key.encode()).digest()
         self._replay = ReplayGuard()
         self._encoder = msgspec.msgpack.Encoder()
-        self._envelopes = msgspec.msgpack.Decoder(_Envelope)
-        self._bodies = {name: msgspec.msgpack.Decoder(kind) for name, kind in _KINDS.items()}
+        self._envelope_decoder = msgspec.msgpack.Decoder(_Envelope)
+        self._body_decoders = {name: msgspec.msgpack.Decoder(kind) for name, kind in _KINDS.items()}
 
     def encode(self, message: Message, incarnation: int) -> bytes:
         """Return the datagram of a message; raise `MessageError` if it is too large."""
@@ -125,7 +125,7 @@
         body = msgspec.Raw(encoded)
         envelope = _Envelope(self._router_id, incarnation, self._sequence, kind, body)
         payload = self._encoder.encode(envelope)
-        datagram = self._cluster + self._tag(payload) + payload
+        datagram = self._cluster_hash + self._tag(payload) + payload
         if len(datagram) > MAX_DATAGRAM_BYTES:
             raise MessageError(f"a datagram of {len(datagram)} bytes is too large")
         return datagram
@@ -136,20 +136,20 @@
             return DatagramFault.OVERSIZED
         if len(datagram) <= _HEADER_BYTES:
             return DatagramFault.TRUNCATED
-        if datagram[:CLUSTER_BYTES] != self._cluster:
+        if datagram[:CLUSTER_BYTES] != self._cluster_hash:
             return DatagramFault.OTHER_CLUSTER
         payload = datagram[_HEADER_BYTES:]
         if not compare_digest(datagram[CLUSTER_BYTES:_HEADER_BYTES], self._tag(payload)):
             return DatagramFault.WRONG_KEY
         try:
-            envelope = self._envelopes.decode(payload)
+            envelope = self._envelope_decoder.decode(payload)
             kind = envelope.kind.removesuffix(_COMPRESSED)
-            if kind not in self._bodies:
+            if kind not in self._body_decoders:
                 return DatagramFault.UNKNOWN_KIND
             body = envelope.body
             if kind != envelope.kind:
                 body = _decompress(msgspec.msgpack.decode(body, type=bytes))
-            message = self._bodies[kind].decode(body)
+            message = self._body_decoders[kind].decode(body)
         except (msgspec.DecodeError, zlib.error, RecursionError):
             return DatagramFault.MALFORMED
         if envelope.sender_id == self._router_id:
@@ -162,7 +162,7 @@
     def _tag(self, payload: bytes) -> bytes:
         """Return the tag of a payload, which also covers the cluster hash."""
         hashed = blake2b(
-            self._cluster, digest_size=TAG_BYTES, key=self._key, person=_PERSONALIZATION
+            self._cluster_hash, digest_size=TAG_BYTES, key=self._key, person=_PERSONALIZATION
         )
         hashed.update(payload)
         return hashed.digest()
--- a/packages/router/src/damaskwind/router/membership/node.py
+++ b/packages/router/src/damaskwind/router/membership/node.py
@@ -72,7 +72,7 @@
         self.faults: Counter[DatagramFault] = Counter()
         self.handler: Callable[[Event], None] = lambda event: None
         self._codec = Codec(own_record.router_id, cluster, cluster_key)
-        self._kinds: dict[str, Callable[[str, bytes], None]] = {}
+        self._kind_handlers: dict[str, Callable[[str, bytes], None]] = {}
 
     def announce(
         self, announcement: TargetAnnouncement, body_bytes: int, now_s: float
@@ -127,7 +127,7 @@
 
     def register_kind(self, kind: str, handler: Callable[[str, bytes], None]) -> None:
         """Call `handler(router_id, payload)` for each datagram of this kind."""
-        self._kinds[kind] = handler
+        self._kind_handlers[kind] = handler
 
     def send(
         self, kind: str, router_id: str, payload: bytes, urgency: Urgency, now_s: float
@@ -177,7 +177,7 @@
 
     def _dispatch_custom(self, sender_id: str, message: Custom) -> None:
         """Pass a datagram of another component to its handler."""
-        handler = self._kinds.get(message.kind)
+        handler = self._kind_handlers.get(message.kind)
         if handler is None:
             self.faults[DatagramFault.UNKNOWN_KIND] += 1
             return
--- a/packages/router/src/damaskwind/router/membership/service.py
+++ b/packages/router/src/damaskwind/router/membership/service.py
@@ -76,7 +76,7 @@
         parameters = parameters or MembershipParameters()
         self._parameters = parameters._replace(control_bytes_per_s=budget)
         self._handlers: list[Callable[[Event], None]] = []
-        self._kinds: dict[str, Callable[[str, bytes], None]] = {}
+        self._kind_handlers: dict[str, Callable[[str, bytes], None]] = {}
         self._node: GossipNode | None = None
         self._listener: Any = None
         self._ticking = LoopingCall(self._tick)
@@ -98,7 +98,7 @@
         )
         address = Address(host, self._listener.getHost().port)
         self._node = self._make_node(address)
-        for kind, handler in self._kinds.items():
+        for kind, handler in self._kind_handlers.items():
             self._node.register_kind(kind, handler)
         self._ticking.start(TICK_S, now=False)
         return address
@@ -169,7 +169,7 @@
 
     def register_kind(self, kind: str, handler: Callable[[str, bytes], None]) -> None:
         """Call `handler(router_id, payload)` for each datagram of this kind."""
-        self._kinds[kind] = handler
+        self._kind_handlers[kind] = handler
         if self._node is not None:
             self._node.register_kind(kind, handler)
 
--- a/packages/router/src/damaskwind/router/operator_api.py
+++ b/packages/router/src/damaskwind/router/operator_api.py
@@ -24,7 +24,7 @@
 from damaskwind.router.target_signals import TargetSignalTracker
 from damaskwind.router.telemetry import Telemetry
 
-__all__ = ["OperatorApi", "Sources"]
+__all__ = ["OperatorApi", "RouterComponents"]
 
 _DRAIN_ROLES = frozenset(("planner", "confirmer"))
 _FORWARD_TIMEOUT_S = 5.0
@@ -55,7 +55,7 @@
     )
 
 
-class Sources(NamedTuple):
+class RouterComponents(NamedTuple):
     """The components of the router that the operator API reads."""
 
     router_id: str
@@ -75,8 +75,8 @@
 class OperatorApi:
     """The handlers of the routes below `/operator/v1/` and of `/metrics`."""
 
-    def __init__(self, sources: Sources, clock: Any) -> None:
-        self._sources = sources
+    def __init__(self, components: RouterComponents, clock: Any) -> None:
+        self._components = components
         self._clock = clock
 
     def install(self, app: Klein) -> None:
@@ -90,7 +90,7 @@
 
     def _authorize(self, request: Any, roles: frozenset[str] = frozenset()) -> None:
         """Raise `RefusedError` unless the caller is an operator with one of the roles."""
-        operators = operator_index(self._sources.gateway.configuration)
+        operators = operator_index(self._components.gateway.configuration)
         operator = operators.owner(bearer_key(request.getHeader("authorization")))
         if roles and not roles & set(operator.roles):
             detail = f"one of these roles is needed: {', '.join(sorted(roles))}"
@@ -99,29 +99,29 @@
     def explain(self, request: Any, request_id: str) -> bytes | Deferred:
         """Return a request's record, from here or from the router that its id names."""
         self._authorize(request)
-        record = self._sources.explain.find(request_id)
+        record = self._components.explain.find(request_id)
         if record is not None:
             return answer_json(
-                request, 200, {"router": self._sources.router_id, **record.as_table()}
+                request, 200, {"router": self._components.router_id, **record.as_table()}
             )
         router_id = router_of(request_id)
         forwarded = request.getHeader(_FORWARDED)
-        if forwarded or router_id in ("", self._sources.router_id):
+        if forwarded or router_id in ("", self._components.router_id):
             raise _not_found(f"request '{request_id}' is not known here, or no longer")
         return ensureDeferred(self._forward(request, request_id, router_id))
 
     async def _forward(self, request: Any, request_id: str, router_id: str) -> bytes:
         """Forward the query to the router that a request id names."""
-        address = await self._sources.peers.request_address(router_id)
+        address = await self._components.peers.request_address(router_id)
         if address is None:
             detail = f"router '{router_id}' can't be asked about request '{request_id}'"
             refusal = Refusal(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail)
             return refuse(request, request.request_id, refusal)
         headers = Headers({"authorization": [request.getHeader("authorization")]})
-        headers.setRawHeaders(_FORWARDED, [self._sources.router_id])
+        headers.setRawHeaders(_FORWARDED, [self._components.router_id])
         path = build_path("operator", "v1", "requests", request_id)
         try:
-            response = await self._sources.client.send(
+            response = await self._components.client.send(
                 TargetCall(b"GET", address, path, headers), _FORWARD_TIMEOUT_S
             )
             body = await read_whole(response, _ANSWER_LIMIT_BYTES, _FORWARD_TIMEOUT_S, self._clock)
@@ -141,12 +141,14 @@
 
     def _sorted(self) -> list[TargetView]:
         """Return the targets sorted by id."""
-        return sorted(self._sources.directory.views(), key=lambda view: view.target_id)
+        return sorted(self._components.directory.views(), key=lambda view: view.target_id)
 
     def _describe_target(self, view: TargetView) -> dict[str, Any]:
         """Return the description of one target for operators."""
         now_s = self._clock.seconds()
-        estimate = self._sources.directory.placers[view.kind].estimate_tokens(view.target_id, now_s)
+        estimate = self._components.directory.placers[view.kind].estimate_tokens(
+            view.target_id, now_s
+        )
         return {
             "target_id": view.target_id,
             "kind": view.kind,
@@ -155,10 +157,10 @@
             "address": str(view.address),
             "state": view.state,
             "incarnation": view.incarnation,
-            "circuit": self._sources.health.state(view.service, view.target_id),
-            "wish": self._sources.signals.signal(view),
+            "circuit": self._components.health.state(view.service, view.target_id),
+            "wish": self._components.signals.signal(view),
             "estimated_load_tokens": round(estimate, 1),
-            "requests_in_flight_here": self._sources.placing.in_flight.get(view.target_id, 0),
+            "requests_in_flight_here": self._components.placing.in_flight.get(view.target_id, 0),
             "models": [f"{offer.model}@{offer.version}" for offer in view.models],
         }
 
@@ -169,19 +171,19 @@
         work again.
         """
         self._authorize(request, _DRAIN_ROLES)
-        view = self._sources.directory.find(target_id)
+        view = self._components.directory.find(target_id)
         if view is None:
             raise _not_found(f"target '{target_id}' is not known here, or already gone")
-        self._sources.membership.announce(_make_leave(view), 0)
+        self._components.membership.announce(_make_leave(view), 0)
         answer = {"target_id": target_id, "incarnation": view.incarnation, "state": "leaving"}
         return answer_json(request, 200, answer)
 
     def router(self, request: Any) -> bytes:
         """Return the state of this router."""
         self._authorize(request)
-        return answer_json(request, 200, self._sources.own_state())
+        return answer_json(request, 200, self._components.own_state())
 
     def metrics(self, request: Any) -> bytes:
         """Return the metrics in Prometheus text format; scrapers need no key."""
         request.setHeader(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
-        return self._sources.telemetry.metrics.render()
+        return self._components.telemetry.metrics.render()
--- a/packages/router/src/damaskwind/router/placing.py
+++ b/packages/router/src/damaskwind/router/placing.py
@@ -70,12 +70,14 @@
             service, request, lambda: self._try_place(work, tried, is_retry=True), work.caller
         )
 
-    def end(self, work: WorkItem, target: TargetView, done: bool) -> None:
+    def end(self, work: WorkItem, target: TargetView, succeeded: bool) -> None:
         """Record that a request no longer occupies its target."""
         self.in_flight[target.target_id] -= 1
         if not self.in_flight[target.target_id]:
             del self.in_flight[target.target_id]
-        self._directory.placers[work.kind].finished(work.request_id, done, self._clock.seconds())
+        self._directory.placers[work.kind].finished(
+            work.request_id, succeeded, self._clock.seconds()
+        )
         self._directory.capacity_changed()
 
     def _try_place(
--- a/packages/router/src/damaskwind/router/process.py
+++ b/packages/router/src/damaskwind/router/process.py
@@ -28,7 +28,7 @@
 from damaskwind.router.front import HttpFrontend
 from damaskwind.router.gateway import Gateway
 from damaskwind.router.idempotency import Idempotency
-from damaskwind.router.operator_api import OperatorApi, Sources
+from damaskwind.router.operator_api import OperatorApi, RouterComponents
 from damaskwind.router.peer_addresses import PeerAddresses
 from damaskwind.router.placing import Placing
 from damaskwind.router.request_queues import RequestQueues
@@ -114,7 +114,7 @@
             self.gateway, self._chat_path(), self._service_path(), announcements, self.not_ready
         )
         self.peers = PeerAddresses(self.membership, reactor)
-        OperatorApi(self._operator_sources(), reactor).install(frontend.app)
+        OperatorApi(self._router_components(), reactor).install(frontend.app)
         limits = CallerLimits(
             router.header_timeout_s,
             router.body_timeout_s,
@@ -146,9 +146,9 @@
             self.settings.router.body_timeout_s,
         )
 
-    def _operator_sources(self) -> Sources:
+    def _router_components(self) -> RouterComponents:
         """Return the components that the operator API reads."""
-        return Sources(
+        return RouterComponents(
             router_id=self.settings.node.node_id,
             gateway=self.gateway,
             explain=self.explain,
@@ -279,7 +279,7 @@
         self._spill_notes_loop.stop()
         self.limits.stop()
         await to_future(ensureDeferred(self.client.close()))
-        await to_future(ensureDeferred(self.idempotency.settle()))
+        await to_future(ensureDeferred(self.idempotency.flush()))
         await self.links.stop()
         self.telemetry.metrics.shutdown()
 
--- a/packages/router/src/damaskwind/router/request_queues.py
+++ b/packages/router/src/damaskwind/router/request_queues.py
@@ -27,7 +27,7 @@
     """A queued request: the function that tries to place it, and the Deferred of its result."""
 
     attempt: Callable[[], Any]
-    served: Deferred
+    placed: Deferred
 
 
 class RequestQueues:
@@ -62,17 +62,17 @@
         `attempt` returns `None` while no target can accept the request, and raises
         `RefusedError` when waiting cannot help.
         """
-        served: Deferred = Deferred(lambda cancelled: self._remove(pool, request.request_id))
-        self._entries[request.request_id] = _Entry(attempt, served)
+        placed: Deferred = Deferred(lambda cancelled: self._remove(pool, request.request_id))
+        self._entries[request.request_id] = _Entry(attempt, placed)
         queue = self._queues.get(pool)
         if queue is None:
             queue = self._queues[pool] = AdmissionQueue(self._classes, _QUEUE_LIMIT_REQUESTS)
         offer = queue.offer(request, self._clock.seconds())
         self._refuse(offer.refused)
-        caller.when_gone(served.cancel)
+        caller.when_gone(placed.cancel)
         if offer.queued:
             self._schedule(_PUMP_DELAY_S)
-        return served
+        return placed
 
     def capacity_changed(self) -> None:
         """Schedule a retry of the queued requests: a target may have gained capacity."""
@@ -118,14 +118,14 @@
             if request is None:
                 return
             entry = self._entries.pop(request.request_id)
-            entry.served.callback(found.pop(request.request_id))
+            entry.placed.callback(found.pop(request.request_id))
 
     def _refuse(self, refused: tuple[RefusedRequest, ...]) -> None:
         """Fail queued requests with their refusals."""
         for item in refused:
             entry = self._entries.pop(item.request.request_id, None)
             if entry is not None:
-                entry.served.errback(RefusedError(item.refusal))
+                entry.placed.errback(RefusedError(item.refusal))
 
     def _remove(self, pool: str, request_id: str) -> None:
         """Remove a request whose caller disconnected."""
--- a/packages/router/src/damaskwind/router/service_path.py
+++ b/packages/router/src/damaskwind/router/service_path.py
@@ -56,13 +56,13 @@
     A path that a target might interpret differently (`..`, doubled slashes) matches
     no route, so that the call is never treated as idempotent.
     """
-    plain = unquote(path)
-    if normpath(plain).rstrip("/") != plain.rstrip("/"):
+    decoded = unquote(path)
+    if normpath(decoded).rstrip("/") != decoded.rstrip("/"):
         return _DEFAULT_ROUTE
     matching = [
         route
         for route in service.routes
-        if plain.startswith(route.path_prefix) and method in route.methods
+        if decoded.startswith(route.path_prefix) and method in route.methods
     ]
     return max(matching, key=lambda route: len(route.path_prefix), default=_DEFAULT_ROUTE)
 
@@ -70,10 +70,14 @@
 def parse_call(admitted: AdmittedRequest) -> ServiceCall:
     """Return the service and route that a request names; raise `RefusedError` if unknown."""
     request = admitted.request
-    rest = request.uri[len(SERVICES_PREFIX) :]
-    end = min(index for index in (rest.find(b"/"), rest.find(b"?"), len(rest)) if index >= 0)
-    name = unquote(rest[:end].decode("latin-1"))
-    path = rest[end:] if rest[end : end + 1] == b"/" else b"/" + rest[end:]
+    remainder = request.uri[len(SERVICES_PREFIX) :]
+    end = min(
+        index
+        for index in (remainder.find(b"/"), remainder.find(b"?"), len(remainder))
+        if index >= 0
+    )
+    name = unquote(remainder[:end].decode("latin-1"))
+    path = remainder[end:] if remainder[end : end + 1] == b"/" else b"/" + remainder[end:]
     service = admitted.configuration.services.get(name)
     allowed = service is not None and name in admitted.account.services
     if not allowed or service.kind != TargetKind.SERVICE:
@@ -90,9 +94,9 @@
     return {token.strip().lower() for value in named for token in value.split(b",")}
 
 
-def _forwarded_headers(headers: Headers, own: frozenset[bytes]) -> Headers:
-    """Return a copy of the end-to-end headers, without those in `own`."""
-    dropped = _HOP_BY_HOP | own | _hop_headers(headers)
+def _forwarded_headers(headers: Headers, excluded: frozenset[bytes]) -> Headers:
+    """Return a copy of the end-to-end headers, without those in `excluded`."""
+    dropped = _HOP_BY_HOP | excluded | _hop_headers(headers)
     passed = Headers()
     for name, values in headers.getAllRawHeaders():
         if name.lower() not in dropped:
@@ -194,15 +198,15 @@
 
     def _is_small(self, admitted: AdmittedRequest, response: IResponse) -> bool:
         """Return whether an answer is buffered whole, so that its headers carry a final verdict."""
-        known = response.length is not UNKNOWN_LENGTH and response.length <= BUFFERED_BYTES
-        return known or admitted.request.method == b"HEAD" or response.code in _NO_BODY_STATUSES
+        is_small = response.length is not UNKNOWN_LENGTH and response.length <= BUFFERED_BYTES
+        return is_small or admitted.request.method == b"HEAD" or response.code in _NO_BODY_STATUSES
 
     def _write_head(self, admitted: AdmittedRequest, response: IResponse, verdict: Verdict) -> None:
         """Set the status and headers of the answer."""
         request = admitted.request
         request.setResponseCode(response.code, response.phrase)
-        own = frozenset((b"x-request-id", b"x-verdict"))
-        for name, values in _forwarded_headers(response.headers, own).getAllRawHeaders():
+        excluded = frozenset((b"x-request-id", b"x-verdict"))
+        for name, values in _forwarded_headers(response.headers, excluded).getAllRawHeaders():
             request.responseHeaders.setRawHeaders(name, values)
         if response.length is not UNKNOWN_LENGTH and response.code not in _NO_BODY_STATUSES:
             request.setHeader(b"content-length", str(response.length).encode())
@@ -246,4 +250,4 @@
         work.record.end(verdict, reason, detail, self._reactor.seconds())
         if not admitted.caller.gone:
             admitted.request.loseConnection()
-            await admitted.caller.lost()
+            await admitted.caller.wait_until_gone()
--- a/packages/router/src/damaskwind/router/stream_relay.py
+++ b/packages/router/src/damaskwind/router/stream_relay.py
@@ -40,9 +40,9 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Forward the data that the scanner releases."""
-        passed = self._scanner.feed(data)
-        if passed and not self._relay.caller.gone:
-            self._write(passed)
+        forwarded = self._scanner.feed(data)
+        if forwarded and not self._relay.caller.gone:
+            self._write(forwarded)
         if self._scanner.complete and self._tail is None:
             self._tail = self._relay.clock.callLater(_TAIL_TIMEOUT_S, self._close)
             self._end(RelayEnd.COMPLETE)
@@ -55,8 +55,8 @@
         """End the relay; an answer without its end marker was cut."""
         if self._tail is not None and self._tail.active():
             self._tail.cancel()
-        whole = self._scanner.end(bool(reason.check(ResponseDone)))
-        self._end(RelayEnd.COMPLETE if whole else RelayEnd.CUT)
+        is_complete = self._scanner.end(bool(reason.check(ResponseDone)))
+        self._end(RelayEnd.COMPLETE if is_complete else RelayEnd.CUT)
 
     def drop(self, end: RelayEnd) -> None:
         """End the relay and close the target's connection."""
--- a/packages/router/src/damaskwind/router/target_client.py
+++ b/packages/router/src/damaskwind/router/target_client.py
@@ -115,8 +115,8 @@
         self.clock = IReactorTime(reactor)
         self._pool = CheckedConnectionPool(reactor)
         self._agent = Agent.usingEndpointFactory(reactor, _NumericEndpoints(reactor), self._pool)
-        self._waiting: set[Deferred] = set()
-        self._settled: Deferred | None = None
+        self._pending: set[Deferred] = set()
+        self._next_finished: Deferred | None = None
 
     async def send(
         self, call: TargetCall, timeout_s: float, caller: Caller | None = None
@@ -126,13 +126,13 @@
         If the caller disconnects, the attempt is cancelled immediately.
         """
         uri = b"http://%s:%d%s" % (call.address.host.encode(), call.address.port, call.path)
-        waiting = self._agent.request(call.method, uri, call.headers, call.body)
-        self._waiting.add(waiting)
-        timer = self.clock.callLater(max(timeout_s, 0.0), waiting.cancel)
+        pending = self._agent.request(call.method, uri, call.headers, call.body)
+        self._pending.add(pending)
+        timer = self.clock.callLater(max(timeout_s, 0.0), pending.cancel)
         if caller is not None:
-            caller.when_gone(waiting.cancel)
+            caller.when_gone(pending.cancel)
         try:
-            return await waiting
+            return await pending
         except _CONNECT_ERRORS as error:
             detail = f"the target was not reached: {error}"
             raise AttemptError(Verdict.NOT_RUN, Reason.TARGET_FAILED, detail) from error
@@ -143,31 +143,31 @@
             detail = f"the target broke off before its answer: {type(error).__name__}"
             raise AttemptError(Verdict.MAY_HAVE_RUN, Reason.TARGET_FAILED, detail) from error
         finally:
-            self._finish(waiting)
+            self._finish(pending)
             if timer.active():
                 timer.cancel()
 
     async def close(self) -> None:
         """Wait a short time for requests in progress, then close the connections."""
         limit = self.clock.callLater(_CLOSE_TIMEOUT_S, self._cancel_all)
-        while self._waiting:
-            self._settled = Deferred()
-            await self._settled
+        while self._pending:
+            self._next_finished = Deferred()
+            await self._next_finished
         if limit.active():
             limit.cancel()
         await self._pool.closeCachedConnections()
 
     def _cancel_all(self) -> None:
         """Cancel all requests in progress."""
-        for waiting in list(self._waiting):
-            waiting.cancel()
+        for pending in list(self._pending):
+            pending.cancel()
 
-    def _finish(self, waiting: Deferred) -> None:
+    def _finish(self, pending: Deferred) -> None:
         """Remove a request that was answered or failed."""
-        self._waiting.discard(waiting)
-        settled, self._settled = self._settled, None
-        if settled is not None:
-            settled.callback(None)
+        self._pending.discard(pending)
+        finished, self._next_finished = self._next_finished, None
+        if finished is not None:
+            finished.callback(None)
 
 
 def build_path(*parts: str) -> bytes:
--- a/packages/router/src/damaskwind/router/tests/request_histories.py
+++ b/packages/router/src/damaskwind/router/tests/request_histories.py
@@ -65,7 +65,7 @@
 )
 
 
-class Fate(NamedTuple):
+class AttemptResult(NamedTuple):
     """How one attempt ends: whether the target ran it, the reported verdict, target signals."""
 
     runs: bool
@@ -74,15 +74,15 @@
 
 
 # An attempt that answers has no verdict yet, because its answer may still be cut.
-FATES = {
-    "connection refused": Fate(False, Verdict.NOT_RUN),
-    "target refuses": Fate(False, Verdict.NOT_RUN),
-    "lost before it came": Fate(False, Verdict.MAY_HAVE_RUN),
-    "reset after it ran": Fate(True, Verdict.MAY_HAVE_RUN),
-    "answers": Fate(True, None),
-    "asks for rest": Fate(False, Verdict.NOT_RUN, AnswerSignals(rest_s=1.0)),
-    "fails and asks for rest": Fate(True, Verdict.MAY_HAVE_RUN, AnswerSignals(rest_s=0.3)),
-    "answers and leaves": Fate(True, None, AnswerSignals(is_leaving=True)),
+ATTEMPT_RESULTS = {
+    "connection refused": AttemptResult(False, Verdict.NOT_RUN),
+    "target refuses": AttemptResult(False, Verdict.NOT_RUN),
+    "lost before it came": AttemptResult(False, Verdict.MAY_HAVE_RUN),
+    "reset after it ran": AttemptResult(True, Verdict.MAY_HAVE_RUN),
+    "answers": AttemptResult(True, None),
+    "asks for rest": AttemptResult(False, Verdict.NOT_RUN, AnswerSignals(rest_s=1.0)),
+    "fails and asks for rest": AttemptResult(True, Verdict.MAY_HAVE_RUN, AnswerSignals(rest_s=0.3)),
+    "answers and leaves": AttemptResult(True, None, AnswerSignals(is_leaving=True)),
 }
 LEAVING = Headers({b"x-leaving": [b"1"]})
 
@@ -170,7 +170,7 @@
             self.placing, NoLimits(), self.health, self.signals, self.clock, random
         )
         self.dispatcher.set_policy(POLICY)
-        self.present = set()
+        self.live_targets = set()
         self.incarnations = Counter()
         self.paused_until_s = Counter()
         self.announced_leaving = set()
@@ -187,9 +187,9 @@
     @rule(name=st.sampled_from(TARGETS))
     def join(self, name):
         """Let a target announce itself."""
-        if name not in self.present:
+        if name not in self.live_targets:
             self.incarnations[name] += 1
-        self.present.add(name)
+        self.live_targets.add(name)
         view = TargetView(
             name,
             self.incarnations[name],
@@ -208,7 +208,7 @@
     @rule(name=st.sampled_from(TARGETS), reason=st.sampled_from(list(GoneReason)))
     def leave(self, name, reason):
         """Let a target leave or its lease expire; its requests in progress continue."""
-        self.present.discard(name)
+        self.live_targets.discard(name)
         self.directory.handle_event(TargetGone(name, reason))
 
     # Callers.
@@ -243,7 +243,7 @@
         """Check an attempt at a target, and leave it open until the history ends it."""
         asked.attempts += 1
         self.at_target[view.target_id] += 1
-        if view.target_id not in self.present:
+        if view.target_id not in self.live_targets:
             self.faults.append(f"new work for {view.target_id}, which has left")
         incarnation = (view.target_id, view.incarnation)
         if (
@@ -300,14 +300,14 @@
             self.announced_leaving.add(incarnation)
 
     @precondition(lambda self: self.attempts)
-    @rule(data=st.data(), fate=st.sampled_from(sorted(FATES)))
+    @rule(data=st.data(), fate=st.sampled_from(sorted(ATTEMPT_RESULTS)))
     def end_attempt(self, data, fate):
         """End one of the attempts with any result."""
-        self.end(data.draw(st.sampled_from(self.attempts)), FATES[fate])
+        self.end(data.draw(st.sampled_from(self.attempts)), ATTEMPT_RESULTS[fate])
 
     @rule(
         idempotent=st.booleans(),
-        fates=st.lists(st.sampled_from(sorted(FATES)), min_size=2, max_size=3),
+        fates=st.lists(st.sampled_from(sorted(ATTEMPT_RESULTS)), min_size=2, max_size=3),
     )
     def ask_and_fail(self, idempotent, fates):
         """Start a request and end its attempts one after the other."""
@@ -315,7 +315,7 @@
         for fate in fates:
             mine = [one for one in self.attempts if one.asked is self.asked[-1]]
             if mine:
-                self.end(mine[0], FATES[fate])
+                self.end(mine[0], ATTEMPT_RESULTS[fate])
                 self.clock.pump([PUMP_S] * 4)
 
     def open_answers(self):
@@ -339,7 +339,7 @@
         if not asked.request.finished.called:
             asked.request.finished.errback(ConnectionError("gone"))
         for attempt in [one for one in self.attempts if one.asked is asked]:
-            self.end(attempt, Fate(ran, Verdict.MAY_HAVE_RUN))
+            self.end(attempt, AttemptResult(ran, Verdict.MAY_HAVE_RUN))
 
     @rule(pumps=st.integers(1, 40))
     def wait(self, pumps):
@@ -370,7 +370,7 @@
         """Fail every attempt and let all deadlines pass: each request must have ended."""
         for _ in range(POLICY.max_attempts + 1):
             for attempt in list(self.attempts):
-                self.end(attempt, FATES["reset after it ran"])
+                self.end(attempt, ATTEMPT_RESULTS["reset after it ran"])
             self.clock.pump([PUMP_S] * round(2 * DEADLINE_S / PUMP_S))
         for asked in self.open_answers():
             self.dispatcher.finish(asked.work, asked.answer, Verdict.RAN)
--- a/packages/router/src/damaskwind/router/tests/test_fleet.py
+++ b/packages/router/src/damaskwind/router/tests/test_fleet.py
@@ -52,7 +52,7 @@
         headers = {"idempotency-key": key}
         response, body = await self.ask(router, "POST", path, headers=headers, json=fields)
         self.assertEqual(response.code, 200, body)
-        await to_future(ensureDeferred(self.routers[router].idempotency.settle()))
+        await to_future(ensureDeferred(self.routers[router].idempotency.flush()))
         return body
 
     def verdict(self, response):
@@ -64,7 +64,7 @@
         oracle = bench.services[0].oracle
         first, body = await self.migrate(0, "k1")
         self.assertEqual((first.code, self.verdict(first)), (200, "ran"))
-        await to_future(ensureDeferred(bench.router.idempotency.settle()))
+        await to_future(ensureDeferred(bench.router.idempotency.flush()))
         again, repeated = await self.migrate(1, "k1")
         self.assertEqual((again.code, repeated), (200, body))
         self.assertEqual(oracle.runs_by_key["k1"], 1)
@@ -83,13 +83,13 @@
         refused, _ = await self.migrate(0, "k3")
         self.assertEqual(self.verdict(refused), "not-run")
         bench.services[0].faults.disarm()
-        await to_future(ensureDeferred(bench.router.idempotency.settle()))
+        await to_future(ensureDeferred(bench.router.idempotency.flush()))
         resent, _ = await self.migrate(1, "k3")
         self.assertEqual((resent.code, oracle.runs_by_key["k3"]), (200, 1))
 
         large, _ = await self.migrate(0, "k5", query="?size_bytes=9000")
         self.assertEqual((large.code, self.verdict(large)), (200, "ran"))
-        await to_future(ensureDeferred(bench.router.idempotency.settle()))
+        await to_future(ensureDeferred(bench.router.idempotency.flush()))
         resent, body = await self.migrate(1, "k5", query="?size_bytes=9000")
         self.assertEqual((resent.code, self.verdict(resent)), (409, "ran"))
         self.assertEqual(resent.headers.getRawHeaders("x-should-retry"), ["false"])
--- a/packages/router/src/damaskwind/router/upload.py
+++ b/packages/router/src/damaskwind/router/upload.py
@@ -30,7 +30,7 @@
         self.complete = False
         self._pause = pause
         self._resume = resume
-        self._waiting: list[bytes] = []
+        self._buffered: list[bytes] = []
         self._consumer: Any = None
         self._done: Deferred = Deferred()
         self._discarding = False
@@ -42,29 +42,29 @@
         if self._consumer is not None:
             self._consumer.write(data)
             return
-        self._waiting.append(data)
+        self._buffered.append(data)
         self._pause()
 
     def finish(self) -> None:
         """Mark the body as complete."""
         self.complete = True
         if self._consumer is not None:
-            self._fire(None)
+            self._finish(None)
 
     def fail(self) -> None:
         """Fail the body if the caller disconnected before its last piece."""
         if not self.complete:
-            self._fire(CallerLeftError("the caller left in the middle of its body"))
+            self._finish(CallerLeftError("the caller left in the middle of its body"))
 
     def startProducing(self, consumer: Any) -> Deferred:  # noqa: N802
         """Start to send the body to a target."""
         self.begun = True
         self._consumer = consumer
-        waiting, self._waiting = self._waiting, []
-        for data in waiting:
+        buffered, self._buffered = self._buffered, []
+        for data in buffered:
             consumer.write(data)
         if self.complete:
-            self._fire(None)
+            self._finish(None)
         else:
             self._resume()
         return self._done
@@ -85,7 +85,7 @@
         self._consumer = None
         self._resume()
 
-    def _fire(self, result: Any) -> None:
+    def _finish(self, result: Any) -> None:
         """Fire the Deferred of the body once, and discard what still arrives."""
         done, self._consumer = self._done, None
         self._discarding = True
