--- a/packages/router/src/damaskwind/router/account_limits.py
+++ b/packages/router/src/damaskwind/router/account_limits.py
@@ -1,6 +1,7 @@
-"""Hold client accounts to their fleet-wide limits: the shell of limiter and allocator.
+"""Enforce the fleet-wide limits of client accounts.
 
-Reports and grants travel as datagrams between routers, under the control budget.
+This module connects the limiter and the allocator to the network: reports of demand
+and grants of shares are datagrams between routers, within the control budget.
 """
 
 import time
@@ -23,7 +24,7 @@
 from damaskwind.model.configuration import Configuration
 from damaskwind.model.exception import MessageError, RefusedError
 from damaskwind.model.targets import TargetKind
-from damaskwind.router.work import Work
+from damaskwind.router.work import WorkItem
 
 __all__ = ["AccountLimits"]
 
@@ -33,25 +34,25 @@
 
 
 def _limit_name(account: str, kind: TargetKind) -> str:
-    """Name an account's limit for one kind of targets.
+    """Return the name of an account's limit for one kind of target.
 
-    Plain services have a limit of their own, of the same size, so that a status
-    check never waits for the same account's chats.
+    Plain services have a separate limit of the same size, so that a status check
+    never waits for chats of the same account.
     """
     return account if kind is TargetKind.ENGINE else f"{account}{_SERVICES_SUFFIX}"
 
 
 def _urgency(report: DemandReport) -> Urgency:
-    """Let reports that ask for more, and their answers, pass those that only renew."""
-    asks = any(
+    """Give reports that request more priority over those that only renew leases."""
+    has_increase = any(
         demand.wanted > demand.held or demand.wanted_tokens_per_s > demand.held_tokens_per_s
         for demand in report.demands
     )
-    return Urgency.LIMITS if asks else Urgency.REPAIR
+    return Urgency.LIMITS if has_increase else Urgency.REPAIR
 
 
 class AccountLimits:
-    """Admit requests by the shares that this router holds, and lease shares to others.
+    """Admit requests by the shares leased to this router, and lease shares to others.
 
     `domains` are the failure domains among which limits are divided; they must be
     the same on all routers.
@@ -75,22 +76,22 @@
         self._codec = LimitsCodec()
         first_sequence = time.time_ns() // 1_000_000
         now_s = clock.seconds()
-        self._blind_until_s = now_s if is_alone else now_s + self._policy.lease_s
+        self._learning_until_s = now_s if is_alone else now_s + self._policy.lease_s
         self._limiter = AccountLimiter(router_id, failure_domain, self._policy, first_sequence)
         self._allocator = ShareAllocator(router_id, failure_domain, self._policy, now_s, is_alone)
-        self._waiting: list[Deferred] = []
+        self._waiters: list[Deferred] = []
         self._timer: Any = None
         self._is_stopped = False
-        membership.register_kind(REPORT_KIND, self._heard_report)
-        membership.register_kind(GRANT_KIND, self._heard_grant)
+        membership.register_kind(REPORT_KIND, self._receive_report)
+        membership.register_kind(GRANT_KIND, self._receive_grant)
 
     @property
     def is_learning(self) -> bool:
-        """Tell whether shares leased before this start may still be in use unseen."""
-        return self._clock.seconds() < self._blind_until_s
+        """Return whether shares leased before this start may be in use without being known."""
+        return self._clock.seconds() < self._learning_until_s
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Follow the confirmed limits."""
+        """Apply the confirmed limits."""
         limits = {
             _limit_name(name, kind): AccountLimit(
                 account.max_concurrent_requests, account.max_tokens_per_s
@@ -102,66 +103,66 @@
         self._limiter.set_limits(limits, self._domains)
         self._allocator.set_limits(limits, self._domains)
 
-    async def admit(self, work: Work) -> None:
-        """Let a request in, after a wait for a grant if need be, or raise `RefusedError`."""
+    async def admit(self, work: WorkItem) -> None:
+        """Admit a request, waiting for a grant if needed, or raise `RefusedError`."""
         wait_until_s = None
         tokens = int(work.total_tokens)
         name = _limit_name(work.account.name, work.kind)
         while True:
             now_s = self._clock.seconds()
             decision = self._limiter.admit(name, tokens, now_s, wait_until_s)
-            self._plan_report()
+            self._schedule_report()
             if decision.outcome is LimitOutcome.ADMITTED:
                 return
             if decision.refusal is not None:
                 raise RefusedError(decision.refusal)
             wait_until_s = decision.wait_until_s
-            await self._grant_or_time(decision.retry_at_s - now_s, work)
+            await self._wait_for_grant(decision.retry_at_s - now_s, work)
 
-    def release(self, work: Work, used_tokens: int | None) -> None:
-        """Note that an admitted request ended and what it cost, if that is known."""
+    def release(self, work: WorkItem, used_tokens: int | None) -> None:
+        """Record that an admitted request ended, with its token usage if known."""
         expected = int(work.total_tokens)
         used = expected if used_tokens is None else used_tokens
         name = _limit_name(work.account.name, work.kind)
         self._limiter.release(name, expected, used, self._clock.seconds())
-        self._plan_report()
-        self._wake()
+        self._schedule_report()
+        self._wake_all()
 
     def stop(self) -> None:
-        """Report no more."""
+        """Stop sending reports."""
         self._is_stopped = True
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _grant_or_time(self, timeout_s: float, work: Work) -> Deferred:
-        """Return a Deferred that fires at the next grant, release, or after a time."""
-        woken: Deferred = Deferred()
-        timer = self._clock.callLater(max(timeout_s, 0.0), self._fire, woken)
-        self._waiting.append(woken)
-        work.caller.when_gone(lambda: self._fire(woken))
+    def _wait_for_grant(self, timeout_s: float, work: WorkItem) -> Deferred:
+        """Return a Deferred that fires at the next grant, the next release or the timeout."""
+        wakeup: Deferred = Deferred()
+        timer = self._clock.callLater(max(timeout_s, 0.0), self._wake_one, wakeup)
+        self._waiters.append(wakeup)
+        work.caller.when_gone(lambda: self._wake_one(wakeup))
 
         def stop_timer(result: Any) -> Any:
             if timer.active():
                 timer.cancel()
             return result
 
-        return woken.addBoth(stop_timer)
+        return wakeup.addBoth(stop_timer)
 
-    def _fire(self, woken: Deferred) -> None:
+    def _wake_one(self, wakeup: Deferred) -> None:
         """Wake one waiting request."""
-        if woken in self._waiting:
-            self._waiting.remove(woken)
-            woken.callback(None)
+        if wakeup in self._waiters:
+            self._waiters.remove(wakeup)
+            wakeup.callback(None)
 
-    def _wake(self) -> None:
+    def _wake_all(self) -> None:
         """Wake every waiting request."""
-        waiting, self._waiting = self._waiting, []
-        for woken in waiting:
-            woken.callback(None)
+        waiters, self._waiters = self._waiters, []
+        for wakeup in waiters:
+            wakeup.callback(None)
 
-    def _plan_report(self) -> None:
-        """Report when the limiter next has something to say."""
+    def _schedule_report(self) -> None:
+        """Schedule the next report at the time the limiter asks for."""
         due_s = self._limiter.next_report_s()
         if due_s is None or self._is_stopped:
             return
@@ -170,65 +171,65 @@
                 return
             self._timer.cancel()
         delay_s = max(0.0, due_s - self._clock.seconds())
-        self._timer = self._clock.callLater(delay_s, self._report)
+        self._timer = self._clock.callLater(delay_s, self._send_reports)
 
-    def _report(self) -> None:
-        """Send the reports that are due; one to this router needs no datagram."""
+    def _send_reports(self) -> None:
+        """Send the reports that are due; a report to this router is handled locally."""
         self._timer = None
         now_s = self._clock.seconds()
         for router_id, report in self._limiter.reports(self._routers(), now_s):
             if router_id == self._router_id:
-                self._take_report(router_id, report)
+                self._handle_report(router_id, report)
             else:
                 payload = self._codec.encode_report(report, router_id)
                 self._membership.send(REPORT_KIND, router_id, payload, _urgency(report))
-        self._plan_report()
+        self._schedule_report()
 
     def _routers(self) -> dict[str, list[str]]:
-        """Return the live routers of each failure domain, this one among them."""
+        """Return the live routers of each failure domain, including this one."""
         routers: dict[str, list[str]] = {self._domain: [self._router_id]}
         for record in self._membership.routers():
             if record.router_id != self._router_id:
                 routers.setdefault(record.failure_domain, []).append(record.router_id)
         return routers
 
-    def _heard_report(self, router_id: str, payload: bytes) -> None:
-        """Take a report from another router, or drop one that is malformed."""
+    def _receive_report(self, router_id: str, payload: bytes) -> None:
+        """Handle a report from another router; drop a malformed one."""
         try:
             report = self._codec.decode_report(router_id, self._router_id, payload)
         except MessageError as error:
-            logger.warning("report of demand dropped", error=str(error))
+            logger.warning("malformed report of demand dropped", error=str(error))
             return
-        self._take_report(router_id, report)
+        self._handle_report(router_id, report)
 
-    def _take_report(self, router_id: str, report: DemandReport) -> None:
-        """Answer a report with what its router may use."""
+    def _handle_report(self, router_id: str, report: DemandReport) -> None:
+        """Answer a report with a grant, and send the recalls that it causes."""
         self._allocator.set_routers(frozenset(self._routers()[self._domain]))
         grant = self._allocator.handle_report(report, self._clock.seconds())
         for holder_id, recall in self._allocator.pop_recalls():
-            self._give(holder_id, recall)
+            self._send_grant(holder_id, recall)
         if grant is not None:
-            self._give(router_id, grant)
+            self._send_grant(router_id, grant)
 
-    def _give(self, router_id: str, grant: ShareGrant) -> None:
-        """Send a grant or recall; one to this router needs no datagram."""
+    def _send_grant(self, router_id: str, grant: ShareGrant) -> None:
+        """Send a grant or recall; one to this router is applied locally."""
         if router_id == self._router_id:
-            self._take_grant(grant)
+            self._apply_grant(grant)
         else:
             payload = self._codec.encode_grant(grant)
             self._membership.send(GRANT_KIND, router_id, payload, Urgency.LIMITS)
 
-    def _heard_grant(self, router_id: str, payload: bytes) -> None:
-        """Take a grant from another router, or drop one that is malformed."""
+    def _receive_grant(self, router_id: str, payload: bytes) -> None:
+        """Handle a grant from another router; drop a malformed one."""
         try:
             grant = self._codec.decode_grant(router_id, payload)
         except MessageError as error:
-            logger.warning("grant of shares dropped", error=str(error))
+            logger.warning("malformed grant of shares dropped", error=str(error))
             return
-        self._take_grant(grant)
+        self._apply_grant(grant)
 
-    def _take_grant(self, grant: ShareGrant) -> None:
-        """Apply a grant and let waiting requests try again."""
+    def _apply_grant(self, grant: ShareGrant) -> None:
+        """Apply a grant and wake the waiting requests."""
         self._limiter.apply_grant(grant, self._clock.seconds())
-        self._plan_report()
-        self._wake()
+        self._schedule_report()
+        self._wake_all()
--- a/packages/router/src/damaskwind/router/arrival.py
+++ b/packages/router/src/damaskwind/router/admitted_request.py
@@ -1,4 +1,4 @@
-"""A caller's request that was let in."""
+"""A caller's request that passed authentication and validation."""
 
 from typing import Any, NamedTuple
 
@@ -6,11 +6,11 @@
 from damaskwind.router.caller import Caller
 from damaskwind.router.explain import RequestRecord
 
-__all__ = ["Arrival"]
+__all__ = ["AdmittedRequest"]
 
 
-class Arrival(NamedTuple):
-    """A request that was let in, under the configuration of its arrival."""
+class AdmittedRequest(NamedTuple):
+    """An admitted request, with the configuration in force when it arrived."""
 
     request: Any
     request_id: str
--- a/packages/router/src/damaskwind/router/chat_request.py
+++ b/packages/router/src/damaskwind/router/chat_request.py
@@ -1,4 +1,4 @@
-"""Check the body of a chat request and work out what the router needs of it."""
+"""Validate the body of a chat request and derive what routing needs."""
 
 from typing import Any, NamedTuple
 
@@ -28,10 +28,10 @@
 
 
 class ChatRequest(NamedTuple):
-    """A checked chat request.
+    """A validated chat request.
 
-    `engine_body` is what the engine gets. `need_tokens` estimates the work,
-    `total_tokens` the tokens that count against the account's limit.
+    `engine_body` is the body sent to the engine. `need_tokens` estimates the load on
+    the engine, `total_tokens` the tokens that count against the account's limit.
     """
 
     name: ModelName
@@ -47,11 +47,11 @@
 
 
 def _bad_request(detail: str) -> RefusedError:
-    """Make the error for a body that is malformed."""
+    """Return the error for a malformed body."""
     return RefusedError(Refusal(Reason.BAD_REQUEST, Verdict.NOT_RUN, detail))
 
 
-def _decode(body: bytes) -> dict[str, Any]:
+def _parse_fields(body: bytes) -> dict[str, Any]:
     """Parse a body and check the fields that the router reads."""
     try:
         fields = msgspec.json.decode(body)
@@ -70,8 +70,8 @@
     return fields
 
 
-def _messages(raw: list[Any]) -> list[Message]:
-    """Check the messages and give each its canonical text."""
+def _parse_messages(raw: list[Any]) -> list[Message]:
+    """Validate the messages and convert the content of each to canonical text."""
     if not raw:
         raise _bad_request("'messages' is empty")
     messages = []
@@ -81,18 +81,18 @@
         content = item.get("content")
         if content is not None and not isinstance(content, str | list):
             raise _bad_request(f"'messages[{index}].content' must be text or a list of parts")
-        text = content if isinstance(content, str) else _canonical(content)
+        text = content if isinstance(content, str) else _canonical_text(content)
         messages.append(Message(item["role"], text))
     return messages
 
 
-def _canonical(content: Any) -> str:
-    """Return the one text that stands for contents that are no text."""
+def _canonical_text(content: Any) -> str:
+    """Return the canonical text of content that is not plain text: JSON with sorted keys."""
     return msgspec.json.encode(content, order="sorted").decode()
 
 
 def _generated_tokens(fields: dict[str, Any]) -> int:
-    """Return how many tokens the caller lets the engine generate."""
+    """Return the maximum number of tokens that the engine may generate."""
     wanted = fields.get("max_completion_tokens") or fields.get("max_tokens")
     if wanted is not None and wanted < 1:
         raise _bad_request("'max_tokens' must be at least 1")
@@ -100,13 +100,13 @@
 
 
 def _prompt_tokens(messages: list[Message]) -> float:
-    """Estimate the tokens of some messages."""
+    """Estimate the number of tokens in messages."""
     characters = sum(len(message.content) for message in messages)
     return characters / CHARACTERS_PER_TOKEN
 
 
 def _new_messages(messages: list[Message]) -> list[Message]:
-    """Return the messages after the last answer: the rest is expected in the cache."""
+    """Return the messages from the last answer on; earlier ones are expected in the cache."""
     for index in range(len(messages) - 1, -1, -1):
         if messages[index].role == "assistant":
             return messages[index:]
@@ -114,12 +114,12 @@
 
 
 def _unknown_model(text: str) -> RefusedError:
-    """Make the one error for a model that is unknown or not allowed."""
+    """Return the error for a model that is unknown or not allowed; both look the same."""
     detail = f"the model '{text}' does not exist or you do not have access to it"
     return RefusedError(Refusal(Reason.UNKNOWN_MODEL, Verdict.NOT_RUN, detail))
 
 
-def _resolve(text: str, account: ClientAccount, configuration: Configuration) -> ModelName:
+def _resolve_model(text: str, account: ClientAccount, configuration: Configuration) -> ModelName:
     """Fill in the default version and check the account's grants."""
     name = parse_model_name(text)
     model = configuration.models.get(name.model)
@@ -130,14 +130,14 @@
         if (grant.model, grant.version) != (name.model, name.version):
             continue
         version = next((v for v in model.versions if v.version == name.version), None)
-        known = version is not None and (not name.adapter or name.adapter in version.adapters)
-        if known and (not name.adapter or name.adapter in grant.adapters):
+        is_served = version is not None and (not name.adapter or name.adapter in version.adapters)
+        if is_served and (not name.adapter or name.adapter in grant.adapters):
             return name
     raise _unknown_model(text)
 
 
 def _engine_body(fields: dict[str, Any], name: ModelName, stream: bool) -> bytes:
-    """Encode the body for the engine: the bare model name, usage always asked for."""
+    """Encode the body for the engine: the bare model name, and usage always requested."""
     changed = {**fields, "model": name.model}
     if stream:
         changed["stream_options"] = {**(fields.get("stream_options") or {}), "include_usage": True}
@@ -147,11 +147,14 @@
 def parse_chat_request(
     body: bytes, account: ClientAccount, configuration: Configuration
 ) -> ChatRequest:
-    """Check a body against the account's grants; raise `RefusedError` when it fails."""
-    fields = _decode(body)
-    messages = _messages(fields["messages"])
+    """Parse a body and check it against the account's grants.
+
+    Raise `RefusedError` for a malformed body or a model that the account may not use.
+    """
+    fields = _parse_fields(body)
+    messages = _parse_messages(fields["messages"])
     generated = _generated_tokens(fields)
-    name = _resolve(fields["model"], account, configuration)
+    name = _resolve_model(fields["model"], account, configuration)
     pool = PoolName(configuration.models[name.model].service, *name)
     stream = bool(fields.get("stream"))
     return ChatRequest(
@@ -169,7 +172,7 @@
 
 
 def visible_models(account: ClientAccount, configuration: Configuration) -> list[str]:
-    """Name every model, version and adapter that an account may use."""
+    """Return the names of every model, version and adapter that an account may use."""
     names = []
     for grant in account.models:
         model = configuration.models.get(grant.model)
--- a/packages/router/src/damaskwind/router/configuration/state_file.py
+++ b/packages/router/src/damaskwind/router/configuration/state_file.py
@@ -1,4 +1,4 @@
-"""Keep the configuration in force over a restart of the router."""
+"""Store the configuration in force, so that it survives a restart of the router."""
 
 from pathlib import Path
 
@@ -15,16 +15,16 @@
 _DIGEST_BYTES = 16
 
 
-def write_state_file(path: Path, whole: Configuration) -> None:
-    """Replace the file by a configuration, whole or not at all."""
-    data = encode_configuration(whole)
+def write_state_file(path: Path, configuration: Configuration) -> None:
+    """Replace the file atomically by one with a configuration."""
+    data = encode_configuration(configuration)
     replace_file_synced(path, xxhash.xxh3_128_digest(data) + data)
 
 
 def read_state_file(path: Path) -> Configuration | None:
-    """Return the configuration in a file; `None` when there is none or it is damaged.
+    """Return the configuration in a file, or `None` if it is missing or damaged.
 
-    A damaged file is only a lost hint: the router asks the others, as a new one does.
+    A damaged file does no harm: the router polls other sources, as a new router does.
     """
     try:
         content = path.read_bytes()
--- a/packages/router/src/damaskwind/router/dispatcher.py
+++ b/packages/router/src/damaskwind/router/dispatcher.py
@@ -1,7 +1,8 @@
-"""Send a request to a target, and to another one when the verdict allows it.
+"""Send a request to a target and retry it elsewhere when the verdict allows it.
 
-A request that certainly did not run may go elsewhere; one that may have run is
-sent again only when it is idempotent, and never once a byte was passed on.
+A request that certainly did not run may be sent to another target. One that may
+have run is retried only if it is idempotent, and never after a byte of the answer
+was forwarded to the caller.
 """
 
 from collections.abc import Awaitable, Callable
@@ -23,16 +24,16 @@
 from damaskwind.router.placing import Placing
 from damaskwind.router.target_client import AttemptError
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_wishes import TargetWishes, said_in
-from damaskwind.router.work import Work
+from damaskwind.router.target_signals import TargetSignalTracker, parse_response_signals
+from damaskwind.router.work import WorkItem
 
-__all__ = ["Dispatcher", "Placed"]
+__all__ = ["Dispatcher", "TargetAnswer"]
 
 Send = Callable[[TargetView], Awaitable[IResponse]]
 
 
-class Placed(NamedTuple):
-    """A target that has begun to answer."""
+class TargetAnswer(NamedTuple):
+    """A target that started to answer, with the head of its response."""
 
     target: TargetView
     response: IResponse
@@ -40,47 +41,47 @@
 
 
 class Dispatcher:
-    """Place requests, send them, and retry by verdict within the budget."""
+    """Place requests, send them, and retry them by verdict within the retry budget."""
 
     def __init__(
         self,
         placing: Placing,
         limits: AccountLimits,
         health: TargetHealth,
-        wishes: TargetWishes,
+        signals: TargetSignalTracker,
         reactor: Any,
         random: Random,
     ) -> None:
         self._placing = placing
         self._limits = limits
         self._health = health
-        self._wishes = wishes
+        self._signals = signals
         self._reactor = reactor
         self._random = random
         self._policy = RetryPolicy()
         self._budgets = {kind: RetryBudget(Policy().retry_share) for kind in TargetKind}
-        self.attempt_ended: Callable[[Work, Verdict, str], None] = lambda *ignored: None
+        self.on_attempt_ended: Callable[[WorkItem, Verdict, str], None] = lambda *ignored: None
 
     def set_policy(self, policy: Policy) -> None:
-        """Take a confirmed policy over."""
+        """Apply a confirmed policy."""
         self._policy = RetryPolicy(max_attempts=policy.max_attempts)
         for budget in self._budgets.values():
             budget.share = policy.retry_share
 
-    async def run(self, work: Work, send: Send) -> Placed:
-        """Return the target that answers; raise `RefusedError` when none does.
+    async def run(self, work: WorkItem, send: Send) -> TargetAnswer:
+        """Return the answer of a target; raise `RefusedError` when no target answers.
 
-        What is returned must be handed to `finish` in the end.
+        The caller must pass the returned answer to `finish` when the request ends.
         """
         await self._limits.admit(work)
         try:
-            return await self._attempt(work, send)
+            return await self._try_targets(work, send)
         except BaseException:
             self._limits.release(work, 0)
             raise
 
-    async def _attempt(self, work: Work, send: Send) -> Placed:
-        """Try one target after the other."""
+    async def _try_targets(self, work: WorkItem, send: Send) -> TargetAnswer:
+        """Try targets one after the other until one answers."""
         self._budgets[work.kind].count_request(self._reactor.seconds())
         failures: list[AttemptError] = []
         tried: frozenset[str] = frozenset()
@@ -90,8 +91,8 @@
             try:
                 response = await send(target)
             except AttemptError as error:
-                self._wishes.hear(target, error.said)
-                self._failed(work, target, started_s, error)
+                self._signals.observe(target, error.signals)
+                self._record_failure(work, target, started_s, error)
                 failures.append(error)
                 tried |= {target.target_id}
                 await deferLater(self._reactor, self._retry_delay_s(work, failures))
@@ -99,29 +100,32 @@
                 self._placing.end(work, target, False)
                 raise
             else:
-                self._wishes.hear(target, said_in(response))
-                return Placed(target, response, started_s)
+                self._signals.observe(target, parse_response_signals(response))
+                return TargetAnswer(target, response, started_s)
 
     def finish(
         self,
-        work: Work,
-        placed: Placed,
+        work: WorkItem,
+        answer: TargetAnswer,
         verdict: Verdict,
         reason: str = "",
         detail: str = "",
         used_tokens: int | None = None,
     ) -> None:
-        """End a request that a target had begun to answer."""
+        """End a request that a target started to answer, and record its result."""
         self._limits.release(work, used_tokens)
-        self._placing.end(work, placed.target, verdict is Verdict.RAN)
+        self._placing.end(work, answer.target, verdict is Verdict.RAN)
         if not work.caller.gone:
-            self._health.observe(placed.target, verdict is Verdict.RAN)
-        self._note(work, placed.target, placed.started_s, verdict, reason, detail)
+            self._health.observe(answer.target, verdict is Verdict.RAN)
+        self._record_attempt(work, answer.target, answer.started_s, verdict, reason, detail)
 
     async def _place(
-        self, work: Work, tried: frozenset[str], failures: list[AttemptError]
+        self, work: WorkItem, tried: frozenset[str], failures: list[AttemptError]
     ) -> TargetView:
-        """Choose a target; a refusal, or a caller's leaving, tells of the attempts before it."""
+        """Choose a target.
+
+        If that fails after earlier attempts, the refusal carries the verdict of those attempts.
+        """
         try:
             return await self._placing.place(work, tried)
         except (RefusedError, CancelledError) as error:
@@ -132,17 +136,17 @@
                 refusal = refusal._replace(retry_after_s=error.refusal.retry_after_s)
             raise RefusedError(refusal) from error
 
-    def _failed(
-        self, work: Work, target: TargetView, started_s: float, error: AttemptError
+    def _record_failure(
+        self, work: WorkItem, target: TargetView, started_s: float, error: AttemptError
     ) -> None:
-        """End an attempt that failed before its answer."""
+        """Record an attempt that failed before its answer started."""
         self._placing.end(work, target, False)
         if error.suspect and not work.caller.gone:
             self._health.observe(target, False)
-        self._note(work, target, started_s, error.verdict, error.reason, error.detail)
+        self._record_attempt(work, target, started_s, error.verdict, error.reason, error.detail)
 
-    def _retry_delay_s(self, work: Work, failures: list[AttemptError]) -> float:
-        """Return the wait before the next attempt; raise `RefusedError` when there is none."""
+    def _retry_delay_s(self, work: WorkItem, failures: list[AttemptError]) -> float:
+        """Return the delay before the next attempt; raise `RefusedError` if none is allowed."""
         last = failures[-1]
         if work.caller.gone or last.final:
             raise RefusedError(self._refusal(failures))
@@ -158,31 +162,31 @@
             self._policy,
             self._random,
         )
-        work.record.noted(f"retry: {decision.reason}", now_s)
+        work.record.add_event(f"retry: {decision.reason}", now_s)
         if not decision.retry:
             raise RefusedError(self._refusal(failures))
         return decision.delay_s
 
     def _refusal(self, failures: list[AttemptError]) -> Refusal:
-        """Make the answer to a request whose attempts failed: the worst verdict counts."""
+        """Return the refusal of a request whose attempts failed, with the worst verdict."""
         last = failures[-1]
         verdict = worst_verdict([failure.verdict for failure in failures])
         return Refusal(last.reason, verdict, last.detail, last.retry_after_s)
 
-    def _note(
+    def _record_attempt(
         self,
-        work: Work,
+        work: WorkItem,
         target: TargetView,
         started_s: float,
         verdict: Verdict,
         reason: str,
         detail: str,
     ) -> None:
-        """Write an attempt into the request's record and the metrics."""
+        """Add an attempt to the request's record and to the metrics."""
         record = work.record
         duration_ms = round((self._reactor.seconds() - started_s) * 1000, 2)
-        started_ms = record.since_ms(started_s)
+        started_ms = record.elapsed_ms(started_s)
         record.attempts.append(
             AttemptRecord(target.target_id, started_ms, duration_ms, verdict, str(reason), detail)
         )
-        self.attempt_ended(work, verdict, str(reason))
+        self.on_attempt_ended(work, verdict, str(reason))
--- a/packages/router/src/damaskwind/router/gateway.py
+++ b/packages/router/src/damaskwind/router/gateway.py
@@ -1,4 +1,4 @@
-"""Let a caller's request in: who it is, by when it must be answered, and its record."""
+"""Admit callers' requests: authentication, deadline, and the request's record."""
 
 from collections.abc import Callable
 from math import isfinite
@@ -11,8 +11,8 @@
 from damaskwind.model.exception import RefusedError
 from damaskwind.model.reason import Reason
 from damaskwind.model.verdict import Refusal, Verdict
+from damaskwind.router.admitted_request import AdmittedRequest
 from damaskwind.router.answers import refuse
-from damaskwind.router.arrival import Arrival
 from damaskwind.router.authentication import account_index, bearer_key
 from damaskwind.router.caller import Caller
 from damaskwind.router.explain import ExplainLog, RequestRecord
@@ -20,7 +20,7 @@
 
 __all__ = ["Gateway"]
 
-_LAST_CLASS = PriorityClass("none", 9, 1)
+_LOWEST_PRIORITY = PriorityClass("none", 9, 1)
 _MAX_KEY_CHARACTERS = 255
 
 
@@ -30,7 +30,7 @@
 
 
 def _timeout_s(request: Any, limit_s: float) -> float:
-    """Return the caller's own timeout, at most the limit."""
+    """Return the caller's timeout, capped at the limit."""
     text = request.getHeader("x-timeout-s")
     if text is None:
         return limit_s
@@ -44,7 +44,7 @@
 
 
 def _idempotency_key(request: Any) -> str:
-    """Return the caller's key for the request, if it gave one."""
+    """Return the idempotency key of a request, or an empty text."""
     key = request.getHeader("idempotency-key") or ""
     if len(key) > _MAX_KEY_CHARACTERS or not key.isascii():
         raise _bad_request(f"'Idempotency-Key' must be at most {_MAX_KEY_CHARACTERS} characters")
@@ -59,11 +59,11 @@
         self._idempotency = idempotency
         self._clock = clock
         self.in_progress = 0
-        self.ended: Callable[[RequestRecord], None] = lambda record: None
+        self.on_request_ended: Callable[[RequestRecord], None] = lambda record: None
         self.set_configuration(Configuration())
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Put a configuration in force for all requests from now on."""
+        """Apply a configuration to all requests that arrive from now on."""
         self.configuration = configuration
         self._accounts = account_index(configuration)
 
@@ -74,40 +74,42 @@
     def handle(self, request: Any, serve: Serve) -> Deferred:
         """Run one request to its end.
 
-        The Deferred for klein is a separate one, so that nothing but the
-        caller's going away, which `Caller` reports, ends a request early.
+        Klein gets a separate Deferred, so that its cancellation does not end the request:
+        only a lost caller connection, which `Caller` reports, ends a request early.
         """
         answered: Deferred = Deferred(lambda cancelled: None)
         self.in_progress += 1
         running = ensureDeferred(self._run(request, serve))
-        running.addBoth(self._finished)
+        running.addBoth(self._count_finished)
         running.addBoth(lambda result: None if answered.called else answered.callback(result))
         return answered
 
     async def _run(self, request: Any, serve: Serve) -> bytes | None:
-        """Let a request in, serve it, and answer its refusal."""
+        """Admit a request, serve it, and answer with its refusal if it is refused."""
         now_s = self._clock.seconds()
         record = self._explain.start(request.request_id, request.path.decode("latin-1"), now_s)
         caller = Caller(request)
         try:
-            arrival = self._admit(request, record, caller, now_s)
-            body = await self._idempotency.run(arrival, serve)
-            self.ended(record)
+            admitted = self._admit(request, record, caller, now_s)
+            body = await self._idempotency.run(admitted, serve)
+            self.on_request_ended(record)
             return body
         except RefusedError as error:
             refusal = error.refusal
         except CancelledError:
             refusal = Refusal(Reason.CALLER_TIMEOUT, Verdict.NOT_RUN, "the caller left the queue")
-        except Exception as error:  # a fault of ours must not look like "not run"
+        except Exception as error:  # a bug in the router must not be reported as "not run"
             logger.opt(exception=error).error("request failed", request=request.request_id)
             refusal = Refusal(Reason.TARGET_FAILED, Verdict.MAY_HAVE_RUN, "the router failed")
         record.end(refusal.verdict, refusal.reason, refusal.detail, self._clock.seconds())
-        self.ended(record)
+        self.on_request_ended(record)
         if caller.gone or request.startedWriting:
             return None
         return refuse(request, request.request_id, refusal)
 
-    def _admit(self, request: Any, record: RequestRecord, caller: Caller, now_s: float) -> Arrival:
+    def _admit(
+        self, request: Any, record: RequestRecord, caller: Caller, now_s: float
+    ) -> AdmittedRequest:
         """Check a request's key, size and headers."""
         configuration = self.configuration
         account = self.account_of(request)
@@ -116,11 +118,11 @@
             detail = f"the body is over {configuration.policy.body_limit_bytes} bytes"
             raise RefusedError(Refusal(Reason.TOO_LARGE, Verdict.NOT_RUN, detail))
         timeout_s = _timeout_s(request, configuration.policy.request_timeout_s)
-        return Arrival(
+        return AdmittedRequest(
             request,
             request.request_id,
             account,
-            configuration.priority_classes.get(account.priority_class, _LAST_CLASS),
+            configuration.priority_classes.get(account.priority_class, _LOWEST_PRIORITY),
             configuration,
             now_s + timeout_s,
             _idempotency_key(request),
@@ -128,7 +130,7 @@
             caller,
         )
 
-    def _finished(self, result: Any) -> Any:
-        """Count a request out."""
+    def _count_finished(self, result: Any) -> Any:
+        """Decrement the number of requests in progress."""
         self.in_progress -= 1
         return result
--- a/packages/router/src/damaskwind/router/operator_api.py
+++ b/packages/router/src/damaskwind/router/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a router: explain, targets, its own state, metrics."""
+"""The operator API of a router: explain, targets, the router's state, and metrics."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -18,32 +18,32 @@
 from damaskwind.router.gateway import Gateway
 from damaskwind.router.peer_addresses import PeerAddresses
 from damaskwind.router.placing import Placing
-from damaskwind.router.target_client import AttemptError, TargetCall, TargetClient, path_of
+from damaskwind.router.target_client import AttemptError, TargetCall, TargetClient, build_path
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_wishes import TargetWishes
+from damaskwind.router.target_signals import TargetSignalTracker
 from damaskwind.router.telemetry import Telemetry
 
-__all__ = ["OperatorApi", "Sources"]
+__all__ = ["OperatorApi", "RouterComponents"]
 
 _DRAIN_ROLES = frozenset(("planner", "confirmer"))
 _FORWARD_TIMEOUT_S = 5.0
 _ANSWER_LIMIT_BYTES = 1_048_576
-_LAST_SEQUENCE = 2**31 - 1
+_MAX_SEQUENCE = 2**31 - 1
 _FORWARDED = "x-forwarded-by"
 
 
 def _not_found(detail: str) -> RefusedError:
-    """Make the error for something that this router does not know."""
+    """Return the error for an object that is unknown to this router."""
     return RefusedError(Refusal(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail))
 
 
-def _leave_of(view: TargetView) -> TargetAnnouncement:
-    """Make the announcement that a target would make to leave; it ends its incarnation."""
+def _make_leave(view: TargetView) -> TargetAnnouncement:
+    """Return the announcement with which a target leaves; it ends the target's incarnation."""
     return TargetAnnouncement(
         target_id=view.target_id,
         incarnation=view.incarnation,
-        sequence=_LAST_SEQUENCE,
+        sequence=_MAX_SEQUENCE,
         kind=view.kind,
         service=view.service,
         failure_domain=view.failure_domain,
@@ -55,15 +55,15 @@
     )
 
 
-class Sources(NamedTuple):
-    """What the answers to operators are made from."""
+class RouterComponents(NamedTuple):
+    """The components of the router that the operator API reads."""
 
     router_id: str
     gateway: Gateway
     explain: ExplainLog
     directory: TargetDirectory
     health: TargetHealth
-    wishes: TargetWishes
+    signals: TargetSignalTracker
     placing: Placing
     membership: Any
     client: TargetClient
@@ -73,10 +73,10 @@
 
 
 class OperatorApi:
-    """The routes below `/operator/v1/` and `/metrics`."""
+    """The handlers of the routes below `/operator/v1/` and of `/metrics`."""
 
-    def __init__(self, sources: Sources, clock: Any) -> None:
-        self._sources = sources
+    def __init__(self, components: RouterComponents, clock: Any) -> None:
+        self._components = components
         self._clock = clock
 
     def install(self, app: Klein) -> None:
@@ -88,40 +88,40 @@
         app.route(f"{root}/router", methods=["GET"])(self.router)
         app.route("/metrics", methods=["GET"])(self.metrics)
 
-    def _check(self, request: Any, roles: frozenset[str] = frozenset()) -> None:
-        """Raise `RefusedError` unless an operator asks who has one of the roles."""
-        operators = operator_index(self._sources.gateway.configuration)
+    def _authorize(self, request: Any, roles: frozenset[str] = frozenset()) -> None:
+        """Raise `RefusedError` unless the caller is an operator with one of the roles."""
+        operators = operator_index(self._components.gateway.configuration)
         operator = operators.owner(bearer_key(request.getHeader("authorization")))
         if roles and not roles & set(operator.roles):
             detail = f"one of these roles is needed: {', '.join(sorted(roles))}"
             raise RefusedError(Refusal(Reason.FORBIDDEN, Verdict.NOT_RUN, detail))
 
     def explain(self, request: Any, request_id: str) -> bytes | Deferred:
-        """Tell what was done with a request, here or at the router that its id names."""
-        self._check(request)
-        record = self._sources.explain.find(request_id)
+        """Return a request's record, from here or from the router that its id names."""
+        self._authorize(request)
+        record = self._components.explain.find(request_id)
         if record is not None:
             return answer_json(
-                request, 200, {"router": self._sources.router_id, **record.as_table()}
+                request, 200, {"router": self._components.router_id, **record.as_table()}
             )
         router_id = router_of(request_id)
         forwarded = request.getHeader(_FORWARDED)
-        if forwarded or router_id in ("", self._sources.router_id):
+        if forwarded or router_id in ("", self._components.router_id):
             raise _not_found(f"request '{request_id}' is not known here, or no longer")
         return ensureDeferred(self._forward(request, request_id, router_id))
 
     async def _forward(self, request: Any, request_id: str, router_id: str) -> bytes:
-        """Ask the router that a request id names."""
-        address = await self._sources.peers.ask(router_id)
+        """Forward the query to the router that a request id names."""
+        address = await self._components.peers.request_address(router_id)
         if address is None:
             detail = f"router '{router_id}' can't be asked about request '{request_id}'"
             refusal = Refusal(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail)
             return refuse(request, request.request_id, refusal)
         headers = Headers({"authorization": [request.getHeader("authorization")]})
-        headers.setRawHeaders(_FORWARDED, [self._sources.router_id])
-        path = path_of("operator", "v1", "requests", request_id)
+        headers.setRawHeaders(_FORWARDED, [self._components.router_id])
+        path = build_path("operator", "v1", "requests", request_id)
         try:
-            response = await self._sources.client.send(
+            response = await self._components.client.send(
                 TargetCall(b"GET", address, path, headers), _FORWARD_TIMEOUT_S
             )
             body = await read_whole(response, _ANSWER_LIMIT_BYTES, _FORWARD_TIMEOUT_S, self._clock)
@@ -133,18 +133,22 @@
         return body
 
     def targets(self, request: Any) -> bytes:
-        """List the targets that this router knows."""
-        self._check(request)
-        return answer_json(request, 200, {"targets": [self._shown(v) for v in self._sorted()]})
+        """List the live targets known to this router."""
+        self._authorize(request)
+        return answer_json(
+            request, 200, {"targets": [self._describe_target(v) for v in self._sorted()]}
+        )
 
     def _sorted(self) -> list[TargetView]:
-        """Return the targets by id."""
-        return sorted(self._sources.directory.views(), key=lambda view: view.target_id)
+        """Return the targets sorted by id."""
+        return sorted(self._components.directory.views(), key=lambda view: view.target_id)
 
-    def _shown(self, view: TargetView) -> dict[str, Any]:
-        """Return one target as operators see it."""
+    def _describe_target(self, view: TargetView) -> dict[str, Any]:
+        """Return the description of one target for operators."""
         now_s = self._clock.seconds()
-        estimate = self._sources.directory.placers[view.kind].estimate_tokens(view.target_id, now_s)
+        estimate = self._components.directory.placers[view.kind].estimate_tokens(
+            view.target_id, now_s
+        )
         return {
             "target_id": view.target_id,
             "kind": view.kind,
@@ -153,32 +157,33 @@
             "address": str(view.address),
             "state": view.state,
             "incarnation": view.incarnation,
-            "circuit": self._sources.health.state(view.service, view.target_id),
-            "wish": self._sources.wishes.of(view),
+            "circuit": self._components.health.state(view.service, view.target_id),
+            "wish": self._components.signals.signal(view),
             "estimated_load_tokens": round(estimate, 1),
-            "requests_in_flight_here": self._sources.placing.in_flight.get(view.target_id, 0),
+            "requests_in_flight_here": self._components.placing.in_flight.get(view.target_id, 0),
             "models": [f"{offer.model}@{offer.version}" for offer in view.models],
         }
 
     def drain(self, request: Any, target_id: str) -> bytes:
-        """Give a target no new work, here and wherever the news reaches.
+        """Stop sending new work to a target, here and at all routers that gossip reaches.
 
-        It holds for the target's present incarnation: a restart brings it back.
+        This applies to the target's current incarnation only: after a restart it gets
+        work again.
         """
-        self._check(request, _DRAIN_ROLES)
-        view = self._sources.directory.find(target_id)
+        self._authorize(request, _DRAIN_ROLES)
+        view = self._components.directory.find(target_id)
         if view is None:
             raise _not_found(f"target '{target_id}' is not known here, or already gone")
-        self._sources.membership.announce(_leave_of(view), 0)
+        self._components.membership.announce(_make_leave(view), 0)
         answer = {"target_id": target_id, "incarnation": view.incarnation, "state": "leaving"}
         return answer_json(request, 200, answer)
 
     def router(self, request: Any) -> bytes:
-        """Tell the state of this router."""
-        self._check(request)
-        return answer_json(request, 200, self._sources.own_state())
+        """Return the state of this router."""
+        self._authorize(request)
+        return answer_json(request, 200, self._components.own_state())
 
     def metrics(self, request: Any) -> bytes:
-        """Return the metrics for a scraper, which needs no key."""
+        """Return the metrics in Prometheus text format; scrapers need no key."""
         request.setHeader(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
-        return self._sources.telemetry.metrics.render()
+        return self._components.telemetry.metrics.render()
--- a/packages/router/src/damaskwind/router/peer_addresses.py
+++ b/packages/router/src/damaskwind/router/peer_addresses.py
@@ -1,4 +1,4 @@
-"""Learn where another router listens for HTTP, by a datagram when it is needed."""
+"""Query the HTTP addresses of other routers by datagram, on demand."""
 
 from typing import Any
 
@@ -10,28 +10,28 @@
 __all__ = ["PeerAddresses"]
 
 KIND = "http"
-_ASK = b"?"
+_QUERY = b"?"
 _TIMEOUT_S = 1.0
 
 
 class PeerAddresses:
-    """The HTTP addresses of the routers that were asked for theirs."""
+    """Send and answer queries for HTTP addresses of routers."""
 
     def __init__(self, membership: Any, clock: Any) -> None:
         self._membership = membership
         self._clock = clock
         self._waiting: dict[str, list[Deferred]] = {}
         self.own_address = ""
-        membership.register_kind(KIND, self._heard)
+        membership.register_kind(KIND, self._receive)
 
-    def ask(self, router_id: str) -> Deferred:
-        """Return a Deferred with a router's address, or `None` when it stays silent."""
+    def request_address(self, router_id: str) -> Deferred:
+        """Return a Deferred with a router's address, or `None` if it does not answer in time."""
         answer: Deferred = Deferred()
-        if not self._membership.send(KIND, router_id, _ASK, Urgency.REPAIR):
+        if not self._membership.send(KIND, router_id, _QUERY, Urgency.REPAIR):
             answer.callback(None)
             return answer
         self._waiting.setdefault(router_id, []).append(answer)
-        timer = self._clock.callLater(_TIMEOUT_S, self._tell, router_id, None)
+        timer = self._clock.callLater(_TIMEOUT_S, self._resolve, router_id, None)
 
         def stop_timer(result: Any) -> Any:
             if timer.active():
@@ -40,9 +40,9 @@
 
         return answer.addBoth(stop_timer)
 
-    def _heard(self, router_id: str, payload: bytes) -> None:
-        """Answer a question, or take an answer in."""
-        if payload == _ASK:
+    def _receive(self, router_id: str, payload: bytes) -> None:
+        """Answer a query, or resolve pending queries with an answer."""
+        if payload == _QUERY:
             own = self.own_address.encode()
             self._membership.send(KIND, router_id, own, Urgency.REPAIR)
             return
@@ -50,9 +50,9 @@
             address = parse_address(payload.decode("ascii"))
         except (ValueError, UnicodeDecodeError):
             return
-        self._tell(router_id, address)
+        self._resolve(router_id, address)
 
-    def _tell(self, router_id: str, address: Any) -> None:
-        """Tell everybody who asked for a router's address."""
+    def _resolve(self, router_id: str, address: Any) -> None:
+        """Resolve all pending queries for a router's address."""
         for answer in self._waiting.pop(router_id, []):
             answer.callback(address)
--- a/packages/router/src/damaskwind/router/waiting_room.py
+++ b/packages/router/src/damaskwind/router/request_queues.py
@@ -1,7 +1,7 @@
-"""Hold requests that no target can take yet, one queue for each pool.
+"""Queue requests that no target can accept yet, with one queue for each pool.
 
-A request is tried again whenever a target may have got room, and at intervals,
-since estimates fall with time alone.
+Queued requests are retried whenever a target may have gained capacity, and also
+periodically, because load estimates decay with time alone.
 """
 
 from collections.abc import Callable, Mapping
@@ -15,7 +15,7 @@
 from damaskwind.model.exception import RefusedError
 from damaskwind.router.caller import Caller
 
-__all__ = ["WaitingRoom"]
+__all__ = ["RequestQueues"]
 
 _QUEUE_LIMIT_REQUESTS = 1000
 _PUMP_INTERVAL_S = 0.05
@@ -24,14 +24,14 @@
 
 
 class _Entry(NamedTuple):
-    """A waiting request: how to try it, and whom to tell."""
+    """A queued request: the function that tries to place it, and the Deferred of its result."""
 
     attempt: Callable[[], Any]
-    served: Deferred
+    placed: Deferred
 
 
-class WaitingRoom:
-    """The queues of all pools and the timers that they need."""
+class RequestQueues:
+    """The queues of all pools, with the timer that retries queued requests."""
 
     def __init__(self, clock: Any) -> None:
         self._clock = clock
@@ -44,43 +44,43 @@
         return len(self._entries)
 
     def set_classes(self, classes: Mapping[str, PriorityClass]) -> None:
-        """Follow the confirmed priority classes."""
+        """Apply the confirmed priority classes to all queues."""
         self._classes = classes
         for queue in self._queues.values():
             queue.set_classes(classes)
 
     def is_empty(self, pool: str) -> bool:
-        """Tell whether nobody waits for a pool, so that a newcomer may go straight in."""
+        """Return whether a pool's queue is empty, so that a new request may bypass it."""
         queue = self._queues.get(pool)
         return queue is None or not len(queue)
 
     def wait(
         self, pool: str, request: QueuedRequest, attempt: Callable[[], Any], caller: Caller
     ) -> Deferred:
-        """Queue a request; the Deferred gives what `attempt` found, or `RefusedError`.
+        """Queue a request; the Deferred fires with the result of `attempt` or `RefusedError`.
 
-        `attempt` returns `None` while no target can take the request, and raises
-        `RefusedError` when no wait helps.
+        `attempt` returns `None` while no target can accept the request, and raises
+        `RefusedError` when waiting cannot help.
         """
-        served: Deferred = Deferred(lambda cancelled: self._leave(pool, request.request_id))
-        self._entries[request.request_id] = _Entry(attempt, served)
+        placed: Deferred = Deferred(lambda cancelled: self._remove(pool, request.request_id))
+        self._entries[request.request_id] = _Entry(attempt, placed)
         queue = self._queues.get(pool)
         if queue is None:
             queue = self._queues[pool] = AdmissionQueue(self._classes, _QUEUE_LIMIT_REQUESTS)
         offer = queue.offer(request, self._clock.seconds())
-        self._give_up(offer.refused)
-        caller.when_gone(served.cancel)
+        self._refuse(offer.refused)
+        caller.when_gone(placed.cancel)
         if offer.queued:
             self._schedule(_PUMP_DELAY_S)
-        return served
+        return placed
 
-    def room_changed(self) -> None:
-        """Try the waiting requests soon: a target may have got room."""
+    def capacity_changed(self) -> None:
+        """Schedule a retry of the queued requests: a target may have gained capacity."""
         if self._entries:
             self._schedule(_PUMP_DELAY_S)
 
     def _schedule(self, delay_s: float) -> None:
-        """Try the waiting requests after a delay, or sooner when that is planned."""
+        """Retry the queued requests after a delay, or earlier if that is already scheduled."""
         due_s = self._clock.seconds() + delay_s
         if self._pump_timer is not None:
             if self._pump_timer.getTime() <= due_s:
@@ -89,19 +89,19 @@
         self._pump_timer = self._clock.callLater(delay_s, self._pump)
 
     def _pump(self) -> None:
-        """Serve what can be served, give up on what is late, and plan the next look."""
+        """Serve the requests that can be placed, refuse expired ones, schedule the next run."""
         self._pump_timer = None
         now_s = self._clock.seconds()
         for queue in list(self._queues.values()):
             self._serve(queue, now_s)
-            self._give_up(queue.expire(now_s))
+            self._refuse(queue.expire(now_s))
         if self._entries:
             expiries = [queue.next_expiry_s() for queue in self._queues.values()]
             soonest_s = min((at_s for at_s in expiries if at_s is not None), default=now_s)
             self._schedule(min(_PUMP_INTERVAL_S, max(soonest_s - now_s, 0.0)))
 
     def _serve(self, queue: AdmissionQueue, now_s: float) -> None:
-        """Take out every request of a queue that a target can take."""
+        """Remove every request from a queue that a target can accept now."""
         found: dict[str, Any] = {}
 
         def can_run(request: QueuedRequest) -> bool:
@@ -118,16 +118,16 @@
             if request is None:
                 return
             entry = self._entries.pop(request.request_id)
-            entry.served.callback(found.pop(request.request_id))
+            entry.placed.callback(found.pop(request.request_id))
 
-    def _give_up(self, given_up: tuple[RefusedRequest, ...]) -> None:
-        """Tell requests that they are refused."""
-        for one in given_up:
-            entry = self._entries.pop(one.request.request_id, None)
+    def _refuse(self, refused: tuple[RefusedRequest, ...]) -> None:
+        """Fail queued requests with their refusals."""
+        for item in refused:
+            entry = self._entries.pop(item.request.request_id, None)
             if entry is not None:
-                entry.served.errback(RefusedError(one.refusal))
+                entry.placed.errback(RefusedError(item.refusal))
 
-    def _leave(self, pool: str, request_id: str) -> None:
-        """Strike off a request whose caller went away."""
+    def _remove(self, pool: str, request_id: str) -> None:
+        """Remove a request whose caller disconnected."""
         if self._entries.pop(request_id, None) is not None:
             self._queues[pool].remove(request_id)
--- a/packages/router/src/damaskwind/router/target_client.py
+++ b/packages/router/src/damaskwind/router/target_client.py
@@ -1,8 +1,8 @@
-"""Send one request to one target and say honestly what became of it.
+"""Send one request to one target and return its response or the verdict of its failure.
 
-"Not run" is claimed only when the connection was never made, or by the target's
-own word. Once a request may have been written, everything else that fails means
-that it may have run.
+The verdict is "not run" only if no connection was established or the target itself
+reported it. Once a request may have been written, every other failure means that it
+may have run.
 """
 
 from typing import Any, NamedTuple
@@ -25,18 +25,18 @@
 from damaskwind.router.caller import Caller
 from damaskwind.router.connection_pool import CheckedConnectionPool
 
-__all__ = ["AttemptError", "BytesProducer", "TargetCall", "TargetClient", "path_of"]
+__all__ = ["AttemptError", "BytesProducer", "TargetCall", "TargetClient", "build_path"]
 
 _CONNECT_TIMEOUT_S = 2.0
 _CLOSE_TIMEOUT_S = 1.0
-_NEVER_CONNECTED = (ConnectError, ConnectingCancelledError, UserError)
+_CONNECT_ERRORS = (ConnectError, ConnectingCancelledError, UserError)
 
 
 class AttemptError(DamaskwindError):
-    """One attempt at a target failed; `verdict` says whether it may have run there.
+    """A failed attempt at a target; `verdict` tells whether the request may have run there.
 
-    `suspect` is set when the failure speaks against the target's health, `final`
-    when no other target would do better. `said` is what the target asked for.
+    `suspect` is set if the failure counts against the target's health, `final` if a
+    retry at another target would not help. `signals` are the target's signals.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         suspect: bool = True,
         retry_after_s: float | None = None,
         final: bool = False,
-        said: AnswerSignals = NO_SIGNALS,
+        signals: AnswerSignals = NO_SIGNALS,
     ) -> None:
         super().__init__(detail)
         self.verdict = verdict
@@ -56,7 +56,7 @@
         self.suspect = suspect
         self.retry_after_s = retry_after_s
         self.final = final
-        self.said = said
+        self.signals = signals
 
 
 class TargetCall(NamedTuple):
@@ -71,7 +71,7 @@
 
 @implementer(IBodyProducer)
 class BytesProducer:
-    """A request body that is already whole."""
+    """A request body that is completely in memory."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
@@ -95,85 +95,85 @@
 
 
 @implementer(IAgentEndpointFactory)
-class _NumberEndpoints:
-    """Connect to IP numbers: no name is ever looked up."""
+class _NumericEndpoints:
+    """Connect to numeric IP addresses without name resolution."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
 
     def endpointForURI(self, uri: Any) -> Any:  # noqa: N802
-        """Return the endpoint of a URI."""
+        """Return the TCP endpoint of a URI."""
         host = uri.host.decode("ascii")
         kind = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
         return kind(self._reactor, host, uri.port, _CONNECT_TIMEOUT_S)
 
 
 class TargetClient:
-    """Send requests over one pool of connections."""
+    """Send requests over a shared connection pool."""
 
     def __init__(self, reactor: Any) -> None:
         self.clock = IReactorTime(reactor)
         self._pool = CheckedConnectionPool(reactor)
-        self._agent = Agent.usingEndpointFactory(reactor, _NumberEndpoints(reactor), self._pool)
-        self._waiting: set[Deferred] = set()
-        self._settled: Deferred | None = None
+        self._agent = Agent.usingEndpointFactory(reactor, _NumericEndpoints(reactor), self._pool)
+        self._pending: set[Deferred] = set()
+        self._next_finished: Deferred | None = None
 
     async def send(
         self, call: TargetCall, timeout_s: float, caller: Caller | None = None
     ) -> IResponse:
-        """Return the response once its headers are here; raise `AttemptError` else.
+        """Return the response once its headers arrived, or raise `AttemptError`.
 
-        A caller that goes away ends the attempt at once.
+        If the caller disconnects, the attempt is cancelled immediately.
         """
         uri = b"http://%s:%d%s" % (call.address.host.encode(), call.address.port, call.path)
-        waiting = self._agent.request(call.method, uri, call.headers, call.body)
-        self._waiting.add(waiting)
-        timer = self.clock.callLater(max(timeout_s, 0.0), waiting.cancel)
+        pending = self._agent.request(call.method, uri, call.headers, call.body)
+        self._pending.add(pending)
+        timer = self.clock.callLater(max(timeout_s, 0.0), pending.cancel)
         if caller is not None:
-            caller.when_gone(waiting.cancel)
+            caller.when_gone(pending.cancel)
         try:
-            return await waiting
-        except _NEVER_CONNECTED as error:
+            return await pending
+        except _CONNECT_ERRORS as error:
             detail = f"the target was not reached: {error}"
             raise AttemptError(Verdict.NOT_RUN, Reason.TARGET_FAILED, detail) from error
         except CancelledError as error:
             detail = "the target did not answer in time"
             raise AttemptError(Verdict.MAY_HAVE_RUN, Reason.DEADLINE, detail) from error
-        except Exception as error:  # whatever broke after the connection was there
+        except Exception as error:  # any failure after the connection was established
             detail = f"the target broke off before its answer: {type(error).__name__}"
             raise AttemptError(Verdict.MAY_HAVE_RUN, Reason.TARGET_FAILED, detail) from error
         finally:
-            self._ended(waiting)
+            self._finish(pending)
             if timer.active():
                 timer.cancel()
 
     async def close(self) -> None:
-        """Let what is on its way end, for a short time, and close the connections."""
+        """Wait a short time for requests in progress, then close the connections."""
         limit = self.clock.callLater(_CLOSE_TIMEOUT_S, self._cancel_all)
-        while self._waiting:
-            self._settled = Deferred()
-            await self._settled
+        while self._pending:
+            self._next_finished = Deferred()
+            await self._next_finished
         if limit.active():
             limit.cancel()
         await self._pool.closeCachedConnections()
 
     def _cancel_all(self) -> None:
-        """Give up on everything that waits for an answer."""
-        for waiting in list(self._waiting):
-            waiting.cancel()
+        """Cancel all requests in progress."""
+        for pending in list(self._pending):
+            pending.cancel()
 
-    def _ended(self, waiting: Deferred) -> None:
-        """Note that a request got its answer or failed."""
-        self._waiting.discard(waiting)
-        settled, self._settled = self._settled, None
-        if settled is not None:
-            settled.callback(None)
+    def _finish(self, pending: Deferred) -> None:
+        """Remove a request that was answered or failed."""
+        self._pending.discard(pending)
+        finished, self._next_finished = self._next_finished, None
+        if finished is not None:
+            finished.callback(None)
 
 
-def path_of(*parts: str) -> bytes:
+def build_path(*parts: str) -> bytes:
     """Join quoted path segments.
 
-    >>> path_of("v1", "requests", "a/b")
+    >>> build_path("v1", "requests", "a/b")
     b'/v1/requests/a%2Fb'
     """
     return "".join("/" + quote(part, safe="") for part in parts).encode()
--- a/packages/router/src/damaskwind/router/tests/request_histories.py
+++ b/packages/router/src/damaskwind/router/tests/request_histories.py
@@ -1,9 +1,9 @@
-"""Histories of requests through the router's dispatcher, against the targets' own counts.
+"""Random histories of requests through the dispatcher, checked against run counts at targets.
 
-Targets join, leave and fail in every way that a request can; callers ask, wait
-in the queue and go away, by a clock that the history moves. A request must be
-answered whole to whom it belongs or refused truthfully, run at most once unless
-it is idempotent, and go to no target that has left.
+Targets join, leave and fail in every way that an attempt can. Callers send requests,
+wait in the queue and disconnect, on a clock that the history advances. Each request must
+get its own complete answer or a refusal with a correct verdict, run at most once unless
+it is idempotent, and never go to a target that has left.
 """
 
 from collections import Counter
@@ -41,64 +41,64 @@
 from damaskwind.router.dispatcher import Dispatcher
 from damaskwind.router.explain import RequestRecord
 from damaskwind.router.placing import Placing
+from damaskwind.router.request_queues import RequestQueues
 from damaskwind.router.target_client import AttemptError
 from damaskwind.router.target_directory import TargetDirectory
 from damaskwind.router.target_health import TargetHealth
-from damaskwind.router.target_wishes import TargetWishes
-from damaskwind.router.waiting_room import WaitingRoom
-from damaskwind.router.work import Work
+from damaskwind.router.target_signals import TargetSignalTracker
+from damaskwind.router.work import WorkItem
 
 __all__ = ["STEPS", "RequestsAgainstCounts"]
 
 STEPS = 40
 TARGETS = ("engine-0", "engine-1", "engine-2")
-PER_TARGET = 2
+MAX_PER_TARGET = 2
 DEADLINE_S = 5.0
 PUMP_S = 0.05
 POLICY = Policy(retry_share=0.5, ejection_base_s=0.5)
 POOL = PoolName("pool", "damask", "1")
 ACCOUNT = ClientAccount("library", (), "normal", 1000, 1e6)
 CLASS = PriorityClass("normal", 0, 1, queue_timeout_s=DEADLINE_S)
-SERVICE = Service("pool", "engine", max_concurrent_requests=PER_TARGET)
+SERVICE = Service("pool", "engine", max_concurrent_requests=MAX_PER_TARGET)
 CONFIGURATION = Configuration(
     1, priority_classes={"normal": CLASS}, services={"pool": SERVICE}, policy=POLICY
 )
 
 
-class Fate(NamedTuple):
-    """How one attempt ends: whether the target ran it, what the router is told and asked for."""
+class AttemptResult(NamedTuple):
+    """How one attempt ends: whether the target ran it, the reported verdict, target signals."""
 
     runs: bool
-    told: Verdict | None
-    said: AnswerSignals = NO_SIGNALS
-
-
-# An attempt that answers is told nothing yet: its answer may still be cut.
-FATES = {
-    "connection refused": Fate(False, Verdict.NOT_RUN),
-    "target refuses": Fate(False, Verdict.NOT_RUN),
-    "lost before it came": Fate(False, Verdict.MAY_HAVE_RUN),
-    "reset after it ran": Fate(True, Verdict.MAY_HAVE_RUN),
-    "answers": Fate(True, None),
-    "asks for rest": Fate(False, Verdict.NOT_RUN, AnswerSignals(rest_s=1.0)),
-    "fails and asks for rest": Fate(True, Verdict.MAY_HAVE_RUN, AnswerSignals(rest_s=0.3)),
-    "answers and leaves": Fate(True, None, AnswerSignals(is_leaving=True)),
+    reported: Verdict | None
+    signals: AnswerSignals = NO_SIGNALS
+
+
+# An attempt that answers has no verdict yet, because its answer may still be cut.
+ATTEMPT_RESULTS = {
+    "connection refused": AttemptResult(False, Verdict.NOT_RUN),
+    "target refuses": AttemptResult(False, Verdict.NOT_RUN),
+    "lost before it came": AttemptResult(False, Verdict.MAY_HAVE_RUN),
+    "reset after it ran": AttemptResult(True, Verdict.MAY_HAVE_RUN),
+    "answers": AttemptResult(True, None),
+    "asks for rest": AttemptResult(False, Verdict.NOT_RUN, AnswerSignals(rest_s=1.0)),
+    "fails and asks for rest": AttemptResult(True, Verdict.MAY_HAVE_RUN, AnswerSignals(rest_s=0.3)),
+    "answers and leaves": AttemptResult(True, None, AnswerSignals(is_leaving=True)),
 }
 LEAVING = Headers({b"x-leaving": [b"1"]})
 
 
 class NoLimits:
-    """Account limits that admit everything."""
+    """Account limits that admit every request."""
 
     async def admit(self, work):
-        """Admit."""
+        """Admit the request."""
 
     def release(self, work, used_tokens):
-        """Take nothing back."""
+        """Do nothing, since nothing was reserved."""
 
 
 class FakeRequest:
-    """A caller's request, as far as `Caller` asks."""
+    """A caller's request with the attributes that `Caller` uses."""
 
     channel = None
 
@@ -110,7 +110,7 @@
 
 
 class Answer(NamedTuple):
-    """What a target answers: whose answer it is, who gave it, and its head."""
+    """The answer of a target: the request that it belongs to, the target, and its head."""
 
     request_id: str
     target_id: str
@@ -119,29 +119,29 @@
 
 
 class Attempt(NamedTuple):
-    """An attempt that the history has not ended yet."""
+    """An attempt that is still in progress."""
 
-    asked: "Asked"
+    asked: "TrackedRequest"
     target_id: str
     incarnation: int
     waiting: Deferred
 
 
-class Asked:
-    """A request and what the oracle knows of it."""
+class TrackedRequest:
+    """A request and the state that the oracle tracks for it."""
 
     def __init__(self, work, request):
         self.work = work
         self.request = request
         self.runs = 0
         self.attempts = 0
-        self.placed = None
+        self.answer = None
         self.refusal = None
         self.is_over = False
 
 
 class RequestsAgainstCounts(RuleBasedStateMachine):
-    """The dispatcher with all its parts, and targets that count."""
+    """The dispatcher with all its components, and targets that count runs."""
 
     made = 0
 
@@ -153,31 +153,31 @@
         self.directory = TargetDirectory("r", "d", ("d",), POLICY, self.clock, random)
         self.health = TargetHealth(self.clock, random)
         self.health.set_policy(POLICY)
-        self.directory.members_watcher = self.health.set_targets
-        self.room = WaitingRoom(self.clock)
-        self.room.set_classes({"normal": CLASS})
-        self.wishes = TargetWishes(self.directory.find, self.clock)
+        self.directory.on_members_changed = self.health.set_targets
+        self.queues = RequestQueues(self.clock)
+        self.queues.set_classes({"normal": CLASS})
+        self.signals = TargetSignalTracker(self.directory.find, self.clock)
         self.placing = Placing(
             self.directory,
             self.health,
-            self.wishes,
-            self.room,
+            self.signals,
+            self.queues,
             lambda: CONFIGURATION,
             self.clock,
             random,
         )
         self.dispatcher = Dispatcher(
-            self.placing, NoLimits(), self.health, self.wishes, self.clock, random
+            self.placing, NoLimits(), self.health, self.signals, self.clock, random
         )
         self.dispatcher.set_policy(POLICY)
-        self.present = set()
+        self.live_targets = set()
         self.incarnations = Counter()
-        self.rests_until_s = Counter()
-        self.said_leaving = set()
+        self.paused_until_s = Counter()
+        self.announced_leaving = set()
         self.attempts = []
         self.asked = []
         self.at_target = Counter()
-        # What went wrong inside a Deferred, where an exception would be lost.
+        # Failures detected inside a Deferred, where an exception would be lost.
         self.faults = []
         for name in TARGETS[:2]:
             self.join(name)
@@ -187,9 +187,9 @@
     @rule(name=st.sampled_from(TARGETS))
     def join(self, name):
         """Let a target announce itself."""
-        if name not in self.present:
+        if name not in self.live_targets:
             self.incarnations[name] += 1
-        self.present.add(name)
+        self.live_targets.add(name)
         view = TargetView(
             name,
             self.incarnations[name],
@@ -207,20 +207,20 @@
 
     @rule(name=st.sampled_from(TARGETS), reason=st.sampled_from(list(GoneReason)))
     def leave(self, name, reason):
-        """Let a target leave or lapse; its work in progress goes on."""
-        self.present.discard(name)
+        """Let a target leave or its lease expire; its requests in progress continue."""
+        self.live_targets.discard(name)
         self.directory.handle_event(TargetGone(name, reason))
 
     # Callers.
 
     @rule(idempotent=st.booleans(), chat=st.integers(0, 5))
     def ask(self, idempotent, chat):
-        """Begin a request."""
+        """Start a request."""
         request_id = f"r.{len(self.asked)}"
         digest = xxhash.xxh3_128_hexdigest(str(chat).encode())
         request = FakeRequest()
         now_s = self.clock.seconds()
-        work = Work(
+        work = WorkItem(
             request_id,
             TargetKind.ENGINE,
             ACCOUNT,
@@ -232,38 +232,41 @@
             RequestRecord(request_id, "/", now_s),
             Caller(request),
         )
-        asked = Asked(work, request)
+        asked = TrackedRequest(work, request)
         self.asked.append(asked)
         running = ensureDeferred(self.dispatcher.run(work, lambda view: self.send(asked, view)))
         running.addCallbacks(
-            lambda placed: self.answered(asked, placed), lambda why: self.refused(asked, why)
+            lambda answer: self.answered(asked, answer), lambda why: self.refused(asked, why)
         )
 
     async def send(self, asked, view):
-        """Take an attempt at a target and leave its end to the history."""
+        """Check an attempt at a target, and leave it open until the history ends it."""
         asked.attempts += 1
         self.at_target[view.target_id] += 1
-        if view.target_id not in self.present:
+        if view.target_id not in self.live_targets:
             self.faults.append(f"new work for {view.target_id}, which has left")
-        life = (view.target_id, view.incarnation)
-        if life in self.said_leaving or self.rests_until_s[life] > self.clock.seconds():
+        incarnation = (view.target_id, view.incarnation)
+        if (
+            incarnation in self.announced_leaving
+            or self.paused_until_s[incarnation] > self.clock.seconds()
+        ):
             self.faults.append(f"new work for {view.target_id}, which wants none")
         if asked.attempts > POLICY.max_attempts:
             self.faults.append(f"{asked.work.request_id}: {asked.attempts} attempts")
-        if self.at_target[view.target_id] > PER_TARGET:
+        if self.at_target[view.target_id] > MAX_PER_TARGET:
             self.faults.append(f"{view.target_id} was given too much at once")
         waiting = Deferred()
-        self.attempts.append(Attempt(asked, *life, waiting))
+        self.attempts.append(Attempt(asked, *incarnation, waiting))
         return await waiting
 
-    def answered(self, asked, placed):
+    def answered(self, asked, answer):
         """Check that an answer belongs to the request."""
-        if placed.response[:2] != (asked.work.request_id, placed.target.target_id):
-            self.faults.append(f"{asked.work.request_id} was given {placed.response}")
-        asked.placed = placed
+        if answer.response[:2] != (asked.work.request_id, answer.target.target_id):
+            self.faults.append(f"{asked.work.request_id} was given {answer.response}")
+        asked.answer = answer
 
     def refused(self, asked, why):
-        """Hold a refusal against the count."""
+        """Record a refusal, or a fault if the request failed in another way."""
         asked.is_over = True
         if why.check(RefusedError):
             asked.refusal = why.value.refusal
@@ -271,77 +274,79 @@
             self.faults.append(f"{asked.work.request_id}: {why.getErrorMessage()}")
 
     def end(self, attempt, fate):
-        """End an attempt."""
+        """End an attempt with the given result."""
         self.attempts.remove(attempt)
         self.at_target[attempt.target_id] -= 1
         attempt.asked.runs += fate.runs
         if not attempt.asked.request.finished.called:
-            self.note_said(attempt, fate.said)
-        if fate.told is None:
-            headers = LEAVING if fate.said.is_leaving else Headers()
+            self.record_signals(attempt, fate.signals)
+        if fate.reported is None:
+            headers = LEAVING if fate.signals.is_leaving else Headers()
             answer = Answer(attempt.asked.work.request_id, attempt.target_id, headers)
             attempt.waiting.callback(answer)
             return
         attempt.waiting.errback(
-            AttemptError(fate.told, Reason.TARGET_FAILED, "by the history", said=fate.said)
+            AttemptError(
+                fate.reported, Reason.TARGET_FAILED, "by the history", signals=fate.signals
+            )
         )
 
-    def note_said(self, attempt, said):
-        """Hold the router to what a target asked for."""
-        life = (attempt.target_id, attempt.incarnation)
-        until_s = self.clock.seconds() + said.rest_s
-        self.rests_until_s[life] = max(self.rests_until_s[life], until_s)
-        if said.is_leaving:
-            self.said_leaving.add(life)
+    def record_signals(self, attempt, signals):
+        """Record the signals of a target, which the router must respect."""
+        incarnation = (attempt.target_id, attempt.incarnation)
+        until_s = self.clock.seconds() + signals.rest_s
+        self.paused_until_s[incarnation] = max(self.paused_until_s[incarnation], until_s)
+        if signals.is_leaving:
+            self.announced_leaving.add(incarnation)
 
     @precondition(lambda self: self.attempts)
-    @rule(data=st.data(), fate=st.sampled_from(sorted(FATES)))
+    @rule(data=st.data(), fate=st.sampled_from(sorted(ATTEMPT_RESULTS)))
     def end_attempt(self, data, fate):
-        """Let one of the attempts end in some way."""
-        self.end(data.draw(st.sampled_from(self.attempts)), FATES[fate])
+        """End one of the attempts with any result."""
+        self.end(data.draw(st.sampled_from(self.attempts)), ATTEMPT_RESULTS[fate])
 
     @rule(
         idempotent=st.booleans(),
-        fates=st.lists(st.sampled_from(sorted(FATES)), min_size=2, max_size=3),
+        fates=st.lists(st.sampled_from(sorted(ATTEMPT_RESULTS)), min_size=2, max_size=3),
     )
     def ask_and_fail(self, idempotent, fates):
-        """Begin a request and end one attempt of it after the other."""
+        """Start a request and end its attempts one after the other."""
         self.ask(idempotent, 0)
         for fate in fates:
             mine = [one for one in self.attempts if one.asked is self.asked[-1]]
             if mine:
-                self.end(mine[0], FATES[fate])
+                self.end(mine[0], ATTEMPT_RESULTS[fate])
                 self.clock.pump([PUMP_S] * 4)
 
     def open_answers(self):
-        """Return the requests whose answers are on their way."""
-        return [asked for asked in self.asked if asked.placed and not asked.is_over]
+        """Return the requests whose answers are in progress."""
+        return [asked for asked in self.asked if asked.answer and not asked.is_over]
 
     @precondition(lambda self: self.open_answers())
     @rule(data=st.data(), whole=st.booleans())
     def end_answer(self, data, whole):
-        """Let an answer end in order, or cut."""
+        """Let an answer end complete or cut."""
         asked = data.draw(st.sampled_from(self.open_answers()))
         verdict = Verdict.RAN if whole else Verdict.MAY_HAVE_RUN
-        self.dispatcher.finish(asked.work, asked.placed, verdict)
+        self.dispatcher.finish(asked.work, asked.answer, verdict)
         asked.is_over = True
 
     @precondition(lambda self: any(not asked.is_over for asked in self.asked))
     @rule(data=st.data(), ran=st.booleans())
     def caller_leaves(self, data, ran):
-        """Let a caller go away; an attempt under way is given up, run or not."""
+        """Let a caller disconnect; its attempt in progress is cancelled, run or not."""
         asked = data.draw(st.sampled_from([one for one in self.asked if not one.is_over]))
         if not asked.request.finished.called:
             asked.request.finished.errback(ConnectionError("gone"))
         for attempt in [one for one in self.attempts if one.asked is asked]:
-            self.end(attempt, Fate(ran, Verdict.MAY_HAVE_RUN))
+            self.end(attempt, AttemptResult(ran, Verdict.MAY_HAVE_RUN))
 
     @rule(pumps=st.integers(1, 40))
     def wait(self, pumps):
         """Let time pass."""
         self.clock.pump([PUMP_S] * pumps)
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
     def nothing_went_wrong(self):
@@ -362,17 +367,17 @@
                 assert not (not_run and asked.runs), f"{asked.work.request_id} ran, told not-run"
 
     def teardown(self):
-        """Let every attempt fail and time run out: each request must have come to an end."""
+        """Fail every attempt and let all deadlines pass: each request must have ended."""
         for _ in range(POLICY.max_attempts + 1):
             for attempt in list(self.attempts):
-                self.end(attempt, FATES["reset after it ran"])
+                self.end(attempt, ATTEMPT_RESULTS["reset after it ran"])
             self.clock.pump([PUMP_S] * round(2 * DEADLINE_S / PUMP_S))
         for asked in self.open_answers():
-            self.dispatcher.finish(asked.work, asked.placed, Verdict.RAN)
+            self.dispatcher.finish(asked.work, asked.answer, Verdict.RAN)
             asked.is_over = True
         self.nothing_went_wrong()
         self.nothing_runs_twice()
         self.refusals_are_true()
         assert all(asked.is_over for asked in self.asked), "a request without an end"
         assert not self.placing.in_flight, self.placing.in_flight
-        assert not len(self.room)
+        assert not len(self.queues)
--- a/packages/router/src/damaskwind/router/tests/test_target_wishes.py
+++ b/packages/router/src/damaskwind/router/tests/test_target_signals.py
@@ -1,4 +1,4 @@
-"""Targets that ask for rest, or say in answers that they leave, get no chat and no call."""
+"""Tests that targets which ask for a pause or announce leaving get no new requests."""
 
 import asyncio
 import json
@@ -10,12 +10,12 @@
 from damaskwind.router.tests.bench import ACCOUNT_KEY, OPERATOR_KEY, TestBench
 from damaskwind.runtime.bridge import asyncio_test, to_future
 
-CHAT = "/v1/chat/completions"
-CALL = "/services/edge-api/status"
+CHAT_PATH = "/v1/chat/completions"
+CALL_PATH = "/services/edge-api/status"
 REST_S = 1.5
 
 
-class TargetWishesTest(TestCase):
+class TargetSignalsTest(TestCase):
     timeout = 25
 
     async def bench(self, **options):
@@ -33,41 +33,41 @@
     async def chat(self, bench, text="which laptops are due?"):
         messages = [{"role": "user", "content": text}]
         fields = {"model": "damask", "messages": messages, "max_tokens": 2}
-        return (await self.ask(bench, CHAT, "POST", json=fields))[0]
+        return (await self.ask(bench, CHAT_PATH, "POST", json=fields))[0]
 
     async def call(self, bench):
-        return (await self.ask(bench, CALL))[0]
+        return (await self.ask(bench, CALL_PATH))[0]
 
-    async def check_one_rests(self, bench, targets, ask):
-        """Let one target ask for rest; all are served, and it is left alone for that time."""
-        resting = targets[0]
-        resting.asks_rest_s = REST_S
+    async def check_one_pauses(self, bench, targets, ask):
+        """Let one target ask for a pause; all requests are served by others meanwhile."""
+        pausing = targets[0]
+        pausing.asks_rest_s = REST_S
         statuses = [(await ask(bench)).code for _ in range(30)]
         self.assertEqual(set(statuses), {200})
-        self.assertEqual(resting.oracle.events["refused"], 1)
-        resting.asks_rest_s = 0.0
+        self.assertEqual(pausing.oracle.events["refused"], 1)
+        pausing.asks_rest_s = 0.0
         await asyncio.sleep(REST_S)
         for _ in range(30):
             await ask(bench)
-        self.assertGreater(resting.oracle.events["run"], 0)
+        self.assertGreater(pausing.oracle.events["run"], 0)
 
-    async def check_all_rest(self, bench, targets, ask):
-        """Let all ask for rest; callers are refused at once and told until when."""
+    async def check_all_pause(self, bench, targets, ask):
+        """Let all targets ask for a pause; callers are refused immediately with Retry-After."""
         for target in targets:
             target.asks_rest_s = REST_S
         await ask(bench)
         refused = sum(target.oracle.events["refused"] for target in targets)
-        begun_s = bench.router.directory._clock.seconds()
+        started_s = bench.router.directory._clock.seconds()
         for _ in range(10):
             response = await ask(bench)
             self.assertEqual(response.code, 503)
-            told_s = float(response.headers.getRawHeaders("retry-after")[0])
-            self.assertGreaterEqual(told_s, 1.0)
-        self.assertLess(bench.router.directory._clock.seconds() - begun_s, 1.0)
+            retry_after_s = float(response.headers.getRawHeaders("retry-after")[0])
+            self.assertGreaterEqual(retry_after_s, 1.0)
+        self.assertLess(bench.router.directory._clock.seconds() - started_s, 1.0)
         self.assertEqual(sum(target.oracle.events["refused"] for target in targets), refused)
 
     async def check_one_leaves(self, bench, targets, ask):
-        """Let one target say in its answers that it leaves; it gets nothing after that."""
+        """Let one target announce leaving in its answers; it gets no requests after that."""
         leaving = targets[0]
         leaving.says_leaving = True
         for _ in range(30):
@@ -75,69 +75,69 @@
         self.assertEqual(leaving.oracle.events["run"], 1)
 
     def chats(self):
-        """Return what makes a chat with another home each time."""
-        numbers = iter(range(1000))
-        return lambda bench: self.chat(bench, f"chat {next(numbers)}")
+        """Return a function that sends a chat with a different home at each call."""
+        chat_numbers = iter(range(1000))
+        return lambda bench: self.chat(bench, f"chat {next(chat_numbers)}")
 
     @asyncio_test
-    async def test_resting_engine_gets_no_chats(self):
+    async def test_paused_engine_gets_no_chats(self):
         bench = await self.bench(engines=3)
-        await self.check_one_rests(bench, bench.engines, self.chats())
+        await self.check_one_pauses(bench, bench.engines, self.chats())
 
     @asyncio_test
-    async def test_resting_service_gets_no_calls(self):
+    async def test_paused_service_gets_no_calls(self):
         bench = await self.bench(engines=0, services=3)
-        await self.check_one_rests(bench, bench.services, self.call)
+        await self.check_one_pauses(bench, bench.services, self.call)
 
     @asyncio_test
-    async def test_chats_are_refused_until_the_first_engine_has_rested(self):
+    async def test_chats_are_refused_until_the_first_pause_of_an_engine_ends(self):
         bench = await self.bench(engines=2)
-        await self.check_all_rest(bench, bench.engines, self.chat)
+        await self.check_all_pause(bench, bench.engines, self.chat)
 
     @asyncio_test
-    async def test_calls_are_refused_until_the_first_service_has_rested(self):
+    async def test_calls_are_refused_until_the_first_pause_of_a_service_ends(self):
         bench = await self.bench(engines=0, services=2)
-        await self.check_all_rest(bench, bench.services, self.call)
+        await self.check_all_pause(bench, bench.services, self.call)
 
     @asyncio_test
-    async def test_engine_that_says_it_leaves_gets_no_chats(self):
+    async def test_engine_that_announces_leaving_gets_no_chats(self):
         bench = await self.bench(engines=2)
         await self.check_one_leaves(bench, bench.engines, self.chats())
 
     @asyncio_test
-    async def test_service_that_says_it_leaves_gets_no_calls(self):
+    async def test_service_that_announces_leaving_gets_no_calls(self):
         bench = await self.bench(engines=0, services=2)
         await self.check_one_leaves(bench, bench.services, self.call)
 
     @asyncio_test
-    async def test_operators_see_the_wish_and_a_new_life_has_none(self):
+    async def test_operators_see_the_signal_and_a_new_incarnation_has_none(self):
         bench = await self.bench(engines=1)
         bench.engines[0].asks_rest_s = 30.0
         await self.chat(bench)
-        self.assertEqual(await self.wishes(bench), ["rest"])
+        self.assertEqual(await self.signals(bench), ["rest"])
         bench.engines[0].asks_rest_s = 0.0
         await bench.engines[0].stop()
         await bench.engines[0].come_back()
-        while await self.wishes(bench) != ["nothing"]:
+        while await self.signals(bench) != ["nothing"]:
             await asyncio.sleep(0.05)
         self.assertEqual((await self.chat(bench)).code, 200)
 
-    async def wishes(self, bench):
+    async def signals(self, bench):
         _, body = await self.ask(bench, "/operator/v1/targets", key=OPERATOR_KEY)
         return [target["wish"] for target in json.loads(body)["targets"]]
 
     @asyncio_test
-    async def test_those_in_the_queue_are_told_when_all_rest(self):
+    async def test_queued_requests_are_refused_when_all_targets_pause(self):
         bench = await self.bench(engines=1)
         placing = bench.router.placing
-        full = placing._full
-        placing._full = lambda work: frozenset(("engine-1",))
+        full_targets = placing._full_targets
+        placing._full_targets = lambda work: frozenset(("engine-1",))
         waiting = asyncio.ensure_future(self.chat(bench))
-        await bench.until(lambda: len(bench.router.room))
-        placing._full = full
+        await bench.until(lambda: len(bench.router.queues))
+        placing._full_targets = full_targets
         view = bench.router.directory.find("engine-1")
-        bench.router.wishes.hear(view, AnswerSignals(REST_S))
-        begun_s = bench.router.directory._clock.seconds()
+        bench.router.signals.observe(view, AnswerSignals(REST_S))
+        started_s = bench.router.directory._clock.seconds()
         response = await waiting
         self.assertEqual(response.code, 503)
-        self.assertLess(bench.router.directory._clock.seconds() - begun_s, 0.5)
+        self.assertLess(bench.router.directory._clock.seconds() - started_s, 0.5)
--- a/packages/router/src/damaskwind/router/work.py
+++ b/packages/router/src/damaskwind/router/work.py
@@ -1,4 +1,4 @@
-"""What the router knows of a request while it looks for a target."""
+"""The description of a request that is to be placed at a target."""
 
 from typing import NamedTuple
 
@@ -8,13 +8,13 @@
 from damaskwind.router.caller import Caller
 from damaskwind.router.explain import RequestRecord
 
-__all__ = ["Work"]
+__all__ = ["WorkItem"]
 
 
-class Work(NamedTuple):
-    """A request that wants a target; `deadline_s` is on the monotonic clock.
+class WorkItem(NamedTuple):
+    """A request to be placed at a target; `deadline_s` is on the monotonic clock.
 
-    `total_tokens` is what counts against the account's limit.
+    `total_tokens` counts against the account's limit.
     """
 
     request_id: str
