--- a/packages/control/src/damaskwind/control/fleet/calls.py
+++ b/packages/control/src/damaskwind/control/fleet/calls.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from damaskwind.control.fleet.news_board import NewsBoard
+from damaskwind.control.fleet.news_feed import NewsBoard
 from damaskwind.control.operator_api.ports import CommitOutcome, CommitVerdict, ProposalPort
 from damaskwind.control.state.published_configuration import (
     PublishedConfiguration,
--- a/packages/control/src/damaskwind/control/fleet/evacuations_site.py
+++ b/packages/control/src/damaskwind/control/fleet/evacuations_site.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from damaskwind.control.fleet.evacuation_calls import EvacuationCalls, EvacuationStatus
-from damaskwind.control.fleet.news_board import NewsBoard
+from damaskwind.control.fleet.news_feed import NewsBoard
 from damaskwind.runtime.http1.exchange import Exchange
 from damaskwind.runtime.http1.messages import Answer
 
--- a/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
+++ b/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
@@ -3,7 +3,7 @@
 import msgspec
 from loguru import logger
 
-from damaskwind.control.fleet.news_board import NewsBoard
+from damaskwind.control.fleet.news_feed import NewsBoard
 from damaskwind.decisions.fatal_requests.identity import DIGEST_BYTES
 from damaskwind.decisions.fatal_requests.suspicion import Standing
 from damaskwind.runtime.clock import read_clock
--- a/packages/control/src/damaskwind/control/fleet/news_board.py
+++ b/packages/control/src/damaskwind/control/fleet/news_feed.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import NamedTuple
 
-from damaskwind.control.fleet.heard_targets import HeardTargets
+from damaskwind.control.fleet.target_heartbeats import HeardTargets
 from damaskwind.decisions.fatal_requests.suspicion import Suspicion, SuspicionTable
 from damaskwind.decisions.following.read_redirection import RelayEndpoint
 from damaskwind.decisions.load.held_sums import HeldAggregator, HeldSum
--- a/packages/control/src/damaskwind/control/fleet/news_site.py
+++ b/packages/control/src/damaskwind/control/fleet/news_site.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from damaskwind.control.fleet.document_shelf import DocumentShelf
-from damaskwind.control.fleet.news_board import NewsBoard
+from damaskwind.control.fleet.document_cache import DocumentShelf
+from damaskwind.control.fleet.news_feed import NewsBoard
 from damaskwind.decisions.following.document_holders import RELAY_LINK_SHARE, DocumentHolders
 from damaskwind.decisions.load.held_sums import HeldSum
 from damaskwind.decisions.pacing.bulk_pacer import BulkPacer
--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -11,19 +11,19 @@
 from loguru import logger
 
 from damaskwind.control.fleet.calls import ControlCalls
-from damaskwind.control.fleet.document_shelf import DocumentShelf
+from damaskwind.control.fleet.document_cache import DocumentShelf
 from damaskwind.control.fleet.evacuation_calls import EvacuationCalls
 from damaskwind.control.fleet.evacuations_site import EVACUATIONS_PATH, EvacuationsSite
 from damaskwind.control.fleet.fatal_requests_site import FATAL_REQUESTS_PATH, FatalRequestsSite
-from damaskwind.control.fleet.kept_state import (
+from damaskwind.control.fleet.news_feed import NewsBoard
+from damaskwind.control.fleet.news_site import NewsSite
+from damaskwind.control.fleet.saved_state import (
     KeptState,
     StateKeeper,
     mark_first_start,
     read_kept_state,
     was_first_start,
 )
-from damaskwind.control.fleet.news_board import NewsBoard
-from damaskwind.control.fleet.news_site import NewsSite
 from damaskwind.control.fleet.settings import FleetControlSettings
 from damaskwind.control.operator_api.ports import ProposalPort
 from damaskwind.control.state.fleet_state import FleetState
--- a/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
@@ -10,7 +10,7 @@
     PublishStatus,
     ReportOutcome,
 )
-from damaskwind.control.fleet.news_board import NewsBoard
+from damaskwind.control.fleet.news_feed import NewsBoard
 from damaskwind.control.operator_api.ports import CommitOutcome, CommitVerdict
 from damaskwind.control.state.published_configuration import PublishedConfiguration, publish_command
 from damaskwind.decisions.following.read_redirection import ReadRedirector, RelayEndpoint
--- a/packages/control/src/damaskwind/control/fleet/tests/test_news_board.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_news_feed.py
@@ -4,14 +4,14 @@
 
 from twisted.trial.unittest import TestCase
 
-from damaskwind.control.fleet.heard_targets import HEARD_S
-from damaskwind.control.fleet.news_board import (
+from damaskwind.control.fleet.news_feed import (
     DISAGREES_S,
     LAGS_S,
     LISTED_TARGETS,
     RECORDS_AT_ONCE,
     NewsBoard,
 )
+from damaskwind.control.fleet.target_heartbeats import HEARD_S
 from damaskwind.decisions.load.held_sums import HeldCount, HeldSum
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.model.targets import Address
--- a/packages/control/src/damaskwind/control/fleet/tests/test_kept_state.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_saved_state.py
@@ -5,7 +5,7 @@
 
 from twisted.trial.unittest import TestCase
 
-from damaskwind.control.fleet.kept_state import KeptState, StateKeeper, read_kept_state
+from damaskwind.control.fleet.saved_state import KeptState, StateKeeper, read_kept_state
 from damaskwind.control.storage.files import FileSystem
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.model.exception import StorageError
