--- a/packages/commands/src/damaskwind/commands/tests/test_operator.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator.py
@@ -125,7 +125,7 @@
         done = await self.run_command("confirm", plan_id, endpoints=[first])
         self.assertEqual(done.returncode, ExitCode.REFUSED)
         self.assertIn("changed nothing", done.stderr)
-        self.fleet.replicas[1].moods.append("lost_answer")
+        self.fleet.replicas[1].next_results.append("lost_answer")
         done = await self.run_command("confirm", plan_id, endpoints=[second])
         self.assertEqual(done.returncode, ExitCode.OUTCOME_UNKNOWN)
         self.assertIn(f"GET /operator/v1/plans/{plan_id}", done.stderr)
--- a/packages/control/src/damaskwind/control/audit/tests/test_audit.py
+++ b/packages/control/src/damaskwind/control/audit/tests/test_audit.py
@@ -7,7 +7,7 @@
 from damaskwind.control.audit.archive import AuditArchive
 from damaskwind.control.audit.chain import ChainHead, head_faults, verify_chain
 from damaskwind.control.audit.entry import AuditEvent, decode_entry, encode_entry, entry_hash
-from damaskwind.control.audit.trail import KEPT_SEGMENTS, SEGMENT_ENTRIES, AuditTrail
+from damaskwind.control.audit.trail import MAX_CLOSED_SEGMENTS, SEGMENT_ENTRIES, AuditTrail
 from damaskwind.model.exception import MessageError
 
 
@@ -22,7 +22,7 @@
     return trail
 
 
-def chained_anew(entries):
+def forged_chain(entries):
     """Forge a run whose own hashes all match."""
     forged = []
     before = entries[0].previous_hash
@@ -53,7 +53,7 @@
     def test_a_trail_written_anew_is_found_by_the_head_kept_from_before(self):
         entries = list(filled(5).entries())
         known = ChainHead(4, entries[3].entry_hash)
-        forged = chained_anew([entries[0], entries[1]._replace(operator="lin"), *entries[2:]])
+        forged = forged_chain([entries[0], entries[1]._replace(operator="lin"), *entries[2:]])
         self.assertEqual(verify_chain(forged).faults, ())
         self.assertEqual(head_faults(entries, known), [])
         self.assertEqual(head_faults(entries[4:], known), [])
@@ -69,7 +69,7 @@
 
 class TrailTest(TestCase):
     def test_memory_is_bounded_and_the_chain_goes_on(self):
-        limit = (KEPT_SEGMENTS + 1) * SEGMENT_ENTRIES
+        limit = (MAX_CLOSED_SEGMENTS + 1) * SEGMENT_ENTRIES
         trail = filled(limit + 1)
         self.assertEqual(trail.first_sequence, SEGMENT_ENTRIES + 1)
         self.assertEqual(trail.last_sequence, limit + 1)
@@ -90,10 +90,10 @@
             archive = AuditArchive(path)
             trail = AuditTrail()
             written = 0
-            for number in range((KEPT_SEGMENTS + 2) * SEGMENT_ENTRIES + 7):
+            for number in range((MAX_CLOSED_SEGMENTS + 2) * SEGMENT_ENTRIES + 7):
                 trail.append(event(number))
                 written += archive.store_closed(trail)
-            self.assertEqual(written, KEPT_SEGMENTS + 2)
+            self.assertEqual(written, MAX_CLOSED_SEGMENTS + 2)
             archive = AuditArchive(path)
             self.assertEqual(archive.store_closed(trail), 0)
             lines = archive.lines_after(0, SEGMENT_ENTRIES)
--- a/packages/control/src/damaskwind/control/audit/trail.py
+++ b/packages/control/src/damaskwind/control/audit/trail.py
@@ -1,6 +1,6 @@
 """The append-only trail in the replicated state, bounded by closed segments.
 
-Entries are kept encoded, in segments of `SEGMENT_ENTRIES`. Beyond `KEPT_SEGMENTS`
+Entries are kept encoded, in segments of `SEGMENT_ENTRIES`. Beyond `MAX_CLOSED_SEGMENTS`
 closed ones, the oldest leaves the memory; by then every replica has had time to
 write it to its archive. All replicas drop the same segment at the same entry.
 """
@@ -17,10 +17,10 @@
     make_entry,
 )
 
-__all__ = ["KEPT_SEGMENTS", "SEGMENT_ENTRIES", "AuditTrail", "TrailState"]
+__all__ = ["MAX_CLOSED_SEGMENTS", "SEGMENT_ENTRIES", "AuditTrail", "TrailState"]
 
 SEGMENT_ENTRIES = 1000
-KEPT_SEGMENTS = 4
+MAX_CLOSED_SEGMENTS = 4
 _DETAIL_LINES = 20
 _TEXT_LENGTH = 200
 
@@ -33,7 +33,7 @@
     lines: tuple[bytes, ...] = ()
 
 
-def _bounded(event: AuditEvent) -> AuditEvent:
+def _truncated(event: AuditEvent) -> AuditEvent:
     """Cut the texts of an event to what one entry may hold."""
     detail = tuple(line[:_TEXT_LENGTH] for line in event.detail[:_DETAIL_LINES])
     left_out = len(event.detail) - _DETAIL_LINES
@@ -69,10 +69,10 @@
 
     def append(self, event: AuditEvent) -> AuditEntry:
         """Chain an event to the trail and return its entry."""
-        entry = make_entry(self.last_sequence + 1, _bounded(event), self._last_hash)
+        entry = make_entry(self.last_sequence + 1, _truncated(event), self._last_hash)
         self._lines.append(encode_entry(entry))
         self._last_hash = entry.entry_hash
-        if len(self._lines) > (KEPT_SEGMENTS + 1) * SEGMENT_ENTRIES:
+        if len(self._lines) > (MAX_CLOSED_SEGMENTS + 1) * SEGMENT_ENTRIES:
             del self._lines[:SEGMENT_ENTRIES]
             self._first_sequence += SEGMENT_ENTRIES
         return entry
--- a/packages/control/src/damaskwind/control/claim_holding.py
+++ b/packages/control/src/damaskwind/control/claim_holding.py
@@ -27,12 +27,12 @@
 from damaskwind.wire.authentication import CallVerifier
 from damaskwind.wire.claims_grpc import ClaimsBase
 
-__all__ = ["ClaimHolding", "hold_claims"]
+__all__ = ["DeferredClaimHolder", "start_claim_holder"]
 
 LOG_WAIT_S = 1.0
 
 
-class ClaimHolding(ClaimsBase):
+class DeferredClaimHolder(ClaimsBase):
     """The holder's service; until the holder is there, calls are told to come back."""
 
     def __init__(self) -> None:
@@ -101,8 +101,8 @@
         return self.inner
 
 
-async def hold_claims(
-    holding: ClaimHolding,
+async def start_claim_holder(
+    claim_holder: DeferredClaimHolder,
     node: ReplicaNode,
     verifier: CallVerifier,
     bootstrap: tuple[ReplicaSettings, ...],
@@ -124,13 +124,13 @@
             return
         await replica.wait_until(lambda: replica.has_log and replica.is_current, LOG_WAIT_S)
     loop = asyncio.get_running_loop()
-    making = loop.run_in_executor(None, holding.make_holder, node, list(addresses), ttl_s())
+    making = loop.run_in_executor(None, claim_holder.make_holder, node, list(addresses), ttl_s())
     try:
         holder = await asyncio.shield(making)
     except asyncio.CancelledError:
         # The thread writes into the folder, which this process is about to give back.
         await asyncio.wait([making])
         raise
-    holding.inner = ClaimHolderService(holder, verifier, read_clock)
-    holding.set_ttl(ttl_s())
+    claim_holder.inner = ClaimHolderService(holder, verifier, read_clock)
+    claim_holder.set_ttl(ttl_s())
     await catch_up(holder, addresses, node.signer, read_clock)
--- a/packages/control/src/damaskwind/control/fleet/calls.py
+++ b/packages/control/src/damaskwind/control/fleet/calls.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from damaskwind.control.fleet.news_feed import NewsBoard
+from damaskwind.control.fleet.news_feed import NewsFeed
 from damaskwind.control.operator_api.ports import CommitOutcome, CommitVerdict, ProposalPort
 from damaskwind.control.state.published_configuration import (
     PublishedConfiguration,
@@ -38,11 +38,11 @@
 __all__ = ["ControlCalls", "PublishResult", "PublishStatus", "ReportOutcome"]
 
 # Operators move on to another replica after a second without an answer.
-PUBLISH_LIMIT_S = 0.9
-READ_LIMIT_S = 0.9
+PUBLISH_TIMEOUT_S = 0.9
+READ_TIMEOUT_S = 0.9
 # A leave is acknowledged once all replicas that can be reached know it, but a
 # target waits no longer than a second for its acknowledgement.
-LEAVE_TOLD_S = 0.3
+LEAVE_REPLICATION_TIMEOUT_S = 0.3
 # A change that meets others is written anew upon them; after so many tries it goes whole.
 DIFFERENCE_ATTEMPTS = 3
 
@@ -58,7 +58,7 @@
 class ReportOutcome(StrEnum):
     """What became of a target's report; only what is taken is acknowledged."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     FOREIGN = "foreign"
     NOT_IN_FORCE = "not-in-force"
 
@@ -75,7 +75,7 @@
     """The calls of operators and targets at one replica.
 
     `access` gives the log, or `None` while the disk is not usable; reports of
-    targets are taken all the same. Nothing is published before `bears_a_loss`
+    targets are taken all the same. Nothing is published before `has_enough_voters`
     says that enough replicas vote: a founder starts alone.
     """
 
@@ -83,26 +83,26 @@
         self,
         access: Callable[[], ProposalPort | None],
         machine: Callable[[], PublishedConfiguration],
-        board: NewsBoard,
+        feed: NewsFeed,
         decode: Callable[[bytes], TrafficConfiguration],
-        bears_a_loss: Callable[[], bool],
+        has_enough_voters: Callable[[], bool],
         read_redirector: ReadRedirector,
     ) -> None:
         self._access = access
         self._machine = machine
-        self._board = board
+        self._feed = feed
         self._decode = decode
-        self._bears_a_loss = bears_a_loss
+        self._has_enough_voters = has_enough_voters
         self._read_redirector = read_redirector
         self.tallies = Tallies()
 
     async def publish(self, document: bytes) -> PublishResult:
         """Publish a document; what is acknowledged is on a majority's disks."""
-        begun_s = read_clock()
+        started_s = read_clock()
         result = await self._publish(document)
         self.tallies.count("publications", status=result.status.value)
         self.tallies.observe(
-            "publication_duration", read_clock() - begun_s, status=result.status.value
+            "publication_duration", read_clock() - started_s, status=result.status.value
         )
         return result
 
@@ -124,7 +124,7 @@
         access = self._access()
         if access is None:
             return PublishResult(PublishStatus.UNKNOWN, version, "the disk is not usable")
-        if not self._bears_a_loss():
+        if not self._has_enough_voters():
             logger.info("configuration not committed", version=version, why="too few voters yet")
             return PublishResult(PublishStatus.UNKNOWN, version, "too few replicas vote yet")
         outcome = await self._propose(access, version, document)
@@ -142,7 +142,7 @@
 
     async def _propose(self, access: ProposalPort, version: int, document: bytes) -> CommitOutcome:
         """Put a document in the log, by its difference as long as that comes through."""
-        deadline_s = read_clock() + PUBLISH_LIMIT_S
+        deadline_s = read_clock() + PUBLISH_TIMEOUT_S
         for attempt in count(1):
             machine = self._machine()
             base_version = machine.version if attempt <= DIFFERENCE_ATTEMPTS else 0
@@ -160,7 +160,7 @@
         """
         asked_s = read_clock()
         access = self._access()
-        is_current = access is not None and await access.read_current(READ_LIMIT_S)
+        is_current = access is not None and await access.read_current(READ_TIMEOUT_S)
         vouched_s = read_clock() - asked_s
         if not is_current:
             self.tallies.count("reads", outcome=ReadOutcome.REFUSED)
@@ -170,17 +170,17 @@
             )
             return ConfigurationRead(caller, 0, b"", asked_s, vouched_s)
         machine = self._machine()
-        return self._send_on(
+        return self._redirect(
             ConfigurationRead(caller, machine.version, machine.document, asked_s, vouched_s)
         )
 
-    def _send_on(self, read: ConfigurationRead) -> ConfigurationRead:
+    def _redirect(self, read: ConfigurationRead) -> ConfigurationRead:
         """Name a router that gives a document which this VM's link is too narrow for."""
-        places = self._board.passing_places()
-        place = self._read_redirector.choose(len(read.document), places)
-        if place is None:
+        endpoints = self._feed.relay_endpoints()
+        endpoint = self._read_redirector.choose(len(read.document), endpoints)
+        if endpoint is None:
             return read
-        url = read_place(place.host, self._read_redirector.port, read.version)
+        url = read_place(endpoint.host, self._read_redirector.port, read.version)
         self.tallies.count("reads", outcome=ReadOutcome.SENT_ON)
         logger.info(
             "read sent on",
@@ -192,7 +192,7 @@
         )
         return read._replace(sent_on_to=url)
 
-    def read_ended(self, read: ConfigurationRead, delivery: Delivery) -> None:
+    def record_delivery(self, read: ConfigurationRead, delivery: Delivery) -> None:
         """Note how far the answer to a read came."""
         outcome = outcome_of(delivery)
         self.tallies.count("reads", outcome=outcome)
@@ -201,7 +201,7 @@
 
     async def report(self, record: TargetRecord) -> ReportOutcome:
         """Take a target's report; tell whether it may be acknowledged."""
-        held = self._board.table.record_of(record.target_id)
+        held = self._feed.table.record_of(record.target_id)
         if held is not None and held.service not in ("", record.service):
             self.tallies.count("reports", phase="foreign")
             logger.warning(
@@ -212,7 +212,7 @@
                 held=held.service,
             )
             return ReportOutcome.FOREIGN
-        changed = self._board.report(record)
+        changed = self._feed.report(record)
         self.tallies.count("reports", phase=record.phase.name.lower())
         if changed:
             logger.info(
@@ -226,7 +226,7 @@
             )
         # A word that it leaves belongs to an earlier life by a birth before the one held. After a
         # step of its clock it is the target's own, and work would go on to come.
-        if self._board.table.phase_of(record.target_id) < record.phase:
+        if self._feed.table.phase_of(record.target_id) < record.phase:
             logger.warning(
                 "report not in force",
                 target=record.target_id,
@@ -237,12 +237,12 @@
             )
             return ReportOutcome.NOT_IN_FORCE
         if changed and record.phase is not TargetPhase.SERVING:
-            await self._tell(record.target_id)
-        return ReportOutcome.TAKEN
+            await self._wait_until_replicated(record.target_id)
+        return ReportOutcome.ACCEPTED
 
-    def report_place(self) -> Address | None:
+    def choose_report_address(self) -> Address | None:
         """Return where a target may report from now on, if it had better not here."""
-        host = self._board.report_place()
+        host = self._feed.choose_report_host()
         if host is None:
             return None
         self.tallies.count("targets_sent_on")
@@ -251,12 +251,16 @@
     async def leave(self, target_id: str) -> None:
         """Take a target's word that it takes no more work."""
         self.tallies.count("reports", phase="gone")
-        if self._board.leave(target_id):
+        if self._feed.leave(target_id):
             logger.info("target left", target=target_id)
-            await self._tell(target_id)
+            await self._wait_until_replicated(target_id)
 
-    async def _tell(self, target_id: str) -> None:
+    async def _wait_until_replicated(self, target_id: str) -> None:
         """Wait a little until the other replicas know."""
-        revision = self._board.table.revision
-        if not await self._board.wait_told(revision, LEAVE_TOLD_S):
-            logger.warning("leave not told to all replicas", target=target_id, limit_s=LEAVE_TOLD_S)
+        revision = self._feed.table.revision
+        if not await self._feed.wait_until_replicated(revision, LEAVE_REPLICATION_TIMEOUT_S):
+            logger.warning(
+                "leave not told to all replicas",
+                target=target_id,
+                limit_s=LEAVE_REPLICATION_TIMEOUT_S,
+            )
--- a/packages/control/src/damaskwind/control/fleet/document_cache.py
+++ b/packages/control/src/damaskwind/control/fleet/document_cache.py
@@ -5,25 +5,25 @@
 from damaskwind.wire.document_difference import difference
 from damaskwind.wire.news import Document, pack_document
 
-__all__ = ["DocumentShelf"]
+__all__ = ["DocumentCache"]
 
 # Versions that come every 0.3 s, for routers that are 2 s behind; some MB at most.
-KEPT_DOCUMENTS = 8
+MAX_DOCUMENTS = 8
 
 
-class DocumentShelf:
+class DocumentCache:
     """The newest document of a replica and some before it.
 
-    >>> shelf = DocumentShelf()
-    >>> shelf.put(4, b"four")
-    >>> shelf.put(6, b"six")
-    >>> shelf.newest_for(4).base_version, shelf.newest_for(3).base_version
+    >>> cache = DocumentCache()
+    >>> cache.put(4, b"four")
+    >>> cache.put(6, b"six")
+    >>> cache.newest_for(4).base_version, cache.newest_for(3).base_version
     (4, 0)
     """
 
     def __init__(self) -> None:
         self._documents: OrderedDict[int, bytes] = OrderedDict()
-        self._told: dict[int, Document] = {}
+        self._encoded: dict[int, Document] = {}
 
     @property
     def version(self) -> int:
@@ -35,19 +35,19 @@
         if version <= self.version:
             return
         self._documents[version] = document
-        self._told.clear()
-        while len(self._documents) > KEPT_DOCUMENTS:
+        self._encoded.clear()
+        while len(self._documents) > MAX_DOCUMENTS:
             self._documents.popitem(last=False)
 
     def newest_for(self, held_version: int) -> Document:
         """Return the newest document for a router that holds a version; it is made once."""
         base_version = held_version if held_version in self._documents else 0
-        told = self._told.get(base_version)
-        if told is None:
-            told = self._told[base_version] = self._tell(base_version)
-        return told
+        encoded = self._encoded.get(base_version)
+        if encoded is None:
+            encoded = self._encoded[base_version] = self._encode(base_version)
+        return encoded
 
-    def _tell(self, base_version: int) -> Document:
+    def _encode(self, base_version: int) -> Document:
         newest = self._documents[self.version]
         if not base_version:
             return Document(self.version, pack_document(newest))
--- a/packages/control/src/damaskwind/control/fleet/evacuation_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/evacuation_calls.py
@@ -20,7 +20,7 @@
 __all__ = ["EvacuationCalls", "EvacuationResult", "EvacuationStatus"]
 
 # Operators move on to another replica after a second without an answer.
-ORDER_LIMIT_S = 0.9
+ORDER_TIMEOUT_S = 0.9
 # An order that meets others for its failure domain is written anew upon them.
 ORDER_ATTEMPTS = 4
 
@@ -51,12 +51,12 @@
         self,
         access: Callable[[], ProposalPort | None],
         orders: Callable[[], EvacuationOrders],
-        bears_a_loss: Callable[[], bool],
+        has_enough_voters: Callable[[], bool],
         failure_domains: tuple[str, ...] = (),
     ) -> None:
         self._access = access
         self._orders = orders
-        self._bears_a_loss = bears_a_loss
+        self._has_enough_voters = has_enough_voters
         self._failure_domains = failure_domains
         self.tallies = Tallies()
 
@@ -64,9 +64,9 @@
         self, failure_domain: str, is_evacuated: bool, caller: str = ""
     ) -> EvacuationResult:
         """Empty a failure domain, or take it back."""
-        begun_s = read_clock()
+        started_s = read_clock()
         result = await self._order(failure_domain, is_evacuated)
-        took_s = read_clock() - begun_s
+        took_s = read_clock() - started_s
         self.tallies.count("evacuation_orders", status=result.status.value)
         self.tallies.observe("evacuation_order_duration", took_s, status=result.status.value)
         logger.info(
@@ -87,7 +87,7 @@
         access = self._access()
         if access is None:
             return EvacuationResult(EvacuationStatus.UNKNOWN, "the disk is not usable")
-        if not self._bears_a_loss():
+        if not self._has_enough_voters():
             return EvacuationResult(EvacuationStatus.UNKNOWN, "too few replicas vote yet")
         outcome = await self._propose(access, failure_domain, is_evacuated)
         if outcome.verdict is not CommitVerdict.COMMITTED:
@@ -101,7 +101,7 @@
         self, access: ProposalPort, failure_domain: str, is_evacuated: bool
     ) -> CommitOutcome:
         """Put an order in the log, upon what the failure domain's last one was."""
-        deadline_s = read_clock() + ORDER_LIMIT_S
+        deadline_s = read_clock() + ORDER_TIMEOUT_S
         base_revision = self._orders().held(failure_domain).revision
         for _ in range(ORDER_ATTEMPTS):
             command = order_command(failure_domain, is_evacuated, base_revision)
--- a/packages/control/src/damaskwind/control/fleet/evacuations_site.py
+++ b/packages/control/src/damaskwind/control/fleet/evacuations_site.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from damaskwind.control.fleet.evacuation_calls import EvacuationCalls, EvacuationStatus
-from damaskwind.control.fleet.news_feed import NewsBoard
+from damaskwind.control.fleet.news_feed import NewsFeed
 from damaskwind.runtime.http1.exchange import Exchange
 from damaskwind.runtime.http1.messages import Answer
 
@@ -24,9 +24,9 @@
 class EvacuationsSite:
     """The handler of `GET EVACUATIONS_PATH`, and of `PUT` and `DELETE` with `/DOMAIN` behind it."""
 
-    def __init__(self, calls: EvacuationCalls, board: NewsBoard) -> None:
+    def __init__(self, calls: EvacuationCalls, feed: NewsFeed) -> None:
         self._calls = calls
-        self._board = board
+        self._feed = feed
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one call of an operator."""
@@ -45,7 +45,7 @@
         exchange.respond(Answer(_STATUS[result.status], _JSON, msgspec.json.encode(body)))
 
     def _shown(self) -> dict[str, object]:
-        evacuations = self._board.evacuations()
+        evacuations = self._feed.evacuations()
         return {
             "revision": evacuations.revision,
             "failure_domains": list(evacuations.failure_domains),
--- a/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
+++ b/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
@@ -3,7 +3,7 @@
 import msgspec
 from loguru import logger
 
-from damaskwind.control.fleet.news_feed import NewsBoard
+from damaskwind.control.fleet.news_feed import NewsFeed
 from damaskwind.decisions.fatal_requests.identity import DIGEST_BYTES
 from damaskwind.decisions.fatal_requests.suspicion import Standing
 from damaskwind.runtime.clock import read_clock
@@ -19,8 +19,8 @@
 class FatalRequestsSite:
     """The handler of `GET FATAL_REQUESTS_PATH` and `DELETE FATAL_REQUESTS_PATH/DIGEST`."""
 
-    def __init__(self, board: NewsBoard) -> None:
-        self._board = board
+    def __init__(self, feed: NewsFeed) -> None:
+        self._feed = feed
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one call of an operator."""
@@ -35,7 +35,7 @@
         exchange.respond(Answer(405, []))
 
     def _shown(self) -> dict[str, list[dict[str, object]]]:
-        now_s, table = read_clock(), self._board.suspicions
+        now_s, table = read_clock(), self._feed.suspicions
         rows = [
             {
                 "digest": item.digest.hex(),
@@ -57,7 +57,7 @@
             body = {"message": f"expected a digest of {2 * DIGEST_BYTES} hexadecimal digits"}
             exchange.respond(Answer(400, _JSON, msgspec.json.encode(body)))
             return
-        if not self._board.lift(digest):
+        if not self._feed.clear_suspicion(digest):
             body = {"message": "this request is neither suspected nor held fatal"}
             exchange.respond(Answer(404, _JSON, msgspec.json.encode(body)))
             return
--- a/packages/control/src/damaskwind/control/fleet/log_host.py
+++ b/packages/control/src/damaskwind/control/fleet/log_host.py
@@ -35,9 +35,9 @@
 # gives its place to a newcomer that has caught up.
 REPLACE_AFTER_S = 3.0
 # With fewer voters, the loss of one disk may take what was acknowledged with it.
-LEAST_VOTERS = 3
+MIN_VOTERS = 3
 # Pause before a failed disk is tried again.
-REOPEN_S = 0.5
+REOPEN_DELAY_S = 0.5
 
 
 class LogHost:
@@ -79,12 +79,12 @@
         return self._node is not None and self._node.replica.is_current
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Tell whether this replica leads the log."""
         return self._node is not None and self._node.replica.is_leader
 
     @property
-    def bears_a_loss(self) -> bool:
+    def has_enough_voters(self) -> bool:
         """Tell whether so many replicas vote that what is confirmed outlives the losses.
 
         Without a number of losses to bear, it is as many as the settings first
@@ -93,8 +93,8 @@
         if self._node is None:
             return False
         voters = self._node.replica.core.membership.voters
-        fewest = min(LEAST_VOTERS, len(self._settings.seed_hosts))
-        return len(voters) >= (self._settings.wanted_voters or fewest)
+        default_voters = min(MIN_VOTERS, len(self._settings.seed_hosts))
+        return len(voters) >= (self._settings.required_voters or default_voters)
 
     def slowest_call_s(self) -> float:
         """Return how long the slowest peer takes to answer a call of the log."""
@@ -115,8 +115,8 @@
                 await self._open_once()
                 return
             except StorageError as error:
-                logger.error("disk unusable", why=str(error), again_s=REOPEN_S)
-                await asyncio.sleep(REOPEN_S)
+                logger.error("disk unusable", why=str(error), again_s=REOPEN_DELAY_S)
+                await asyncio.sleep(REOPEN_DELAY_S)
 
     async def close(self) -> None:
         """Finish the writes in hand and stop."""
@@ -140,9 +140,9 @@
         node = open_replica(
             node_settings, control, state, self._files, self._random, self._silent_since_s
         )
-        node.replica.transport.on_sent = self._note_sent
+        node.replica.transport.on_sent = self._count_sent
         node.replica.on_applied.append(self._on_applied)
-        node.replica.on_failure.append(self._disk_failed)
+        node.replica.on_failure.append(self._on_disk_failure)
         self.state = state
         self._node = node
         self._server = Server([node.service])
@@ -161,7 +161,7 @@
             took_s=round(read_clock() - started_s, 3),
         )
 
-    def _note_sent(self, size_bytes: int) -> None:
+    def _count_sent(self, size_bytes: int) -> None:
         self._tallies.count("sent_bytes", size_bytes, kind="log")
 
     def _control_settings(self) -> ControlSettings:
@@ -181,8 +181,8 @@
             may_found=settings.may_found,
             joins_unlisted=True,
             replace_after_s=REPLACE_AFTER_S,
-            least_voters=settings.wanted_voters or LEAST_VOTERS,
-            most_voters=settings.wanted_voters or float("inf"),
+            least_voters=settings.required_voters or MIN_VOTERS,
+            most_voters=settings.required_voters or float("inf"),
         )
 
     async def _close_once(self) -> None:
@@ -195,12 +195,12 @@
             await node.stop()
             self._silent_since_s = read_clock()
 
-    def _disk_failed(self, error: StorageError) -> None:
+    def _on_disk_failure(self, error: StorageError) -> None:
         """Close the log and open it again: what the disk holds has to be read anew."""
         logger.critical("disk failed", why=str(error))
         self._reopening = asyncio.ensure_future(self._reopen())
 
     async def _reopen(self) -> None:
         await self._close_once()
-        await asyncio.sleep(REOPEN_S)
+        await asyncio.sleep(REOPEN_DELAY_S)
         await self.open()
--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -11,17 +11,17 @@
 from loguru import logger
 
 from damaskwind.control.fleet.calls import ControlCalls
-from damaskwind.control.fleet.document_cache import DocumentShelf
+from damaskwind.control.fleet.document_cache import DocumentCache
 from damaskwind.control.fleet.evacuation_calls import EvacuationCalls
 from damaskwind.control.fleet.evacuations_site import EVACUATIONS_PATH, EvacuationsSite
 from damaskwind.control.fleet.fatal_requests_site import FATAL_REQUESTS_PATH, FatalRequestsSite
-from damaskwind.control.fleet.news_feed import NewsBoard
+from damaskwind.control.fleet.news_feed import NewsFeed
 from damaskwind.control.fleet.news_site import NewsSite
 from damaskwind.control.fleet.saved_state import (
-    KeptState,
-    StateKeeper,
+    SavedState,
+    StateWriter,
     mark_first_start,
-    read_kept_state,
+    read_saved_state,
     was_first_start,
 )
 from damaskwind.control.fleet.settings import FleetControlSettings
@@ -54,7 +54,7 @@
 # Loaded part by part after the news are served, with the loop's turn in between:
 # routers wait for nothing else. Not in a thread: one start in some thousand ended
 # with an illegal instruction there (docs/FINDINGS.md).
-_LOG_PARTS = (
+_LOG_MODULES = (
     "grpclib.server",
     "grpclib.client",
     "damaskwind.wire.replication_pb2",
@@ -65,9 +65,9 @@
 )
 # Routers look for a lost replica every 0.15 s at the longest; while modules are
 # loaded, the loop answers nobody, and all routers would wait for the last of them.
-NEWS_FIRST_S = 0.15
+LOG_LOAD_DELAY_S = 0.15
 # A target's forgetting and a replica's search for peers need no more precision.
-UPKEEP_S = 0.5
+MAINTENANCE_INTERVAL_S = 0.5
 # Callers keep connections between heartbeats (1.2 s) and orders.
 CONTROL_LIMITS = ServerLimits(body_bytes=8 * 1024 * 1024, idle_timeout_s=30.0)
 NEWS_LIMITS = ServerLimits(idle_timeout_s=30.0)
@@ -97,60 +97,60 @@
         self._started_s = read_clock() if started_s is None else started_s
         self._no_log = FleetState()
         self._log: LogHost | None = None
-        self.board = NewsBoard(
-            self._version, self._is_current, self._hosts, self._leads, self._evacuations
+        self.feed = NewsFeed(
+            self._version, self._is_current, self._hosts, self._is_leader, self._evacuations
         )
         self._folder = Path(settings.data_folder)
-        self._kept = KeptState()
+        self._saved_state = SavedState()
         self._may_found = settings.may_found
-        self._keeper: StateKeeper | None = None
+        self._state_writer: StateWriter | None = None
         self.calls = ControlCalls(
             self._access,
             self._machine,
-            self.board,
+            self.feed,
             decode,
-            self._bears_a_loss,
+            self._has_enough_voters,
             ReadRedirector(settings.link_bytes_per_s, settings.news_port, self._random),
         )
         self.evacuation_calls = EvacuationCalls(
             self._access,
             lambda: self._log_state().orders,
-            self._bears_a_loss,
+            self._has_enough_voters,
             settings.failure_domains,
         )
         self._control = HttpServer(self._handle, CONTROL_LIMITS)
         self.tallies = Tallies()
         self.calls.tallies = self.evacuation_calls.tallies = self.tallies
-        self._shelf = DocumentShelf()
-        site = NewsSite(self.board, self._shelf, self.tallies, settings.link_bytes_per_s)
+        self._documents = DocumentCache()
+        site = NewsSite(self.feed, self._documents, self.tallies, settings.link_bytes_per_s)
         self._news = HttpServer(site.handle, NEWS_LIMITS)
         self._load = LoadMeter(self.tallies, self._slowest_call_s)
         self._metrics = MetricsSite(self.tallies)
-        self._metrics.handlers[FATAL_REQUESTS_PATH] = FatalRequestsSite(self.board).handle
-        evacuations = EvacuationsSite(self.evacuation_calls, self.board)
+        self._metrics.handlers[FATAL_REQUESTS_PATH] = FatalRequestsSite(self.feed).handle
+        evacuations = EvacuationsSite(self.evacuation_calls, self.feed)
         self._metrics.handlers[EVACUATIONS_PATH] = evacuations.handle
-        self._show_gauges()
+        self._register_gauges()
         self._links: dict[str, NewsLink] = {}
         self._tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
         """Open the sockets, then the disk."""
         settings = self.settings
-        self._recall()
+        self._restore_state()
         self._news.listen(settings.host, settings.news_port)
         self._control.listen(settings.host, settings.control_port)
         if settings.metrics_port:
             self._metrics.listen(settings.host, settings.metrics_port)
         self.follow(settings.seed_hosts)
         self._load.start()
-        self._spawn(self._upkeep())
-        await asyncio.sleep(NEWS_FIRST_S)
-        for name in _LOG_PARTS:
+        self._spawn(self._run_maintenance())
+        await asyncio.sleep(LOG_LOAD_DELAY_S)
+        for name in _LOG_MODULES:
             module = import_module(name)
             await asyncio.sleep(0)
         settings = settings._replace(may_found=self._may_found)
         self._log = module.LogHost(
-            settings, self._files, self._random, self._applied, self._started_s, self.tallies
+            settings, self._files, self._random, self._on_applied, self._started_s, self.tallies
         )
         await self._log.open()
 
@@ -168,34 +168,34 @@
             await link.stop()
         if self._log is not None:
             await self._log.close()
-        await self._keeper.close()
+        await self._state_writer.close()
         await self._news.stop_listening()
         self._news.abort()
         await self._metrics.stop()
 
-    def _show_gauges(self) -> None:
+    def _register_gauges(self) -> None:
         """Show what this replica believes now."""
-        show, board = self.tallies.gauge, self.board
+        show, feed = self.tallies.gauge, self.feed
         show("configuration_version", "version known to be committed", self._version)
         show("replica_is_current", "1 while sure to be current", lambda: float(self._is_current()))
         show("replicas", "members of the log", lambda: len(self._hosts()))
-        show("targets_serving", "targets that take work", lambda: len(board.table.serving()))
-        show("routers", "routers that ask here", board.routers)
-        show("requests_suspected", "in hand where targets ended", self._suspected)
-        show("requests_held_fatal", "sent no more, as targets end", self._held_fatal)
-        show("failure_domains_evacuated", "emptied by operators", self._evacuated)
+        show("targets_serving", "targets that take work", lambda: len(feed.table.serving()))
+        show("routers", "routers that ask here", feed.router_count)
+        show("requests_suspected", "in hand where targets ended", self._suspected_count)
+        show("requests_held_fatal", "sent no more, as targets end", self._fatal_count)
+        show("failure_domains_evacuated", "emptied by operators", self._evacuated_count)
         show("log_opened", "1 while the disk is usable", lambda: float(self._access() is not None))
 
-    def _suspected(self) -> float:
-        return self.board.suspicions.count(Standing.SUSPECTED, read_clock())
+    def _suspected_count(self) -> float:
+        return self.feed.suspicions.count(Standing.SUSPECTED, read_clock())
 
-    def _held_fatal(self) -> float:
-        return self.board.suspicions.count(Standing.FATAL, read_clock())
+    def _fatal_count(self) -> float:
+        return self.feed.suspicions.count(Standing.FATAL, read_clock())
 
-    def _evacuated(self) -> float:
+    def _evacuated_count(self) -> float:
         return float(len(self._evacuations().failure_domains))
 
-    def _recall(self) -> None:
+    def _restore_state(self) -> None:
         """Take up what was known before a restart.
 
         A replica that may found the first cluster may still do so after a
@@ -204,56 +204,62 @@
         if self.settings.may_found:
             mark_first_start(self._folder, self._files)
         self._may_found = self.settings.may_found or was_first_start(self._folder)
-        self._kept = read_kept_state(self._folder, self._files)
+        self._saved_state = read_saved_state(self._folder, self._files)
         # How long ago they were cold is not known, and they tell it themselves within a heartbeat.
-        self.board.merge((item._replace(cold_s=0.0) for item in self._kept.records), ())
-        self.board.suspect(self._kept.suspicions)
-        if self._kept.version:
-            self._shelf.put(self._kept.version, unpack_document(self._kept.packed))
-        self._keeper = StateKeeper(self._folder, self._files, self._mark, self._state)
+        self.feed.merge((item._replace(cold_s=0.0) for item in self._saved_state.records), ())
+        self.feed.merge_suspicions(self._saved_state.suspicions)
+        if self._saved_state.version:
+            self._documents.put(
+                self._saved_state.version, unpack_document(self._saved_state.packed)
+            )
+        self._state_writer = StateWriter(
+            self._folder, self._files, self._state_revisions, self._current_state
+        )
         logger.info(
             "state recalled",
-            version=self._kept.version,
-            targets=len(self._kept.records),
-            evacuations=self._kept.evacuations,
+            version=self._saved_state.version,
+            targets=len(self._saved_state.records),
+            evacuations=self._saved_state.evacuations,
         )
 
-    def _mark(self) -> tuple[int, ...]:
+    def _state_revisions(self) -> tuple[int, ...]:
         """Return what grows whenever there is something new to keep."""
         return (
             self._version(),
-            self.board.table.revision,
-            self.board.suspicions.revision,
+            self.feed.table.revision,
+            self.feed.suspicions.revision,
             self._evacuations().revision,
         )
 
-    def _state(self) -> KeptState:
+    def _current_state(self) -> SavedState:
         """Return what is to be kept."""
-        records = self.board.table.changed_since(0).records
-        suspicions, _ = self.board.suspicions.changed_since(0, MAX_REQUESTS, read_clock())
-        return KeptState(self._version(), self._packed(), records, suspicions, self._evacuations())
+        records = self.feed.table.changed_since(0).records
+        suspicions, _ = self.feed.suspicions.changed_since(0, MAX_REQUESTS, read_clock())
+        return SavedState(
+            self._version(), self._packed_document(), records, suspicions, self._evacuations()
+        )
 
     def _version(self) -> int:
         """Return the newest version known to be committed."""
-        return max(self._machine().version, self._kept.version)
+        return max(self._machine().version, self._saved_state.version)
 
     def _evacuations(self) -> Evacuations:
         """Return the newest evacuations known to be committed."""
-        return max(self._log_state().orders.evacuations(), self._kept.evacuations)
+        return max(self._log_state().orders.evacuations(), self._saved_state.evacuations)
 
-    def _packed(self) -> bytes:
+    def _packed_document(self) -> bytes:
         """Return the document of that version."""
-        is_newer = self._machine().version >= self._kept.version
-        return self._machine().packed if is_newer else self._kept.packed
+        is_newer = self._machine().version >= self._saved_state.version
+        return self._machine().packed if is_newer else self._saved_state.packed
 
-    def _leads(self) -> bool:
-        return self._log is not None and self._log.leads
+    def _is_leader(self) -> bool:
+        return self._log is not None and self._log.is_leader
 
     def _is_current(self) -> bool:
         return self._log is not None and self._log.is_current
 
-    def _bears_a_loss(self) -> bool:
-        return self._log is not None and self._log.bears_a_loss
+    def _has_enough_voters(self) -> bool:
+        return self._log is not None and self._log.has_enough_voters
 
     def _hosts(self) -> tuple[str, ...]:
         return self._log.hosts() if self._log else ()
@@ -274,19 +280,19 @@
         """Answer a call of an operator or a target."""
         await self._handler(self.calls, self.evacuation_calls, exchange)
 
-    def _applied(self) -> None:
+    def _on_applied(self) -> None:
         """Have subscribers look at the version."""
-        self._shelf.put(self._machine().version, self._machine().document)
-        self.board.wake()
+        self._documents.put(self._machine().version, self._machine().document)
+        self.feed.wake()
 
-    async def _upkeep(self) -> None:
+    async def _run_maintenance(self) -> None:
         """Find new peers and forget old targets."""
         while True:
-            await asyncio.sleep(UPKEEP_S)
+            await asyncio.sleep(MAINTENANCE_INTERVAL_S)
             self.follow(self._hosts())
-            self._keeper.consider()
-            self.board.suspicions.forget(read_clock())
-            for target_id in self.board.table.forget(read_clock()):
+            self._state_writer.write_if_changed()
+            self.feed.suspicions.forget(read_clock())
+            for target_id in self.feed.table.forget(read_clock()):
                 logger.info("target forgotten", target=target_id)
 
     def follow(self, hosts: tuple[str, ...]) -> None:
@@ -307,7 +313,7 @@
 
     def table_digest(self) -> int:
         """Return which targets are known here."""
-        return self.board.table.digest
+        return self.feed.table.digest
 
     def held_counts(self, host: str) -> tuple[HeldCount, ...]:
         """Return nothing: replicas send nothing to targets."""
@@ -331,8 +337,8 @@
 
     def take_news(self, host: str, news: News) -> None:
         """Merge what another replica knows."""
-        self.board.merge(news.records, news.heard)
-        self.board.suspect(news.suspicions)
+        self.feed.merge(news.records, news.heard)
+        self.feed.merge_suspicions(news.suspicions)
 
     def lost(self, host: str) -> None:
         """Do nothing: the link tries again."""
--- a/packages/control/src/damaskwind/control/fleet/saved_state.py
+++ b/packages/control/src/damaskwind/control/fleet/saved_state.py
@@ -27,20 +27,20 @@
 from damaskwind.model.exception import StorageError
 
 __all__ = [
-    "KeptState",
-    "StateKeeper",
+    "SavedState",
+    "StateWriter",
     "mark_first_start",
-    "read_kept_state",
+    "read_saved_state",
     "was_first_start",
 ]
 
-_KIND_KEPT = 5
+_KIND_SAVED_STATE = 5
 _FOLDER = "kept"
 _NAME = "state"
 _FIRST_START_NAME = "first-start"
 
 
-class KeptState(NamedTuple):
+class SavedState(NamedTuple):
     """A configuration that was applied, packed, all targets known, and the requests suspected.
 
     Files that were written before there were evacuations have none.
@@ -70,44 +70,44 @@
     return (data_folder / _FOLDER / _FIRST_START_NAME).is_file()
 
 
-def read_kept_state(data_folder: Path, files: FileSystem) -> KeptState:
+def read_saved_state(data_folder: Path, files: FileSystem) -> SavedState:
     """Return what was kept; nothing when there is none or it can't be read."""
     path = data_folder / _FOLDER / _NAME
     try:
         if not path.is_file():
-            return KeptState()
-        framed = read_frames(files.read(path), _KIND_KEPT, path)
-        return msgspec.msgpack.decode(framed.payloads[0], type=KeptState)
+            return SavedState()
+        framed = read_frames(files.read(path), _KIND_SAVED_STATE, path)
+        return msgspec.msgpack.decode(framed.payloads[0], type=SavedState)
     except (StorageError, IndexError, msgspec.MsgspecError) as error:
         logger.warning("kept state unreadable", why=repr(error))
-        return KeptState()
+        return SavedState()
 
 
-class StateKeeper:
+class StateWriter:
     """Write the state when it has changed, one write at a time."""
 
     def __init__(
         self,
         data_folder: Path,
         files: FileSystem,
-        mark: Callable[[], tuple[int, ...]],
-        state: Callable[[], KeptState],
+        revisions: Callable[[], tuple[int, ...]],
+        state: Callable[[], SavedState],
     ) -> None:
         self._path = data_folder / _FOLDER / _NAME
         self._files = files
-        self._mark = mark
-        self._state = state
-        self._written = mark()
+        self._revisions = revisions
+        self._make_state = state
+        self._written_revisions = revisions()
         self._writing: asyncio.Future | None = None
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="kept")
         self._has_failed = False
 
-    def consider(self) -> None:
+    def write_if_changed(self) -> None:
         """Begin to write if something has changed since the last write."""
-        if self._writing is not None or self._mark() == self._written:
+        if self._writing is not None or self._revisions() == self._written_revisions:
             return
-        self._written = self._mark()
-        self._writing = asyncio.ensure_future(self._write(self._state()))
+        self._written_revisions = self._revisions()
+        self._writing = asyncio.ensure_future(self._write(self._make_state()))
 
     async def close(self) -> None:
         """Wait for the write in hand."""
@@ -115,9 +115,9 @@
             await asyncio.wait([self._writing])
         self._thread.shutdown(wait=False)
 
-    async def _write(self, state: KeptState) -> None:
+    async def _write(self, state: SavedState) -> None:
         payload = msgspec.msgpack.encode(state)
-        data = file_header(_KIND_KEPT) + encode_frame(payload)
+        data = file_header(_KIND_SAVED_STATE) + encode_frame(payload)
         loop = asyncio.get_running_loop()
         try:
             await loop.run_in_executor(self._thread, self._write_file, data)
--- a/packages/control/src/damaskwind/control/fleet/settings.py
+++ b/packages/control/src/damaskwind/control/fleet/settings.py
@@ -33,6 +33,6 @@
     failure_domains: tuple[str, ...] = ()
 
     @property
-    def wanted_voters(self) -> int | None:
+    def required_voters(self) -> int | None:
         """Return how many replicas vote: a majority has to outlive the losses."""
         return None if self.tolerated_losses is None else 2 * self.tolerated_losses + 1
--- a/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
@@ -10,7 +10,7 @@
     PublishStatus,
     ReportOutcome,
 )
-from damaskwind.control.fleet.news_feed import NewsBoard
+from damaskwind.control.fleet.news_feed import NewsFeed
 from damaskwind.control.operator_api.ports import CommitOutcome, CommitVerdict
 from damaskwind.control.state.published_configuration import PublishedConfiguration, publish_command
 from damaskwind.decisions.following.read_redirection import ReadRedirector, RelayEndpoint
@@ -58,14 +58,14 @@
     def setUp(self):
         self.machine = PublishedConfiguration()
         self.log = FakeLog(self.machine)
-        self.board = NewsBoard(lambda: 0, lambda: True, tuple)
-        self.bears_a_loss = True
+        self.feed = NewsFeed(lambda: 0, lambda: True, tuple)
+        self.has_enough_voters = True
         self.calls = ControlCalls(
             lambda: self.log,
             lambda: self.machine,
-            self.board,
+            self.feed,
             decode,
-            lambda: self.bears_a_loss,
+            lambda: self.has_enough_voters,
             ReadRedirector(100.0, 8101, Random(1)),
         )
 
@@ -74,10 +74,10 @@
 
     @asyncio_test
     async def test_nothing_is_acknowledged_while_too_few_replicas_vote(self):
-        self.bears_a_loss = False
+        self.has_enough_voters = False
         self.assertEqual(await self.status(b"5"), PublishStatus.UNKNOWN)
         self.assertEqual(self.machine.version, 0)
-        self.bears_a_loss = True
+        self.has_enough_voters = True
         self.assertEqual(await self.status(b"5"), PublishStatus.ACKNOWLEDGED)
 
     @asyncio_test
@@ -115,7 +115,7 @@
         for node, rate in (("narrow", 50.0), ("wide", 1000.0)):
             place = RelayEndpoint(f"{node}.example", rate)
             request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, passes_on=place)
-            await self.board.wait_for_news(request)
+            await self.feed.wait_for_updates(request)
         await self.calls.publish(b"1")
         self.assertEqual((await self.calls.read("o")).sent_on_to, "")
         await self.calls.publish(b"123456789")
@@ -143,12 +143,12 @@
         serving = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.SERVING, 4)
         held = serving._replace(born_ms=9_000)
         back = serving._replace(born_ms=5_000, phase=TargetPhase.LEAVING)
-        self.assertEqual(await self.calls.report(held), ReportOutcome.TAKEN)
+        self.assertEqual(await self.calls.report(held), ReportOutcome.ACCEPTED)
         self.assertEqual(await self.calls.report(back), ReportOutcome.NOT_IN_FORCE)
-        self.assertEqual(self.board.table.phase_of("t"), TargetPhase.SERVING)
+        self.assertEqual(self.feed.table.phase_of("t"), TargetPhase.SERVING)
         drain = held._replace(phase=TargetPhase.LEAVING)
         for _ in range(2):
-            self.assertEqual(await self.calls.report(drain), ReportOutcome.TAKEN)
+            self.assertEqual(await self.calls.report(drain), ReportOutcome.ACCEPTED)
 
     @asyncio_test
     async def test_read_without_a_majority_or_a_disk_is_refused(self):
@@ -163,4 +163,4 @@
     async def test_leaves_are_taken_without_a_disk(self):
         self.log = None
         await self.calls.leave("t")
-        self.assertEqual(self.board.table.phase_of("t"), 2)
+        self.assertEqual(self.feed.table.phase_of("t"), 2)
--- a/packages/control/src/damaskwind/control/fleet/tests/test_saved_state.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_saved_state.py
@@ -5,7 +5,7 @@
 
 from twisted.trial.unittest import TestCase
 
-from damaskwind.control.fleet.saved_state import KeptState, StateKeeper, read_kept_state
+from damaskwind.control.fleet.saved_state import SavedState, StateWriter, read_saved_state
 from damaskwind.control.storage.files import FileSystem
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.model.exception import StorageError
@@ -13,7 +13,7 @@
 from damaskwind.runtime.bridge import asyncio_test
 
 RECORD = TargetRecord("t", "s", Address("127.0.0.1", 1), "d", TargetPhase.LEAVING, 3, 8, 0.5)
-STATE = KeptState(7, b"packed", (RECORD,))
+STATE = SavedState(7, b"packed", (RECORD,))
 
 
 class FullDisk(FileSystem):
@@ -23,7 +23,7 @@
         raise StorageError("write: no space")
 
 
-class KeptStateTest(TestCase):
+class SavedStateTest(TestCase):
     timeout = 10
 
     def setUp(self):
@@ -32,38 +32,40 @@
         self.folder = Path(self.temporary.name)
 
     def read(self):
-        return read_kept_state(self.folder, FileSystem())
+        return read_saved_state(self.folder, FileSystem())
 
-    async def keep(self, state, files=None):
-        marks = [(0, 0)]
-        keeper = StateKeeper(self.folder, files or FileSystem(), lambda: marks[-1], lambda: state)
-        keeper.consider()
-        marks.append((1, 1))
-        keeper.consider()
-        await keeper.close()
+    async def write(self, state, files=None):
+        revisions = [(0, 0)]
+        writer = StateWriter(
+            self.folder, files or FileSystem(), lambda: revisions[-1], lambda: state
+        )
+        writer.write_if_changed()
+        revisions.append((1, 1))
+        writer.write_if_changed()
+        await writer.close()
 
     @asyncio_test
     async def test_what_was_kept_comes_back(self):
-        self.assertEqual(self.read(), KeptState())
-        await self.keep(STATE)
+        self.assertEqual(self.read(), SavedState())
+        await self.write(STATE)
         self.assertEqual(self.read(), STATE)
 
     @asyncio_test
     async def test_damage_at_any_byte_is_noticed(self):
-        await self.keep(STATE)
+        await self.write(STATE)
         path = self.folder / "kept" / "state"
         whole = path.read_bytes()
         for size in range(0, len(whole), 7):
             path.write_bytes(whole[:size])
-            self.assertEqual(self.read(), KeptState())
-        for place in range(16, len(whole), 5):
+            self.assertEqual(self.read(), SavedState())
+        for offset in range(16, len(whole), 5):
             flipped = bytearray(whole)
-            flipped[place] ^= 0x55
+            flipped[offset] ^= 0x55
             path.write_bytes(bytes(flipped))
-            self.assertEqual(self.read(), KeptState())
+            self.assertEqual(self.read(), SavedState())
 
     @asyncio_test
     async def test_full_disk_keeps_what_was_there(self):
-        await self.keep(STATE)
-        await self.keep(STATE._replace(version=8), FullDisk())
+        await self.write(STATE)
+        await self.write(STATE._replace(version=8), FullDisk())
         self.assertEqual(self.read(), STATE)
--- a/packages/control/src/damaskwind/control/operator_api/assembly.py
+++ b/packages/control/src/damaskwind/control/operator_api/assembly.py
@@ -7,7 +7,7 @@
 from damaskwind.control.operator_api.http_api import OperatorApi, OperatorApiSettings
 from damaskwind.control.operator_api.intent_service import IntentLimits, IntentService
 from damaskwind.control.operator_api.ports import ProposalPort
-from damaskwind.control.operator_api.router_status import RouterInForce
+from damaskwind.control.operator_api.router_status import RouterRevision
 from damaskwind.control.state.configuration_machine import ConfigurationMachine
 from damaskwind.runtime.settings import ControlSettings, NodeSettings
 
@@ -21,7 +21,7 @@
     control: ControlSettings,
     port: ProposalPort,
     machine: ConfigurationMachine,
-    routers: Callable[[], list[RouterInForce]] = list,
+    routers: Callable[[], list[RouterRevision]] = list,
 ) -> tuple[OperatorApi, AuditArchive]:
     """Return the API and the archive of the audit trail.
 
--- a/packages/control/src/damaskwind/control/operator_api/authentication.py
+++ b/packages/control/src/damaskwind/control/operator_api/authentication.py
@@ -42,8 +42,8 @@
     can only be told again what came of its own confirmation.
     """
     presented = hash_key(key).encode()
-    held = [(item.name, item.key_hash) for item in configuration.operators.values()]
+    known = [(item.name, item.key_hash) for item in configuration.operators.values()]
     if bootstrap_key_hash:
-        held.append((BOOTSTRAP_OPERATOR, bootstrap_key_hash))
-    matches = [name for name, key_hash in held if compare_digest(presented, key_hash.encode())]
+        known.append((BOOTSTRAP_OPERATOR, bootstrap_key_hash))
+    matches = [name for name, key_hash in known if compare_digest(presented, key_hash.encode())]
     return matches[0] if key and matches else None
--- a/packages/control/src/damaskwind/control/operator_api/difference.py
+++ b/packages/control/src/damaskwind/control/operator_api/difference.py
@@ -110,11 +110,11 @@
     return tuple(lines)
 
 
-def _dependants(whole: Configuration, kind: str, name: str) -> Iterator[str]:
+def _dependants(configuration: Configuration, kind: str, name: str) -> Iterator[str]:
     """Yield the objects that refer to one object."""
     if kind == "services":
-        yield from (f"models.{m.name}" for m in whole.models.values() if m.service == name)
-    for account in whole.accounts.values():
+        yield from (f"models.{m.name}" for m in configuration.models.values() if m.service == name)
+    for account in configuration.accounts.values():
         refers_to = {
             "priority_classes": (account.priority_class,),
             "models": tuple(grant.model for grant in account.models),
@@ -131,6 +131,6 @@
     touched += [(kind, name) for kind, names in change.delete.items() for name in names]
     affected: set[str] = set()
     for kind, name in touched:
-        for whole in (before, after):
-            affected.update(_dependants(whole, kind, name))
+        for configuration in (before, after):
+            affected.update(_dependants(configuration, kind, name))
     return tuple(sorted(affected - {f"{kind}.{name}" for kind, name in touched}))
--- a/packages/control/src/damaskwind/control/operator_api/http_api.py
+++ b/packages/control/src/damaskwind/control/operator_api/http_api.py
@@ -22,7 +22,7 @@
     OperatorCode,
     OperatorRefusedError,
 )
-from damaskwind.control.operator_api.router_status import RouterInForce, lag_view
+from damaskwind.control.operator_api.router_status import RouterRevision, lag_view
 from damaskwind.control.operator_api.views import configuration_view, note_view, order_view
 from damaskwind.control.state.command import WantedState
 from damaskwind.control.state.configuration_machine import ConfigurationMachine, operator_roles
@@ -122,7 +122,7 @@
         raise OperatorRefusedError(OperatorCode.BAD_REQUEST, f"address: {error}") from error
 
 
-def _place_of(error: Exception) -> str:
+def _location_of(error: Exception) -> str:
     """Return the file and line that raised an error."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     return f"{frame.filename}:{frame.lineno}"
@@ -137,7 +137,7 @@
         machine: ConfigurationMachine,
         service: IntentService,
         settings: OperatorApiSettings,
-        routers: Callable[[], list[RouterInForce]] = list,
+        routers: Callable[[], list[RouterRevision]] = list,
         archive: AuditArchive | None = None,
     ) -> None:
         self._port = port
@@ -181,19 +181,19 @@
             ("GET", "/orders", self._orders),
             ("POST", "/orders", self._order),
         )
-        for method, path, act in table:
-            self._klein.route(root + path, methods=[method])(self._face(act, method))
+        for method, path, action in table:
+            self._klein.route(root + path, methods=[method])(self._make_handler(action, method))
 
-    def _face(self, act: Callable[..., Coroutine[Any, Any, Answer]], method: str) -> Any:
+    def _make_handler(self, action: Callable[..., Coroutine[Any, Any, Answer]], method: str) -> Any:
         """Return the klein handler that answers with what `act` returns."""
 
         def handle(request: Any, **names: str) -> Deferred:
-            return to_deferred(self._answer(act, method, request, names))
+            return to_deferred(self._answer(action, method, request, names))
 
-        handle.__name__ = act.__name__
+        handle.__name__ = action.__name__
         return handle
 
-    async def _answer(self, act: Any, method: str, request: Any, names: dict[str, str]) -> bytes:
+    async def _answer(self, action: Any, method: str, request: Any, names: dict[str, str]) -> bytes:
         """Authenticate, act, and turn the outcome or the refusal into an answer."""
         request.setHeader("content-type", "application/json")
         request.setHeader("cache-control", "no-store")
@@ -202,18 +202,18 @@
                 await self._service.read_current()
             caller = self._authenticate(request)
             checked = {name: _checked_id(text) for name, text in names.items()}
-            return msgspec.json.encode(await act(request, caller, **checked))
+            return msgspec.json.encode(await action(request, caller, **checked))
         except OperatorRefusedError as error:
             return self._refuse(request, error)
         except Exception as error:
             # The text of an unforeseen error may quote the request, and so a key.
             path = request.path.decode("ascii", "replace")
-            kind, place = type(error).__name__, _place_of(error)
+            kind, place = type(error).__name__, _location_of(error)
             logger.error("operator request failed", path=path, error=kind, place=place)
-            unforeseen = OperatorRefusedError(
+            internal_error = OperatorRefusedError(
                 OperatorCode.FAILED, "internal error; the outcome is not known", False
             )
-            return self._refuse(request, unforeseen)
+            return self._refuse(request, internal_error)
 
     def _refuse(self, request: Any, error: OperatorRefusedError) -> bytes:
         """Set the status of a refusal and return its body."""
--- a/packages/control/src/damaskwind/control/operator_api/intent_service.py
+++ b/packages/control/src/damaskwind/control/operator_api/intent_service.py
@@ -117,7 +117,7 @@
     async def plan(self, operator: str, origin: str, intent: Any) -> dict[str, Any]:
         """Plan an intent and return the plan; nothing changes."""
         await self._require_role(operator, origin, "planner", "plan")
-        change = _checked_form(intent)
+        change = _parse_intent(intent)
         plan_id = self._new_id("plan")
         for _ in range(_PLAN_ATTEMPTS):
             base = self._machine.configuration
@@ -126,7 +126,7 @@
                 return {"plan": None, "already_in_force": True, "revision": base.revision}
             result = await self._commit(command, f"GET /operator/v1/plans/{plan_id}")
             if result.status is ResultStatus.PLANNED:
-                return {"plan": self._plan_of(command)}
+                return {"plan": self._view_of(command)}
             await self.read_current()
         raise OperatorRefusedError(
             OperatorCode.CONFLICT, "the configuration keeps changing; state the intent again"
@@ -157,7 +157,7 @@
             warnings=plan_warnings(base, change),
         )
 
-    def _plan_of(self, command: PlanCommand) -> dict[str, Any]:
+    def _view_of(self, command: PlanCommand) -> dict[str, Any]:
         """Return the view of a plan that was just committed."""
         return plan_view(command, command.actor.now_s, self._wall_clock())
 
@@ -180,7 +180,7 @@
         view = {"outcome": outcome_view(result.outcome), "repeated": result.repeated}
         if result.status is ResultStatus.CONFIRMED:
             return view
-        raise _closed_unconfirmed(result, view)
+        raise _not_confirmed(result, view)
 
     async def order(
         self,
@@ -240,7 +240,7 @@
     )
 
 
-def _checked_form(intent: Any) -> ConfigurationChange:
+def _parse_intent(intent: Any) -> ConfigurationChange:
     """Read an intent; refuse one of the wrong form."""
     try:
         return change_from_table(intent)
@@ -281,7 +281,7 @@
     )
 
 
-def _closed_unconfirmed(result: ApplyResult, view: dict[str, Any]) -> OperatorRefusedError:
+def _not_confirmed(result: ApplyResult, view: dict[str, Any]) -> OperatorRefusedError:
     """Say why a plan was closed without coming into force."""
     if result.status is ResultStatus.CONFLICT:
         return OperatorRefusedError(
--- a/packages/control/src/damaskwind/control/operator_api/plan_warnings.py
+++ b/packages/control/src/damaskwind/control/operator_api/plan_warnings.py
@@ -28,7 +28,7 @@
     return tuple(warning for rule in _RULES for warning in rule(before, after))
 
 
-def _kept_accounts(
+def _remaining_accounts(
     before: Configuration, after: Configuration
 ) -> Iterator[tuple[ClientAccount, ClientAccount]]:
     """Yield each account that stays, before and after."""
@@ -50,7 +50,7 @@
 
 @_rule
 def _lost_grants(before: Configuration, after: Configuration) -> Iterator[str]:
-    for old, new in _kept_accounts(before, after):
+    for old, new in _remaining_accounts(before, after):
         held = _granted(new)
         for version, adapters in _granted(old).items():
             if version not in held:
@@ -62,14 +62,14 @@
 
 @_rule
 def _lost_services(before: Configuration, after: Configuration) -> Iterator[str]:
-    for old, new in _kept_accounts(before, after):
+    for old, new in _remaining_accounts(before, after):
         for service in sorted(set(old.services) - set(new.services)):
             yield f"accounts.{old.name} loses service {service}: its callers get 404 for it"
 
 
 @_rule
 def _lost_keys(before: Configuration, after: Configuration) -> Iterator[str]:
-    for old, new in _kept_accounts(before, after):
+    for old, new in _remaining_accounts(before, after):
         lost = len(set(old.key_hashes) - set(new.key_hashes))
         if lost:
             yield f"accounts.{old.name} loses {lost} of {len(old.key_hashes)} keys"
@@ -77,11 +77,11 @@
 
 @_rule
 def _lowered_limits(before: Configuration, after: Configuration) -> Iterator[str]:
-    for old, new in _kept_accounts(before, after):
+    for old, new in _remaining_accounts(before, after):
         for field in ("max_concurrent_requests", "max_tokens_per_s"):
-            was, becomes = getattr(old, field), getattr(new, field)
-            if becomes < was * _LIMIT_DROP_SHARE:
-                yield f"accounts.{old.name}.{field} falls from {was:g} to {becomes:g}"
+            old_limit, new_limit = getattr(old, field), getattr(new, field)
+            if new_limit < old_limit * _LIMIT_DROP_SHARE:
+                yield f"accounts.{old.name}.{field} falls from {old_limit:g} to {new_limit:g}"
 
 
 @_rule
@@ -116,9 +116,9 @@
     for name, old in before.services.items():
         if name not in after.services:
             continue
-        once = {route.path_prefix for route in old.routes if not route.idempotent}
+        non_idempotent = {route.path_prefix for route in old.routes if not route.idempotent}
         for route in after.services[name].routes:
-            if route.idempotent and route.path_prefix in once:
+            if route.idempotent and route.path_prefix in non_idempotent:
                 yield f"services.{name}: calls below {route.path_prefix} may now be sent twice"
 
 
--- a/packages/control/src/damaskwind/control/operator_api/router_status.py
+++ b/packages/control/src/damaskwind/control/operator_api/router_status.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-__all__ = ["RouterInForce", "RouterStatusBook", "lag_view"]
+__all__ = ["RouterRevision", "RouterStatusTable", "lag_view"]
 
-_FORGET_AFTER_S = 600.0
+_REPORT_TTL_S = 600.0
 
 
-class RouterInForce(NamedTuple):
+class RouterRevision(NamedTuple):
     """The revision that a router enforces, by its own report of `age_s` ago."""
 
     router_id: str
@@ -25,7 +25,7 @@
     at_s: float
 
 
-class RouterStatusBook:
+class RouterStatusTable:
     """The latest report of each router that this replica heard of."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -36,20 +36,20 @@
         """Take a router's report of the revision that it has applied."""
         self._reports[router_id] = _Report(failure_domain, revision, self._clock())
 
-    def in_force(self) -> list[RouterInForce]:
+    def latest_reports(self) -> list[RouterRevision]:
         """Return the reports by router, without those that are too old."""
         now_s = self._clock()
         self._reports = {
             router_id: report
             for router_id, report in self._reports.items()
-            if now_s - report.at_s <= _FORGET_AFTER_S
+            if now_s - report.at_s <= _REPORT_TTL_S
         }
         return [
-            RouterInForce(router_id, report.failure_domain, report.revision, now_s - report.at_s)
+            RouterRevision(router_id, report.failure_domain, report.revision, now_s - report.at_s)
             for router_id, report in sorted(self._reports.items())
         ]
 
 
-def lag_view(routers: list[RouterInForce], revision: int) -> list[dict[str, Any]]:
+def lag_view(routers: list[RouterRevision], revision: int) -> list[dict[str, Any]]:
     """Return the routers with how many revisions each one is behind."""
     return [{**router._asdict(), "lag": revision - router.revision} for router in routers]
--- a/packages/control/src/damaskwind/control/operator_api/tests/serving.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/serving.py
@@ -5,7 +5,7 @@
 from damaskwind.control.operator_api.authentication import hash_key
 from damaskwind.control.operator_api.http_api import OperatorApi, OperatorApiSettings
 from damaskwind.control.operator_api.intent_service import IntentLimits, IntentService
-from damaskwind.control.operator_api.router_status import RouterInForce
+from damaskwind.control.operator_api.router_status import RouterRevision
 from damaskwind.control.operator_api.tests.objects import BOOTSTRAP_KEY
 from damaskwind.control.operator_api.tests.shared_log import FakeReplica, SharedLog
 from damaskwind.runtime.bridge import to_future
@@ -25,7 +25,7 @@
     def _listen(self, index, replica):
         service = IntentService(replica, replica.machine, IntentLimits(), lambda: self.now_s)
         settings = OperatorApiSettings(f"control-{index}", hash_key(BOOTSTRAP_KEY))
-        routers = [RouterInForce("router-1", "bangsar-hall", 0, 0.5)]
+        routers = [RouterRevision("router-1", "bangsar-hall", 0, 0.5)]
         api = OperatorApi(
             replica, replica.machine, service, settings, lambda: routers, self.archive
         )
--- a/packages/control/src/damaskwind/control/operator_api/tests/shared_log.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/shared_log.py
@@ -24,7 +24,7 @@
     def __init__(self, log):
         self.log = log
         self.machine = ConfigurationMachine()
-        self.moods = deque()
+        self.next_results = deque()
         self.has_majority = True
         self.before_propose = None
 
@@ -42,18 +42,18 @@
         if self.before_propose is not None:
             before, self.before_propose = self.before_propose, None
             before()
-        mood = self.moods.popleft() if self.moods else "commit"
-        if mood == "refuse" or not self.has_majority:
+        result_kind = self.next_results.popleft() if self.next_results else "commit"
+        if result_kind == "refuse" or not self.has_majority:
             return CommitOutcome(CommitVerdict.REFUSED, leader_hint="other", detail="not leader")
-        if mood == "explode":
+        if result_kind == "explode":
             raise RuntimeError(f"unforeseen: {payload!r}")
-        if mood == "lost_command":
+        if result_kind == "lost_command":
             return CommitOutcome(CommitVerdict.UNKNOWN)
         self.log.payloads.append(payload)
         result = self.catch_up()
-        if mood == "lost_answer":
+        if result_kind == "lost_answer":
             return CommitOutcome(CommitVerdict.UNKNOWN)
-        if mood == "no_result":
+        if result_kind == "no_result":
             result = b""
         return CommitOutcome(CommitVerdict.COMMITTED, result)
 
--- a/packages/control/src/damaskwind/control/operator_api/tests/test_http_api.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/test_http_api.py
@@ -120,7 +120,7 @@
         for path, wanted in ((self.confirmed, 200), ("/plans/plan-none", 503)):
             status, answer = await self.ask("GET", path)
             self.assertEqual(status, wanted, answer)
-        self.fleet.replicas[1].moods.append("lost_command")
+        self.fleet.replicas[1].next_results.append("lost_command")
         status, answer = await self.ask("POST", "/intents", body=priority_class(), at=1)
         self.assertEqual((status, answer["error"]["nothing_changed"]), (504, False))
         self.assertIn("GET /operator/v1/plans/plan-", answer["error"]["ask"])
@@ -183,7 +183,7 @@
         pasted = {"accounts": {"clerks": account(key_hashes=[SECRETS[3]])}}
         answers = [await self.ask("POST", "/intents", body=pasted)]
         answers.append(await self.ask("POST", "/intents", SECRETS[3], pasted))
-        self.fleet.replicas[0].moods.append("explode")
+        self.fleet.replicas[0].next_results.append("explode")
         status, answer = await self.ask("POST", "/intents", body={"accounts": {"b": account()}})
         self.assertEqual((status, answer["error"]["nothing_changed"]), (400, True))
         status, answer = await self.ask("POST", "/intents", body=priority_class("b", 5))
--- a/packages/control/src/damaskwind/control/operator_api/tests/test_intent_service.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/test_intent_service.py
@@ -77,7 +77,7 @@
     async def test_confirm_resent_elsewhere_after_lost_answer_gives_first_outcome(self):
         fleet = await started_fleet()
         plan = await fleet.plan(0, "mei", priority_class("batch", 5))
-        fleet.replicas[0].moods.append("lost_answer")
+        fleet.replicas[0].next_results.append("lost_answer")
         unknown = await self.refusal(fleet.confirm(0, "mei", plan["id"]))
         self.assertEqual(unknown.code, OperatorCode.OUTCOME_UNKNOWN)
         self.assertFalse(unknown.nothing_changed)
@@ -95,7 +95,7 @@
     async def test_a_commit_without_its_result_is_not_known_and_told_when_resent(self):
         fleet = await started_fleet()
         plan = await fleet.plan(0, "mei", priority_class("batch", 5))
-        fleet.replicas[0].moods.append("no_result")
+        fleet.replicas[0].next_results.append("no_result")
         unknown = await self.refusal(fleet.confirm(0, "mei", plan["id"]))
         self.assertEqual(unknown.code, OperatorCode.OUTCOME_UNKNOWN)
         again = await fleet.confirm(1, "mei", plan["id"])
@@ -105,7 +105,7 @@
     async def test_confirm_that_was_lost_before_the_log_commits_when_resent(self):
         fleet = await started_fleet()
         plan = await fleet.plan(0, "mei", priority_class("batch", 5))
-        fleet.replicas[0].moods.append("lost_command")
+        fleet.replicas[0].next_results.append("lost_command")
         await self.refusal(fleet.confirm(0, "mei", plan["id"]))
         again = await fleet.confirm(1, "mei", plan["id"])
         self.assertFalse(again["repeated"])
@@ -115,7 +115,7 @@
     async def test_bootstrap_confirm_may_be_resent_though_operators_exist_now(self):
         fleet = Fleet()
         plan = await fleet.plan(0, "bootstrap", operators())
-        fleet.replicas[0].moods.append("lost_answer")
+        fleet.replicas[0].next_results.append("lost_answer")
         await self.refusal(fleet.confirm(0, "bootstrap", plan["id"]))
         again = await fleet.confirm(1, "bootstrap", plan["id"])
         self.assertEqual((again["repeated"], again["outcome"]["revision"]), (True, 1))
@@ -172,7 +172,7 @@
         fleet.replicas[0].has_majority = False
         refused = await self.refusal(fleet.confirm(0, "mei", plan["id"]))
         self.assertEqual((refused.code, refused.nothing_changed), (OperatorCode.NO_QUORUM, True))
-        fleet.replicas[1].moods.append("refuse")
+        fleet.replicas[1].next_results.append("refuse")
         refused = await self.refusal(fleet.confirm(1, "mei", plan["id"]))
         self.assertEqual((refused.code, refused.nothing_changed), (OperatorCode.NO_QUORUM, True))
         self.assertEqual(refused.details["leader"], "other")
--- a/packages/control/src/damaskwind/control/operator_api/views.py
+++ b/packages/control/src/damaskwind/control/operator_api/views.py
@@ -46,16 +46,16 @@
 
 
 def configuration_view(
-    whole: Configuration, kind: str, name: str, with_hashes: bool
+    configuration: Configuration, kind: str, name: str, with_hashes: bool
 ) -> dict[str, Any]:
     """Return the configuration, one kind of it, or one object; hashes by fingerprint.
 
     Unknown kinds and names give an empty table.
     """
-    table = to_table(whole)
+    table = to_table(configuration)
     if kind:
         selected = table.get(kind, {}) if kind in (*OBJECT_KINDS, "policy") else {}
         if name and kind != "policy":
             selected = {key: value for key, value in selected.items() if key == name}
-        table = {"revision": whole.revision, kind: selected}
+        table = {"revision": configuration.revision, kind: selected}
     return table if with_hashes else redacted(table)
--- a/packages/control/src/damaskwind/control/process.py
+++ b/packages/control/src/damaskwind/control/process.py
@@ -10,7 +10,7 @@
 from loguru import logger
 from twisted.internet.defer import maybeDeferred
 
-from damaskwind.control.claim_holding import ClaimHolding, hold_claims
+from damaskwind.control.claim_holding import DeferredClaimHolder, start_claim_holder
 from damaskwind.control.operator_api.assembly import make_operator_api
 from damaskwind.control.orders.delivery import DeliveryTiming
 from damaskwind.control.orders.sender import OrderSender
@@ -48,12 +48,12 @@
         self.follow = FollowService(
             self.verifier,
             lambda: self.replica.is_current,
-            self.reports.own.report,
-            self.reports.own_messages,
+            self.reports.local.report,
+            self.reports.local_messages,
         )
-        self.holding = ClaimHolding()
+        self.claim_holder = DeferredClaimHolder()
         self.operator_api, self._archive = make_operator_api(
-            node, control, self.access, self.machine, self.reports.in_force
+            node, control, self.access, self.machine, self.reports.latest_reports
         )
         self.telemetry = self._make_telemetry()
         self.orders = OrderSender(
@@ -63,15 +63,15 @@
             Random(secrets.randbits(64)),
         )
         self._reactor = reactor
-        self._server = Server([self.node.service, self.follow, self.holding])
+        self._server = Server([self.node.service, self.follow, self.claim_holder])
         self._is_serving = False
         self._listener: Any = None
         self._tasks: list[asyncio.Task] = []
         self._stopping: asyncio.Future | None = None
         self.replica_address = parse_address(control.replica_address)
         self.operator_address = parse_address(control.operator_address)
-        self.replica.on_applied.append(self._applied)
-        self.replica.on_failure.append(self._note_failure)
+        self.replica.on_applied.append(self._on_applied)
+        self.replica.on_failure.append(self._report_failure)
 
     def _make_telemetry(self) -> ControlTelemetry:
         """Make the metrics and show them beside the intent API."""
@@ -79,7 +79,7 @@
         telemetry.watch_log(self.access)
         telemetry.watch_storage(self.node.journal, self.replica.writer)
         telemetry.watch_machine(self.machine)
-        telemetry.watch_callers(self.follow, self.holding, self.verifier)
+        telemetry.watch_callers(self.follow, self.claim_holder, self.verifier)
         self.operator_api.serve_metrics(telemetry.metrics.render)
         return telemetry
 
@@ -98,14 +98,14 @@
         self.operator_address = Address(host, self._listener.getHost().port)
         self.follow.publish(self.machine.configuration)
         self.node.start(self.settings.node, control, str(self.replica_address))
-        holding = hold_claims(
-            self.holding,
+        starting = start_claim_holder(
+            self.claim_holder,
             self.node,
             self.verifier,
             control.bootstrap_replicas,
             lambda: self.machine.configuration.policy.idempotency_ttl_s,
         )
-        self._spawn(self._guard(holding))
+        self._spawn(self._guard(starting))
         self._spawn(self.reports.poll())
         self._spawn(self.orders.run())
 
@@ -129,7 +129,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self.holding.stop()
+        await self.claim_holder.stop()
         await self.node.stop()
         if self._is_serving:
             self._server.close()
@@ -146,18 +146,18 @@
         try:
             await coroutine
         except StorageError as error:
-            self._note_failure(error)
+            self._report_failure(error)
 
-    def _applied(self) -> None:
+    def _on_applied(self) -> None:
         """Let followers and the audit archive have what was just applied."""
         self.follow.publish(self.machine.configuration)
-        self.holding.set_ttl(self.machine.configuration.policy.idempotency_ttl_s)
+        self.claim_holder.set_ttl(self.machine.configuration.policy.idempotency_ttl_s)
         try:
             self._archive.store_closed(self.machine.trail)
         except StorageError as error:
-            self._note_failure(error)
+            self._report_failure(error)
 
-    def _note_failure(self, error: StorageError) -> None:
+    def _report_failure(self, error: StorageError) -> None:
         """Report a failure of the disk, once."""
         if not self.failed.done():
             logger.critical("control process failed", error=str(error))
--- a/packages/control/src/damaskwind/control/router_reports.py
+++ b/packages/control/src/damaskwind/control/router_reports.py
@@ -5,7 +5,7 @@
 
 from loguru import logger
 
-from damaskwind.control.operator_api.router_status import RouterInForce, RouterStatusBook
+from damaskwind.control.operator_api.router_status import RouterRevision, RouterStatusTable
 from damaskwind.control.replica.replica import Replica
 from damaskwind.control.replica.transport import CALL_ERRORS, Channels
 from damaskwind.model.targets import Address
@@ -24,14 +24,14 @@
     """The newest report of each router, from whichever replica has it."""
 
     def __init__(self, replica: Replica, signer: CallSigner) -> None:
-        self.own = RouterStatusBook(read_clock)
+        self.local = RouterStatusTable(read_clock)
         self._replica = replica
         self._signer = signer
         self._channels = Channels()
-        self._of_others: dict[str, tuple[RouterInForce, ...]] = {}
-        self._polled_s: dict[str, float] = {}
+        self._remote_reports: dict[str, tuple[RouterRevision, ...]] = {}
+        self._polled_at_s: dict[str, float] = {}
 
-    def own_messages(self) -> list[FollowerReport]:
+    def local_messages(self) -> list[FollowerReport]:
         """Return the reports of the own followers as messages."""
         return [
             FollowerReport(
@@ -40,15 +40,15 @@
                 applied_revision=item.revision,
                 age_ms=int(item.age_s * 1000),
             )
-            for item in self.own.in_force()
+            for item in self.local.latest_reports()
         ]
 
-    def in_force(self) -> list[RouterInForce]:
+    def latest_reports(self) -> list[RouterRevision]:
         """Return the newest report of each router."""
         now_s = read_clock()
-        newest = {item.router_id: item for item in self.own.in_force()}
-        for replica_id, reports in self._of_others.items():
-            since_s = now_s - self._polled_s[replica_id]
+        newest = {item.router_id: item for item in self.local.latest_reports()}
+        for replica_id, reports in self._remote_reports.items():
+            since_s = now_s - self._polled_at_s[replica_id]
             for item in reports:
                 aged = item._replace(age_s=item.age_s + since_s)
                 known = newest.get(item.router_id)
@@ -62,14 +62,14 @@
             membership = self._replica.core.membership
             members = {item.replica_id for item in membership.voters + membership.learners}
             members.discard(self._replica.member.replica_id)
-            await asyncio.gather(*(self._poll_one(replica_id) for replica_id in members))
+            await asyncio.gather(*(self._poll_replica(replica_id) for replica_id in members))
             await asyncio.sleep(POLL_S)
 
     def close(self) -> None:
         """Close the connections."""
         self._channels.close()
 
-    async def _poll_one(self, replica_id: str) -> None:
+    async def _poll_replica(self, replica_id: str) -> None:
         """Ask one replica; keep what it last said when it does not answer."""
         address: Address | None = self._replica.state.addresses.address_of(replica_id)
         if address is None:
@@ -82,9 +82,9 @@
             logger.debug("reports not read", replica=replica_id, error=repr(error))
             self._channels.drop(address)
             return
-        self._polled_s[replica_id] = read_clock()
-        self._of_others[replica_id] = tuple(
-            RouterInForce(
+        self._polled_at_s[replica_id] = read_clock()
+        self._remote_reports[replica_id] = tuple(
+            RouterRevision(
                 item.router_id, item.failure_domain, item.applied_revision, item.age_ms / 1000
             )
             for item in reply.reports
--- a/packages/control/src/damaskwind/control/telemetry.py
+++ b/packages/control/src/damaskwind/control/telemetry.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from damaskwind.control.claim_holding import ClaimHolding
+from damaskwind.control.claim_holding import DeferredClaimHolder
 from damaskwind.control.replica.forwarding import LogAccess
 from damaskwind.control.replica.replica import Replica
 from damaskwind.control.state.configuration_machine import ConfigurationMachine
@@ -18,7 +18,7 @@
 __all__ = ["ControlTelemetry"]
 
 _ROLES = ("follower", "pre_candidate", "candidate", "leader", "failed")
-Read = Callable[[], float]
+ReadValue = Callable[[], float]
 
 
 class ControlTelemetry:
@@ -37,15 +37,15 @@
             "commit_duration", "s", "Time from a proposal here to its commit."
         )
 
-        def note(outcome: ProposalOutcome, duration_s: float) -> None:
+        def record_proposal(outcome: ProposalOutcome, duration_s: float) -> None:
             reason = str(outcome.reason) if outcome.reason is not None else ""
             proposals.add(1, {"outcome": str(outcome.outcome), "reason": reason})
             if outcome.outcome is Outcome.COMMITTED:
                 durations.record(duration_s)
 
-        access.on_proposed.append(note)
+        access.on_proposed.append(record_proposal)
         self.metrics.gauge(
-            "replica_role", "1", "1 for the role this replica has.", lambda: _roles(replica)
+            "replica_role", "1", "1 for the role this replica has.", lambda: _role_samples(replica)
         )
         self._gauge("replica_term", "Term of the log.", lambda: replica.core.term)
         self._gauge(
@@ -93,7 +93,7 @@
         )
 
     def watch_callers(
-        self, follow: FollowService, holding: ClaimHolding, verifier: CallVerifier
+        self, follow: FollowService, claim_holder: DeferredClaimHolder, verifier: CallVerifier
     ) -> None:
         """Show followers, claims and refused calls."""
         self._gauge("followers", "Routers that follow here.", lambda: follow.follower_count)
@@ -101,11 +101,13 @@
             "claim_replies",
             "1",
             "Answers of the claim holder, by call and rejection.",
-            lambda: _claim_replies(holding),
+            lambda: _claim_reply_samples(claim_holder),
         )
-        self._gauge("claim_records", "Keys on record here.", lambda: _record_count(holding))
+        self._gauge("claim_records", "Keys on record here.", lambda: _record_count(claim_holder))
         self._gauge(
-            "claim_holder_is_voting", "1 when the holder votes.", lambda: int(_is_voting(holding))
+            "claim_holder_is_voting",
+            "1 when the holder votes.",
+            lambda: int(_is_voting(claim_holder)),
         )
         self.metrics.total(
             "calls_refused",
@@ -117,35 +119,35 @@
             ],
         )
 
-    def _gauge(self, name: str, description: str, read: Read, unit: str = "1") -> None:
+    def _gauge(self, name: str, description: str, read: ReadValue, unit: str = "1") -> None:
         """Make a gauge of one value."""
         self.metrics.gauge(name, unit, description, lambda: [Sample(read())])
 
-    def _total(self, name: str, description: str, read: Read, unit: str = "1") -> None:
+    def _total(self, name: str, description: str, read: ReadValue, unit: str = "1") -> None:
         """Make a counter of one value."""
         self.metrics.total(name, unit, description, lambda: [Sample(read())])
 
 
-def _roles(replica: Replica) -> list[Sample]:
+def _role_samples(replica: Replica) -> list[Sample]:
     """Return 1 for the role that a replica has and 0 for the others."""
     role = replica.core.role if replica.failure is None else "failed"
     return [Sample(int(role == name), {"role": name}) for name in _ROLES]
 
 
-def _claim_replies(holding: ClaimHolding) -> list[Sample]:
+def _claim_reply_samples(claim_holder: DeferredClaimHolder) -> list[Sample]:
     """Return the holder's answers by call and rejection."""
-    replies = holding.inner.replies if holding.inner is not None else {}
+    replies = claim_holder.inner.replies if claim_holder.inner is not None else {}
     return [
         Sample(count, {"call": call, "rejection": str(rejection) or "none"})
         for (call, rejection), count in replies.items()
     ]
 
 
-def _record_count(holding: ClaimHolding) -> int:
+def _record_count(claim_holder: DeferredClaimHolder) -> int:
     """Return how many keys the holder has on record."""
-    return len(holding.inner.holder) if holding.inner is not None else 0
+    return len(claim_holder.inner.holder) if claim_holder.inner is not None else 0
 
 
-def _is_voting(holding: ClaimHolding) -> bool:
+def _is_voting(claim_holder: DeferredClaimHolder) -> bool:
     """Tell whether the holder votes."""
-    return holding.inner is not None and holding.inner.holder.is_voting(read_clock())
+    return claim_holder.inner is not None and claim_holder.inner.holder.is_voting(read_clock())
--- a/packages/control/src/damaskwind/control/tests/test_claim_holding.py
+++ b/packages/control/src/damaskwind/control/tests/test_claim_holding.py
@@ -9,7 +9,7 @@
 from damaskwind.runtime.clock import read_clock
 
 
-class ClaimHoldingTest(TestCase):
+class DeferredClaimHolderTest(TestCase):
     timeout = 60
 
     async def post(self, path, body):
@@ -22,13 +22,15 @@
     @asyncio_test
     async def test_claims_live_as_long_as_the_policy_says(self):
         self.process = await start_single(self)
-        holding = self.process.holding
+        claim_holder = self.process.claim_holder
         try:
-            await until(lambda: holding.inner and holding.inner.holder.is_voting(read_clock()))
-            self.assertEqual(holding.inner.holder.policy.ttl_s, 3600.0)
+            await until(
+                lambda: claim_holder.inner and claim_holder.inner.holder.is_voting(read_clock())
+            )
+            self.assertEqual(claim_holder.inner.holder.policy.ttl_s, 3600.0)
             plan = await self.post("/intents", {"policy": {"idempotency_ttl_s": 77.0}})
             await self.post(f"/plans/{plan['plan']['id']}/confirm", {})
-            await until(lambda: holding.inner.holder.policy.ttl_s == 77.0)
+            await until(lambda: claim_holder.inner.holder.policy.ttl_s == 77.0)
         finally:
             await self.process.stop()
 
@@ -37,16 +39,20 @@
         self.process = await start_single(self)
         ballot = Ballot(3, "request")
         try:
-            holding = self.process.holding
-            await until(lambda: holding.inner and holding.inner.holder.is_voting(read_clock()))
-            first = holding.inner.holder
+            claim_holder = self.process.claim_holder
+            await until(
+                lambda: claim_holder.inner and claim_holder.inner.holder.is_voting(read_clock())
+            )
+            first = claim_holder.inner.holder
             first.order(Order("key", ballot), read_clock())
             await self.process.stop()
             self.process = await start_control(self.process.settings)
-            holding = self.process.holding
-            await until(lambda: holding.inner and holding.inner.holder.is_voting(read_clock()))
-            self.assertGreater(holding.inner.holder.incarnation, first.incarnation)
-            reply = holding.inner.holder.order(Order("key", Ballot(2, "late")), read_clock())
+            claim_holder = self.process.claim_holder
+            await until(
+                lambda: claim_holder.inner and claim_holder.inner.holder.is_voting(read_clock())
+            )
+            self.assertGreater(claim_holder.inner.holder.incarnation, first.incarnation)
+            reply = claim_holder.inner.holder.order(Order("key", Ballot(2, "late")), read_clock())
             self.assertEqual(reply.promised, ballot)
         finally:
             await self.process.stop()
--- a/packages/control/src/damaskwind/control/tests/test_process.py
+++ b/packages/control/src/damaskwind/control/tests/test_process.py
@@ -93,7 +93,7 @@
         )
 
     def votes(self, name):
-        inner = self.running[name].holding.inner
+        inner = self.running[name].claim_holder.inner
         return inner is not None and inner.holder.is_voting(read_clock())
 
     def voter_count(self, name):
@@ -124,7 +124,7 @@
                 self.assertEqual(follower.configuration.policy.load_factor, 1.5)
 
             def known(name):
-                reports = self.running[name].reports.in_force()
+                reports = self.running[name].reports.latest_reports()
                 return [(item.router_id, item.revision) for item in reports]
 
             for name in "abc":
@@ -144,14 +144,14 @@
             await until(lambda: all(self.votes(name) for name in "abc"))
             # Of two voters none may be lost: the third must count before a disk goes.
             await until(lambda: all(self.voter_count(name) == 3 for name in "abc"))
-            first = self.running["c"].holding.inner.holder.incarnation
+            first = self.running["c"].claim_holder.inner.holder.incarnation
             await self.running["c"].stop()
             shutil.rmtree(self.folder / "c")
             await self.start("c")
             await until(lambda: self.votes("c"))
-            holder = self.running["c"].holding.inner.holder
+            holder = self.running["c"].claim_holder.inner.holder
             self.assertGreater(holder.incarnation, first)
-            self.assertEqual(holder._read_from, {"a", "b"})
+            self.assertEqual(holder._caught_up_from, {"a", "b"})
         finally:
             await self.stop_all()
 
--- a/packages/control/src/damaskwind/control/tests/test_telemetry.py
+++ b/packages/control/src/damaskwind/control/tests/test_telemetry.py
@@ -26,9 +26,11 @@
     async def start(self):
         self.process = await start_single(self)
         self.replicas = self.process.settings.control.bootstrap_replicas
-        holding = self.process.holding
+        claim_holder = self.process.claim_holder
         await until(lambda: self.process.replica.is_leader)
-        await until(lambda: holding.inner and holding.inner.holder.is_voting(read_clock()))
+        await until(
+            lambda: claim_holder.inner and claim_holder.inner.holder.is_voting(read_clock())
+        )
 
     async def scrape(self):
         """Return the samples of the page by name and labels."""
