--- a/packages/control/src/damaskwind/control/fleet/__init__.py
+++ b/packages/control/src/damaskwind/control/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Who serves, told to every router; configurations published as written."""
+"""Control replicas of a fleet: target membership and published configuration documents."""
--- a/packages/control/src/damaskwind/control/fleet/calls.py
+++ b/packages/control/src/damaskwind/control/fleet/calls.py
@@ -1,6 +1,6 @@
-"""What operators and targets may ask of any control replica.
+"""Calls of operators and targets that any control replica serves.
 
-Nothing here knows how the calls look on the wire: an adapter decodes them and
+This module is independent of the wire format: an adapter decodes the calls and
 formats the outcomes.
 """
 
@@ -37,18 +37,19 @@
 
 __all__ = ["ControlCalls", "PublishResult", "PublishStatus", "ReportOutcome"]
 
-# Operators move on to another replica after a second without an answer.
+# Operators try another replica after a second without an answer.
 PUBLISH_TIMEOUT_S = 0.9
 READ_TIMEOUT_S = 0.9
-# A leave is acknowledged once all replicas that can be reached know it, but a
-# target waits no longer than a second for its acknowledgement.
+# A leave is acknowledged once all reachable replicas have it, but a target waits
+# at most a second for the acknowledgement.
 LEAVE_REPLICATION_TIMEOUT_S = 0.3
-# A change that meets others is written anew upon them; after so many tries it goes whole.
+# A publication that conflicts with another is retried as a difference from the new document;
+# after this many attempts the whole document is proposed.
 DIFFERENCE_ATTEMPTS = 3
 
 
 class PublishStatus(StrEnum):
-    """How an order to publish ended."""
+    """The result of a request to publish."""
 
     ACKNOWLEDGED = "acknowledged"
     INVALID = "invalid"
@@ -56,7 +57,7 @@
 
 
 class ReportOutcome(StrEnum):
-    """What became of a target's report; only what is taken is acknowledged."""
+    """The result of a target's report; only an accepted one is acknowledged."""
 
     ACCEPTED = "taken"
     FOREIGN = "foreign"
@@ -64,7 +65,7 @@
 
 
 class PublishResult(NamedTuple):
-    """The status of an order, its version, and what is wrong with it."""
+    """The status of a request to publish, its version, and what is wrong with it."""
 
     status: PublishStatus
     version: int
@@ -74,9 +75,9 @@
 class ControlCalls:
     """The calls of operators and targets at one replica.
 
-    `access` gives the log, or `None` while the disk is not usable; reports of
-    targets are taken all the same. Nothing is published before `has_enough_voters`
-    says that enough replicas vote: a founder starts alone.
+    `access` returns the log, or `None` while the disk is not usable; reports of
+    targets are accepted all the same. Nothing is published until `has_enough_voters`
+    returns true, since the replica that founds the cluster starts as its only voter.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
         self.tallies = Tallies()
 
     async def publish(self, document: bytes) -> PublishResult:
-        """Publish a document; what is acknowledged is on a majority's disks."""
+        """Publish a document; it is acknowledged once it is on the disks of a majority."""
         started_s = read_clock()
         result = await self._publish(document)
         self.tallies.count("publications", status=result.status.value)
@@ -107,7 +108,7 @@
         return result
 
     async def _publish(self, document: bytes) -> PublishResult:
-        """Check a document and put it in the log."""
+        """Check a document and propose it to the log."""
         try:
             configuration = self._decode(document)
             mistakes = configuration_mistakes(configuration)
@@ -141,7 +142,7 @@
         return PublishResult(PublishStatus.ACKNOWLEDGED, version)
 
     async def _propose(self, access: ProposalPort, version: int, document: bytes) -> CommitOutcome:
-        """Put a document in the log, by its difference as long as that comes through."""
+        """Propose a document, as a difference for the first `DIFFERENCE_ATTEMPTS` attempts."""
         deadline_s = read_clock() + PUBLISH_TIMEOUT_S
         for attempt in count(1):
             machine = self._machine()
@@ -154,9 +155,9 @@
         return outcome
 
     async def read(self, caller: str) -> ConfigurationRead:
-        """Return the newest document that a majority holds, or none if that is not sure.
+        """Return the newest document that a majority stores, or none if that is uncertain.
 
-        What this VM's link does not carry in time is to be had from a router.
+        A document that is too large for this VM's link is redirected to a router.
         """
         asked_s = read_clock()
         access = self._access()
@@ -175,7 +176,7 @@
         )
 
     def _redirect(self, read: ConfigurationRead) -> ConfigurationRead:
-        """Name a router that gives a document which this VM's link is too narrow for."""
+        """Redirect a read to a router if this VM's link is too slow for the document."""
         endpoints = self._feed.relay_endpoints()
         endpoint = self._read_redirector.choose(len(read.document), endpoints)
         if endpoint is None:
@@ -193,14 +194,14 @@
         return read._replace(sent_on_to=url)
 
     def record_delivery(self, read: ConfigurationRead, delivery: Delivery) -> None:
-        """Note how far the answer to a read came."""
+        """Record how much of the answer to a read was delivered."""
         outcome = outcome_of(delivery)
         self.tallies.count("reads", outcome=outcome)
         self.tallies.observe("read_duration", read.took_s(delivery), outcome=outcome)
         log_read(read, delivery)
 
     async def report(self, record: TargetRecord) -> ReportOutcome:
-        """Take a target's report; tell whether it may be acknowledged."""
+        """Apply a target's report; return whether it may be acknowledged."""
         held = self._feed.table.record_of(record.target_id)
         if held is not None and held.service not in ("", record.service):
             self.tallies.count("reports", phase="foreign")
@@ -224,13 +225,14 @@
                 born_ms=record.born_ms,
                 address=str(record.address),
             )
-        # A word that it leaves belongs to an earlier life by a birth before the one held. After a
-        # step of its clock it is the target's own, and work would go on to come.
+        # A report of leaving with an earlier start time than the stored one counts as a late report
+        # of an older incarnation. If the target's clock was stepped back, it is the current one,
+        # and acknowledging it would let routers go on sending requests to a leaving target.
         if self._feed.table.phase_of(record.target_id) < record.phase:
             logger.warning(
                 "report not in force",
                 target=record.target_id,
-                why="born before the life held, which was heard lately",
+                why="born before the incarnation held, which was seen recently",
                 phase=record.phase.name.lower(),
                 born_ms=record.born_ms,
                 held_born_ms=held.born_ms if held else 0,
@@ -241,7 +243,7 @@
         return ReportOutcome.ACCEPTED
 
     def choose_report_address(self) -> Address | None:
-        """Return where a target may report from now on, if it had better not here."""
+        """Return the address to which a target should report instead; `None` for this replica."""
         host = self._feed.choose_report_host()
         if host is None:
             return None
@@ -249,14 +251,14 @@
         return Address(host, self._read_redirector.port)
 
     async def leave(self, target_id: str) -> None:
-        """Take a target's word that it takes no more work."""
+        """Apply a target's announcement that it is gone."""
         self.tallies.count("reports", phase="gone")
         if self._feed.leave(target_id):
             logger.info("target left", target=target_id)
             await self._wait_until_replicated(target_id)
 
     async def _wait_until_replicated(self, target_id: str) -> None:
-        """Wait a little until the other replicas know."""
+        """Wait up to `LEAVE_REPLICATION_TIMEOUT_S` until the other replicas have the change."""
         revision = self._feed.table.revision
         if not await self._feed.wait_until_replicated(revision, LEAVE_REPLICATION_TIMEOUT_S):
             logger.warning(
--- a/packages/control/src/damaskwind/control/fleet/document_cache.py
+++ b/packages/control/src/damaskwind/control/fleet/document_cache.py
@@ -1,4 +1,4 @@
-"""Keep the last documents, and tell the newest by its difference from what a router holds."""
+"""Cache recent documents, and encode the newest as a difference from a router's version."""
 
 from collections import OrderedDict
 
@@ -7,12 +7,12 @@
 
 __all__ = ["DocumentCache"]
 
-# Versions that come every 0.3 s, for routers that are 2 s behind; some MB at most.
+# Enough for versions published every 0.3 s and routers that are 2 s behind; a few MB at most.
 MAX_DOCUMENTS = 8
 
 
 class DocumentCache:
-    """The newest document of a replica and some before it.
+    """The newest document of a replica and some earlier ones.
 
     >>> cache = DocumentCache()
     >>> cache.put(4, b"four")
@@ -27,11 +27,11 @@
 
     @property
     def version(self) -> int:
-        """Return the newest version; 0 when there is none."""
+        """Return the newest version; 0 if there is none."""
         return next(reversed(self._documents), 0)
 
     def put(self, version: int, document: bytes) -> None:
-        """Take a document; an older one than the newest changes nothing."""
+        """Add a document; one that is no newer than the newest is ignored."""
         if version <= self.version:
             return
         self._documents[version] = document
@@ -40,7 +40,7 @@
             self._documents.popitem(last=False)
 
     def newest_for(self, held_version: int) -> Document:
-        """Return the newest document for a router that holds a version; it is made once."""
+        """Return the newest document, encoded for a router that has a version, and cache it."""
         base_version = held_version if held_version in self._documents else 0
         encoded = self._encoded.get(base_version)
         if encoded is None:
--- a/packages/control/src/damaskwind/control/fleet/evacuation_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/evacuation_calls.py
@@ -1,4 +1,4 @@
-"""Take operators' orders to empty failure domains, at any control replica."""
+"""Handle operators' orders to evacuate failure domains, at any control replica."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -19,14 +19,14 @@
 
 __all__ = ["EvacuationCalls", "EvacuationResult", "EvacuationStatus"]
 
-# Operators move on to another replica after a second without an answer.
+# Operators try another replica after a second without an answer.
 ORDER_TIMEOUT_S = 0.9
-# An order that meets others for its failure domain is written anew upon them.
+# An order that conflicts with another one for its failure domain is retried on top of it.
 ORDER_ATTEMPTS = 4
 
 
 class EvacuationStatus(StrEnum):
-    """How an order ended."""
+    """The result of an order."""
 
     ACKNOWLEDGED = "acknowledged"
     NO_SUCH_DOMAIN = "no-such-domain"
@@ -41,10 +41,10 @@
 
 
 class EvacuationCalls:
-    """The orders to empty failure domains at one replica.
+    """Handles orders to evacuate failure domains at one replica.
 
-    An order is acknowledged once a majority has it on disk, also where it changes nothing.
-    Without `failure_domains` any name is taken.
+    An order is acknowledged once a majority has it on disk, even if it changes nothing.
+    If `failure_domains` is empty, any name is accepted.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
     async def order(
         self, failure_domain: str, is_evacuated: bool, caller: str = ""
     ) -> EvacuationResult:
-        """Empty a failure domain, or take it back."""
+        """Order or withdraw the evacuation of a failure domain."""
         started_s = read_clock()
         result = await self._order(failure_domain, is_evacuated)
         took_s = read_clock() - started_s
@@ -100,7 +100,7 @@
     async def _propose(
         self, access: ProposalPort, failure_domain: str, is_evacuated: bool
     ) -> CommitOutcome:
-        """Put an order in the log, upon what the failure domain's last one was."""
+        """Propose an order to the log, based on the failure domain's last order."""
         deadline_s = read_clock() + ORDER_TIMEOUT_S
         base_revision = self._orders().held(failure_domain).revision
         for _ in range(ORDER_ATTEMPTS):
--- a/packages/control/src/damaskwind/control/fleet/evacuations_site.py
+++ b/packages/control/src/damaskwind/control/fleet/evacuations_site.py
@@ -1,4 +1,4 @@
-"""Let operators see, give and withdraw evacuations at a replica's metrics address."""
+"""Let operators list, order and withdraw evacuations at a replica's metrics address."""
 
 from urllib.parse import unquote
 
@@ -22,7 +22,7 @@
 
 
 class EvacuationsSite:
-    """The handler of `GET EVACUATIONS_PATH`, and of `PUT` and `DELETE` with `/DOMAIN` behind it."""
+    """Handler of `GET EVACUATIONS_PATH`, and of `PUT` and `DELETE EVACUATIONS_PATH/DOMAIN`."""
 
     def __init__(self, calls: EvacuationCalls, feed: NewsFeed) -> None:
         self._calls = calls
--- a/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
+++ b/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
@@ -1,4 +1,4 @@
-"""Show operators which requests are suspected or held fatal, and let them lift that."""
+"""Show operators the requests that are suspected or held fatal, and let them clear these."""
 
 import msgspec
 from loguru import logger
@@ -17,7 +17,7 @@
 
 
 class FatalRequestsSite:
-    """The handler of `GET FATAL_REQUESTS_PATH` and `DELETE FATAL_REQUESTS_PATH/DIGEST`."""
+    """Handler of `GET FATAL_REQUESTS_PATH` and `DELETE FATAL_REQUESTS_PATH/DIGEST`."""
 
     def __init__(self, feed: NewsFeed) -> None:
         self._feed = feed
@@ -48,7 +48,7 @@
         return {"requests": [row for row in rows if row["standing"] is not Standing.CLEAR]}
 
     def _lift(self, exchange: Exchange, digest_hex: bytes) -> None:
-        """Clear a request that an operator names; routers hear of it as of any other news."""
+        """Clear the request that an operator names; routers get this with their next updates."""
         try:
             digest = bytes.fromhex(digest_hex.decode("latin-1"))
         except ValueError:
--- a/packages/control/src/damaskwind/control/fleet/log_host.py
+++ b/packages/control/src/damaskwind/control/fleet/log_host.py
@@ -1,8 +1,8 @@
-"""Run the replicated log of one replica; open it again after its disk has failed.
+"""Run the replicated log of one replica, and reopen it after a disk failure.
 
-This module loads all of the log's machinery (grpclib, protocol buffers, the
-consensus core), some quarter of a replica's start-up, so that a replica can
-tell its news before.
+Importing this module loads all dependencies of the log (grpclib, protocol buffers,
+the consensus core), about a quarter of a replica's start-up time. It is therefore
+imported only after the replica serves updates.
 """
 
 import asyncio
@@ -25,27 +25,27 @@
 
 __all__ = ["LogHost"]
 
-# Entries of a whole document each (some 10 KB): a snapshot every 64 keeps the
-# log below a megabyte.
+# An entry may hold a whole document (about 10 KB): a snapshot every 64 entries keeps
+# the log below a megabyte.
 SNAPSHOT_EVERY_ENTRIES = 64
-# A quarter of the election timeout and less, so that one lost heartbeat is borne.
+# At most a quarter of the election timeout, so that one lost heartbeat is tolerated.
 HEARTBEAT_S = 0.25
 ELECTION_TIMEOUT_S = 1.0
-# A replica that restarts is back within some 2 s; one that is silent for longer
-# gives its place to a newcomer that has caught up.
+# A restarted replica is back within about 2 s. A voter that is silent for longer is
+# replaced by a learner that has caught up.
 REPLACE_AFTER_S = 3.0
-# With fewer voters, the loss of one disk may take what was acknowledged with it.
+# With fewer voters, acknowledged entries may be lost with a single disk.
 MIN_VOTERS = 3
-# Pause before a failed disk is tried again.
+# Pause before reopening the log after a disk failure.
 REOPEN_DELAY_S = 0.5
 
 
 class LogHost:
-    """The log of one replica, from its folder up.
+    """The replicated log of one replica, with its data folder and its server.
 
-    `state` is what the log drives; it is a new one each time the log is
+    `state` is the state machine driven by the log, created anew each time the log is
     opened. `on_applied` is called when it has changed. `started_s` is when the
-    process started: what the replica promised as a voter, it promised before.
+    process started: any promise that the replica made as a voter is older.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
 
     @property
     def is_current(self) -> bool:
-        """Tell whether this replica believes that it holds all that is confirmed."""
+        """Tell whether this replica considers itself up to date with all committed entries."""
         return self._node is not None and self._node.replica.is_current
 
     @property
@@ -85,10 +85,10 @@
 
     @property
     def has_enough_voters(self) -> bool:
-        """Tell whether so many replicas vote that what is confirmed outlives the losses.
+        """Tell whether there are enough voters for committed entries to survive the losses.
 
-        Without a number of losses to bear, it is as many as the settings first
-        name, three at most.
+        Without a configured number of tolerated losses, the minimum is the number of
+        seed hosts, three at most.
         """
         if self._node is None:
             return False
@@ -97,11 +97,11 @@
         return len(voters) >= (self._settings.required_voters or default_voters)
 
     def slowest_call_s(self) -> float:
-        """Return how long the slowest peer takes to answer a call of the log."""
+        """Return the call duration of the slowest peer of the log."""
         return self._node.replica.transport.slowest_call_s() if self._node else 0.0
 
     def hosts(self) -> tuple[str, ...]:
-        """Return the hosts of all replicas that the log names; their ids are their hosts."""
+        """Return the hosts of all members of the log; a replica's id is its host."""
         if self._node is None:
             return ()
         membership = self._node.replica.core.membership
@@ -109,7 +109,7 @@
         return tuple(member.replica_id for member in members)
 
     async def open(self) -> None:
-        """Recover the replica and run it; try again while the disk fails."""
+        """Recover the replica and run it; retry while the disk fails."""
         while True:
             try:
                 await self._open_once()
@@ -119,7 +119,7 @@
                 await asyncio.sleep(REOPEN_DELAY_S)
 
     async def close(self) -> None:
-        """Finish the writes in hand and stop."""
+        """Finish the pending writes and stop."""
         if self._reopening is not None:
             self._reopening.cancel()
             await asyncio.gather(self._reopening, return_exceptions=True)
@@ -196,7 +196,7 @@
             self._silent_since_s = read_clock()
 
     def _on_disk_failure(self, error: StorageError) -> None:
-        """Close the log and open it again: what the disk holds has to be read anew."""
+        """Close and reopen the log, since its content has to be recovered from disk."""
         logger.critical("disk failed", why=str(error))
         self._reopening = asyncio.ensure_future(self._reopen())
 
--- a/packages/control/src/damaskwind/control/fleet/news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/news_feed.py
@@ -1,4 +1,4 @@
-"""Hold what subscribers have to hear, and wake those that wait for it."""
+"""Keep the updates for routers and other replicas, and answer their long polls."""
 
 import asyncio
 import secrets
@@ -8,7 +8,7 @@
 from random import Random
 from typing import NamedTuple
 
-from damaskwind.control.fleet.target_heartbeats import TargetHeartbeats
+from damaskwind.control.fleet.heard_targets import TargetHeartbeats
 from damaskwind.decisions.fatal_requests.suspicion import Suspicion, SuspicionTable
 from damaskwind.decisions.following.read_redirection import RelayEndpoint
 from damaskwind.decisions.load.held_sums import HeldAggregator, HeldSum
@@ -21,43 +21,44 @@
 
 __all__ = ["NewsFeed"]
 
-# A subscriber that has not asked for so long is gone: three held calls.
+# A subscriber without a request for this long is dropped: three long polls.
 SUBSCRIBER_TTL_S = 4.0
-# Heartbeats of targets are told no more often: in a release a subscriber gets several
-# answers a second, and the ages are two thirds of each.
+# Minimum time between two lists of heartbeats to one subscriber. During a release a subscriber
+# gets several answers a second, and two thirds of each would be heartbeat ages.
 HEARTBEAT_INTERVAL_S = 0.8
-# So many heartbeats are told one by one: 1.6 KB, a packet when compressed. Of more, routers
-# that know the same targets are told who is silent.
+# Up to this many heartbeats are listed one by one: 1.6 KB, one packet when compressed. With more
+# targets, routers that have the same table get the list of silent targets instead.
 MAX_LISTED_TARGETS = 64
-# A heartbeat in a list, compressed.
+# Compressed size of one heartbeat in a list.
 HEARTBEAT_BYTES = 10
-# A router that has known other targets for so long is told all heartbeats after all.
+# A router whose table has differed for this long gets all heartbeats one by one.
 MAX_MISMATCH_S = 2.0
-# Changes among more than LISTED_TARGETS are told by the replica that is first for a router.
-# One that still lacks some, the last of them so old or its table other for three times that, hears
-# of them from the others where their links are idle: its first one may be frozen.
+# With more than MAX_LISTED_TARGETS targets, a router receives changes from its first replica.
+# Other replicas with an idle link send them once the last change is this old, or once the
+# router's table has differed for three times as long: its first replica may be frozen.
 LAG_THRESHOLD_S = 0.5
-# Changes among many targets are told together: each wakes all routers that wait.
+# Changes among many targets are batched for this long, as each wakes all waiting routers.
 WAKE_INTERVAL_S = 0.05
-# So many records go with an answer, so that heartbeats of the log find room between them.
+# Maximum number of records in one answer, so that the log's heartbeats get through in between.
 MAX_RECORDS = 500
-# So few new records go without room too, and any change of a phase, a third of the bytes: a leave
-# must not wait for the parts of tables and the sums that have the link.
+# Up to this many new records are sent without headroom too, as is any change of a phase, which
+# takes a third of the bytes: a leave must not wait behind parts of tables and load sums.
 SMALL_UPDATE_RECORDS = 16
-# What one lost target had in hand, four times over, is told in one answer.
+# Maximum number of suspicions in one answer: four times the requests in flight at a lost target.
 MAX_SUSPICIONS = 256
-# What the routers say of one lost target comes within this.
+# The routers' reports about one lost target arrive within this time and are batched.
 SUSPICION_BATCH_S = 0.01
-# Routers that are named to one for which the link has no room; the second is for one that
-# has ended meanwhile.
+# Number of routers named as sources of the table when the link has no headroom; the second one
+# is a fallback in case the first has stopped.
 MAX_TABLE_SOURCES = 2
 
 
 class _Subscription(NamedTuple):
-    """What a subscriber was known to have when it last asked, and what it was told then.
+    """What a subscriber had at its last request, and what was sent to it then.
 
-    `agreed_s` is when its table last was the one of this replica, or what that was when it was
-    told all; it `lacks` changes that its first replica should have told it by now.
+    `last_match_s` is when its table last equalled this replica's table, or the table that was
+    last sent to it in full. It `is_lagging` if it lacks changes that its first replica should
+    have sent by now.
     """
 
     kind: str
@@ -71,7 +72,7 @@
 
 
 class NewsFeed:
-    """The table of targets of one replica, as its subscribers see it."""
+    """The target table of one replica and the updates that its subscribers get from it."""
 
     def __init__(
         self,
@@ -90,9 +91,9 @@
         self._hosts = hosts
         self._is_leader = leads
         self.evacuations = evacuations
-        # Whether news that can wait find the link idle; set by who sends them.
+        # Tells whether the link is idle enough for deferrable updates; set by `NewsSite`.
         self.has_headroom: Callable[[], bool] = lambda: True
-        # Takes so many bytes of what the link has for news, if nothing waits there.
+        # Reserves bytes of the link's share for news if there is no backlog; set by `NewsSite`.
         self.reserve_headroom: Callable[[int], bool] = lambda size_bytes: True
         self._heartbeats = TargetHeartbeats(self.table)
         self._report_assignment = ReportAssignment()
@@ -105,7 +106,7 @@
         self._last_change_s = float("-inf")
 
     def report(self, record: TargetRecord) -> bool:
-        """Take a target's own report; tell whether it changed anything."""
+        """Merge a report received from a target; tell whether it changed anything."""
         now_s = read_clock()
         changed = self.table.report(record, now_s)
         held = self.table.record_of(record.target_id)
@@ -116,7 +117,7 @@
         return changed
 
     def leave(self, target_id: str) -> bool:
-        """Take a target's word that it is gone."""
+        """Merge a target's own announcement that it is gone; tell whether it changed anything."""
         changed = self.table.leave(target_id, read_clock(), int(time.time() * 1000))
         self._heartbeats.remove(target_id)
         if changed:
@@ -124,7 +125,7 @@
         return changed
 
     def merge(self, records: Iterable[TargetRecord], heard: Iterable[Heard]) -> None:
-        """Take what another replica knows."""
+        """Merge records and heartbeats from another replica or a router."""
         now_s = read_clock()
         changed = [self.table.merge(record, now_s) for record in records]
         for target_id, age_s, born_ms in heard:
@@ -133,27 +134,27 @@
             self._schedule_wake()
 
     def merge_suspicions(self, items: Iterable[Suspicion]) -> list[bytes]:
-        """Take what a router or another replica knows of fatal requests; return what was news."""
+        """Merge suspicions from a router or another replica; return the digests that changed."""
         news = self.suspicions.merge(items, read_clock())
         if news:
             self._schedule_suspicion_wake()
         return news
 
     def clear_suspicion(self, digest: bytes) -> bool:
-        """Clear a request; tell whether it was under suspicion."""
+        """Clear a request of suspicion; tell whether it was suspected."""
         was_suspected = self.suspicions.record_completion(digest, read_clock())
         if was_suspected:
             self._schedule_suspicion_wake()
         return was_suspected
 
     def _schedule_suspicion_wake(self) -> None:
-        """Have routers told in a moment."""
+        """Wake the waiting subscribers after `SUSPICION_BATCH_S`."""
         if self._waiters and self._wake_timer is None:
             loop = asyncio.get_running_loop()
             self._wake_timer = loop.call_later(SUSPICION_BATCH_S, self.wake)
 
     def _schedule_wake(self) -> None:
-        """Have everyone look at the table, soon if there are many targets."""
+        """Wake the waiting subscribers: at once, or batched if there are many targets."""
         self._last_change_s = read_clock()
         if not self.is_large:
             self.wake()
@@ -161,7 +162,7 @@
             self._wake_timer = asyncio.get_running_loop().call_later(WAKE_INTERVAL_S, self.wake)
 
     def wake(self) -> None:
-        """Let everyone who waits look again."""
+        """Wake all waiting subscribers, so that they check for updates."""
         if self._wake_timer is not None:
             self._wake_timer.cancel()
             self._wake_timer = None
@@ -171,16 +172,16 @@
                 waiter.set_result(None)
 
     async def answer(self, request: NewsRequest) -> News:
-        """Return news for a subscriber, as soon as there are any."""
+        """Wait for updates for a subscriber and return them."""
         await self.wait_for_updates(request)
         return self.build_news(request)
 
     def has_current_epoch(self, request: NewsRequest) -> bool:
-        """Tell whether the subscriber has heard this replica's table before."""
+        """Tell whether a request continues from an earlier answer of this replica process."""
         return request.epoch == self.epoch
 
     async def wait_for_updates(self, request: NewsRequest) -> None:
-        """Wait until there are news for a subscriber, or it has waited long enough."""
+        """Wait until there are updates for a subscriber or its wait time is over."""
         revision = self._revision_of(request)
         self._record_request(request, revision)
         deadline_s = read_clock() + request.wait_s
@@ -189,21 +190,22 @@
                 break
 
     def _revision_of(self, request: NewsRequest) -> int:
-        # Routers that start together would have the same table told by every replica.
+        # A router that has this table already need not receive it again: otherwise, routers that
+        # start together would receive the same table from every replica.
         if request.table_digest == self.table.digest != 0:
             return self.table.revision
         return request.revision if self.has_current_epoch(request) else 0
 
     @property
     def is_large(self) -> bool:
-        """Tell whether there are too many targets to be told of one by one by every replica."""
+        """Tell whether there are too many targets for every replica to list them one by one."""
         return len(self.table) > MAX_LISTED_TARGETS
 
     def is_behind(self, request: NewsRequest) -> bool:
-        """Tell whether a subscriber lacks so many of many targets' changes that they need room.
+        """Tell whether a subscriber lacks so many changes that sending them needs headroom.
 
-        The others take turns: a version that all hear of at once has all ask for it at once,
-        before any router has it to pass on.
+        The other subscribers are answered in turn: if all learned of a version at once, all
+        would fetch it at once, before any router has it to relay.
         """
         return (
             self.is_large
@@ -211,14 +213,14 @@
         )
 
     def _sends_changes(self, request: NewsRequest) -> bool:
-        """Tell whether a subscriber is to hear of changes from here now."""
+        """Tell whether this replica sends changes to a subscriber now."""
         if not self.is_large or request.is_first:
             return True
         subscription = self._subscriptions.get(request.node_id)
         return subscription is not None and subscription.is_lagging and self.has_headroom()
 
     async def wait_until_replicated(self, revision: int, limit_s: float) -> bool:
-        """Wait until all replicas that ask here have a revision; tell whether they do."""
+        """Wait until all subscribed replicas have a revision; tell whether they do."""
         deadline_s = read_clock() + limit_s
         while not self._is_replicated(revision):
             if not await self._wait(deadline_s - read_clock()):
@@ -226,34 +228,34 @@
         return True
 
     def router_count(self) -> int:
-        """Return how many routers ask here."""
+        """Return the number of subscribed routers."""
         self._drop_expired(read_clock())
         return len(self._routers)
 
     def relay_endpoints(self) -> list[RelayEndpoint]:
-        """Return where routers that ask here pass documents on, the last to ask first."""
+        """Return the relay endpoints of the subscribed routers, most recent request first."""
         self._drop_expired(read_clock())
         endpoints = (item.relay for item in reversed(self._subscriptions.values()))
         return [endpoint for endpoint in endpoints if endpoint.host]
 
     def link_rate(self, host: str) -> float:
-        """Return the rate of a router's link in bytes a second, as it last told it."""
+        """Return the link rate in bytes per second that a router last reported."""
         return self._link_rates.get(host, float("inf"))
 
     def choose_report_host(self) -> str | None:
-        """Return the host of a router at which a target may report, if it had better not here."""
+        """Return the router host to which a target should report; `None` for this replica."""
         index = self._report_assignment.choose(self._heartbeats.direct_count, len(self._routers))
         if index is None:
             return None
         return self._subscriptions[self._routers[index]].relay.host or None
 
     def _router_index(self, node_id: str) -> int | None:
-        """Return a router's index among those that ask here."""
+        """Return a router's index among the subscribed routers, by name."""
         index = bisect_left(self._routers, node_id)
         return index if self._routers[index : index + 1] == [node_id] else None
 
     def _drop_expired(self, now_s: float) -> None:
-        """Drop subscribers that are gone; the one that asked first stands first."""
+        """Drop expired subscribers; they are ordered by their last request, oldest first."""
         while self._subscriptions:
             node_id, item = next(iter(self._subscriptions.items()))
             if now_s - item.last_request_s <= SUBSCRIBER_TTL_S:
@@ -269,7 +271,10 @@
         return all(item.revision >= revision for item in replicas)
 
     def _record_request(self, request: NewsRequest, revision: int) -> None:
-        """Note who asks; what a subscriber has may be what another waits for."""
+        """Record a subscriber's request and merge what it reports.
+
+        A replica's request may complete a wait for replication, so it wakes the waiters.
+        """
         now_s = read_clock()
         before = self._subscriptions.pop(request.node_id, None)
         if before is None and request.kind == SubscriberKind.ROUTER:
@@ -289,7 +294,7 @@
     def _subscription(
         self, request: NewsRequest, revision: int, before: _Subscription | None, now_s: float
     ) -> _Subscription:
-        """Return what is known of a subscriber that asks now."""
+        """Return the updated subscription of a subscriber that sent a request."""
         heartbeats_sent_s = before.heartbeats_sent_s if before else float("-inf")
         sent_digest = before.sent_digest if before else 0
         last_match_s = before.last_match_s if before else now_s
@@ -315,7 +320,7 @@
         is_newer = wants_version and self._version() > request.version
         has_orders = wants_version and self.evacuations().revision > request.evacuations_seen
         has_changes = self.table.revision > revision and self._sends_changes(request)
-        # One replica is enough to wake a router; the others tell it with their next answers.
+        # One replica is enough to wake a router; the others include it in their next answers.
         has_suspicions = request.is_first and self.suspicions.revision > request.suspicions_seen
         is_known = request.epoch == self.epoch
         return not is_known or has_changes or is_newer or has_orders or has_suspicions
@@ -323,9 +328,9 @@
     def build_news(
         self, request: NewsRequest, held: HeldSum | None = None, has_headroom: bool = True
     ) -> News:
-        """Return what there is for a subscriber now, with what routers hold if that has room.
+        """Return the current updates for a subscriber, with the routers' load sums if given.
 
-        Without room, changes among many targets are left out; the subscriber asks again.
+        Without headroom, changes among many targets are left out; the subscriber asks again.
         """
         now_s = read_clock()
         changes = self._changes_for(request, has_headroom)
@@ -365,7 +370,7 @@
         )
 
     def _choose_table_sources(self, request: NewsRequest, revision: int) -> tuple[str, ...]:
-        """Return routers that know more than a router does, for which there is no room here."""
+        """Return hosts of routers with a newer table, when this replica's link lacks headroom."""
         if not self.is_large or not request.is_first or revision >= self.table.revision:
             return ()
         sources = [
@@ -376,7 +381,7 @@
         return tuple(self._random.sample(sources, min(MAX_TABLE_SOURCES, len(sources))))
 
     def _changes_for(self, request: NewsRequest, has_headroom: bool) -> Changes:
-        """Return the changes that a subscriber is told now."""
+        """Return the changes that are sent to a subscriber now."""
         revision = self._revision_of(request)
         if not self.is_large or request.kind == SubscriberKind.REPLICA:
             return self.table.changed_since(revision)
@@ -390,7 +395,7 @@
         )
 
     def _sends_silent_targets(self, subscription: _Subscription | None, now_s: float) -> bool:
-        """Tell whether a subscriber is told who is silent in place of who was heard."""
+        """Tell whether a subscriber gets the silent targets instead of a list of heartbeats."""
         return (
             subscription is not None
             and subscription.kind == SubscriberKind.ROUTER
@@ -400,22 +405,22 @@
         )
 
     def _heartbeats_for(self, request: NewsRequest, now_s: float) -> tuple[Heard, ...]:
-        """Return which targets were heard here lately, unless the subscriber was just told."""
+        """Return the recent heartbeats, unless the subscriber received a list just before."""
         subscription = self._subscriptions.get(request.node_id)
         if subscription is None or now_s - subscription.heartbeats_sent_s < HEARTBEAT_INTERVAL_S:
             return ()
         if self._sends_silent_targets(subscription, now_s):
             return ()
         is_router = subscription.kind == SubscriberKind.ROUTER
-        # Other replicas are told in any case: without, each believes most targets silent and
-        # tells every router whom it heard, target by target.
+        # Other replicas get the list in any case: without it, each would consider most targets
+        # silent and list its own heartbeats one by one to every router.
         if is_router and self.is_behind(request) and not self._reserve_list_headroom():
             return ()
         self._subscriptions[request.node_id] = subscription._replace(heartbeats_sent_s=now_s)
         return self._heartbeats.list_recent(is_router)
 
     def _reserve_list_headroom(self) -> bool:
-        """Take room for the heartbeats of all targets heard here; tell whether there was."""
+        """Reserve headroom for a list of all recent heartbeats; tell whether there was enough."""
         return self.reserve_headroom(HEARTBEAT_BYTES * self._heartbeats.max_list_length)
 
     async def _wait(self, limit_s: float) -> bool:
--- a/packages/control/src/damaskwind/control/fleet/news_site.py
+++ b/packages/control/src/damaskwind/control/fleet/news_site.py
@@ -1,4 +1,4 @@
-"""Serve news and documents to routers and other replicas."""
+"""Serve updates and documents to routers and other replicas, paced by the link's rate."""
 
 import asyncio
 
@@ -27,28 +27,28 @@
 
 __all__ = ["NewsSite"]
 
-# The parts of the link that documents and news may take; the rest is for the log,
-# for operators and targets.
+# Shares of the link for documents and updates; the rest is left to the log, operators
+# and targets.
 DOCUMENT_LINK_SHARE = 0.6
 NEWS_LINK_SHARE = 0.25
-# What the sums of held requests may take of it: 195 routers get one from every second
-# answer of a replica at 4.2 Mbit/s and 39 targets, 65 at 3 Mbit/s from each.
+# Share of the link for load sums. At 4.2 Mbit/s with 39 targets and 195 routers, every second
+# answer of a replica carries one; at 3 Mbit/s with 65 routers, each answer does.
 LOAD_SUM_LINK_SHARE = 0.06
-# A target's digest and count, encoded.
+# Encoded size of one target's digest and count.
 LOAD_SUM_TARGET_BYTES = 7
-# A router that would wait longer than this for its document is sent on to routers that
-# have it: those that come first take a tenth of the time allowed.
+# A router that would wait longer than this for its document is redirected to routers that
+# have it. The routers served first thus take a tenth of the time allowed.
 REDIRECT_BACKLOG_S = 0.25
-# What an answer's head and packets add to its body.
+# Size that an answer's head and packet headers add to its body.
 OVERHEAD_BYTES = 150
-# Routers give up an answer 0.8 s after it was due; of several replicas one is faster.
+# Routers give up on an answer 0.8 s after it was due; of several replicas, one is faster.
 MAX_NEWS_WAIT_S = 0.4
-# Parts of a large table go where the line is shorter than this, a tenth of a lease.
+# Parts of a large table are sent only while the backlog is shorter than this, a tenth of a lease.
 MAX_BACKLOG_S = 0.1
 
 
 class NewsSite:
-    """The handler behind a replica's internal address."""
+    """HTTP handler of a replica's internal address: updates, documents and suspicions."""
 
     def __init__(
         self,
@@ -108,16 +108,17 @@
         size_bytes = len(answer.body)
         self._last_news_bytes = size_bytes + OVERHEAD_BYTES
         if is_behind:
-            # By its own size: by the last one's, 32 parts of a table went at once when a
-            # replica's routers started together, and cost a leader its lease.
+            # Reserve the actual size. When the size of the last answer was reserved instead, 32
+            # parts of a table were sent at once as a replica's routers started together, and the
+            # leader lost its lease.
             self._news_pacer.reserve(self._last_news_bytes, read_clock())
         self._tallies.count("sent_bytes", size_bytes, kind=f"news-{request.kind}")
         exchange.respond(answer)
 
     def _load_sum(self) -> HeldSum | None:
-        """Return what routers hold, unless the last ones told have not gone yet.
+        """Return the load sum of the routers, unless sums sent earlier are still queued.
 
-        Routers hear of it from the other replicas, and here with the next answer.
+        Routers then get it from the other replicas, and from here with the next answer.
         """
         now_s = read_clock()
         size_bytes = LOAD_SUM_TARGET_BYTES * self._feed.load_sums.target_count
@@ -128,24 +129,24 @@
         return self._feed.load_sums.total(now_s)
 
     def _is_idle(self) -> bool:
-        """Tell whether an answer could go at once."""
+        """Tell whether an answer could be sent at once."""
         return not self._news_pacer.backlog_s(read_clock())
 
     def _reserve_headroom(self, size_bytes: int) -> bool:
-        """Book news that can be left out, if they can go at once; tell whether they can."""
+        """Reserve bytes for optional updates if they can be sent at once; tell whether they can."""
         return self._news_pacer.try_reserve(size_bytes, read_clock())
 
     async def _wait_for_turn(self) -> None:
-        """Wait until the answers before this one have gone.
+        """Wait until the answers before this one have been sent.
 
-        A change wakes all routers at once; what changes meanwhile goes with it.
+        A change wakes all routers at once; changes made during the wait are included.
         """
         wait_s = self._news_pacer.reserve(self._last_news_bytes, read_clock())
         if wait_s:
             await asyncio.sleep(wait_s)
 
     async def _suspicions(self, exchange: Exchange) -> None:
-        """Take what a router knows of fatal requests."""
+        """Merge a router's suspicions of fatal requests."""
         try:
             items = decode_suspicions(exchange.request.body)
         except MessageError as error:
@@ -156,7 +157,7 @@
         exchange.respond(Answer(204, []))
 
     async def _document(self, exchange: Exchange) -> None:
-        """Send the newest document, in its turn."""
+        """Send the newest document when its turn comes, or redirect to routers that have it."""
         try:
             request = decode_document_request(exchange.request.body)
         except MessageError as error:
@@ -173,8 +174,8 @@
             )
             self._tallies.count("documents", sent="passed on")
             return
-        # All routers ask within some ms of a version, and the heartbeats that keep the
-        # leader's lease have to find room between the documents.
+        # All routers ask within a few ms of a new version, and the heartbeats that maintain the
+        # leader's lease must get through between the documents.
         wait_s = self._document_pacer.reserve(size_bytes, read_clock())
         sent_s = read_clock() + wait_s + size_bytes / self._document_bytes_per_s
         self._holders.record(self._documents.version, request.host, sent_s)
@@ -189,7 +190,7 @@
         exchange.respond(Answer(200, [], body))
 
     def _choose_holders(self, host: str, size_bytes: int) -> tuple[str, ...]:
-        """Return the routers to which one is sent on, if the line here is long."""
+        """Return the routers to which a router is redirected, if the backlog here is long."""
         now_s = read_clock()
         if not host or self._document_pacer.backlog_s(now_s) < REDIRECT_BACKLOG_S:
             return ()
--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -1,4 +1,4 @@
-"""Start and stop a control replica of a fleet whose replicas find each other."""
+"""Start and stop a control replica of a fleet whose replicas discover each other."""
 
 import asyncio
 import secrets
@@ -51,9 +51,10 @@
 
 __all__ = ["FleetControl"]
 
-# Loaded part by part after the news are served, with the loop's turn in between:
-# routers wait for nothing else. Not in a thread: one start in some thousand ended
-# with an illegal instruction there (docs/FINDINGS.md).
+# Modules of the log, imported one by one once updates are served, yielding to the event loop
+# in between: routers need nothing else from a starting replica. They are not imported in a
+# thread: about one start in a thousand ended there with an illegal instruction
+# (docs/FINDINGS.md).
 _LOG_MODULES = (
     "grpclib.server",
     "grpclib.client",
@@ -63,12 +64,12 @@
     "damaskwind.control.replica.node",
     "damaskwind.control.fleet.log_host",
 )
-# Routers look for a lost replica every 0.15 s at the longest; while modules are
-# loaded, the loop answers nobody, and all routers would wait for the last of them.
+# Routers try to reconnect to a lost replica at least every 0.15 s. Imports block the event loop,
+# so routers that connect meanwhile would wait until the last module is loaded.
 LOG_LOAD_DELAY_S = 0.15
-# A target's forgetting and a replica's search for peers need no more precision.
+# Removing old targets and discovering peers need no finer interval.
 MAINTENANCE_INTERVAL_S = 0.5
-# Callers keep connections between heartbeats (1.2 s) and orders.
+# Callers keep connections open between heartbeats (1.2 s) and orders.
 CONTROL_LIMITS = ServerLimits(body_bytes=8 * 1024 * 1024, idle_timeout_s=30.0)
 NEWS_LIMITS = ServerLimits(idle_timeout_s=30.0)
 
@@ -77,7 +78,7 @@
 
 
 class FleetControl:
-    """One running replica: its log, its news and its calls.
+    """One running replica: its log, its update feed and its calls.
 
     `started_s` is when its process started, in monotonic seconds; by default now.
     """
@@ -134,7 +135,7 @@
         self._tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
-        """Open the sockets, then the disk."""
+        """Open the sockets, then recover the log from disk."""
         settings = self.settings
         self._restore_state()
         self._news.listen(settings.host, settings.news_port)
@@ -155,7 +156,7 @@
         await self._log.open()
 
     async def stop(self) -> None:
-        """Finish the calls in hand and close the disk."""
+        """Finish the calls in progress and close the log."""
         self._control.close_after_answers()
         await self._control.stop_listening()
         self._control.close_idle()
@@ -174,7 +175,7 @@
         await self._metrics.stop()
 
     def _register_gauges(self) -> None:
-        """Show what this replica believes now."""
+        """Register gauges for the state of this replica."""
         show, feed = self.tallies.gauge, self.feed
         show("configuration_version", "version known to be committed", self._version)
         show("replica_is_current", "1 while sure to be current", lambda: float(self._is_current()))
@@ -196,7 +197,7 @@
         return float(len(self._evacuations().failure_domains))
 
     def _restore_state(self) -> None:
-        """Take up what was known before a restart.
+        """Restore the state saved before a restart.
 
         A replica that may found the first cluster may still do so after a
         restart, though its settings then say that the system is not new.
@@ -205,7 +206,7 @@
             mark_first_start(self._folder, self._files)
         self._may_found = self.settings.may_found or was_first_start(self._folder)
         self._saved_state = read_saved_state(self._folder, self._files)
-        # How long ago they were cold is not known, and they tell it themselves within a heartbeat.
+        # How old the saved cold times are is unknown; targets report them anew within a heartbeat.
         self.feed.merge((item._replace(cold_s=0.0) for item in self._saved_state.records), ())
         self.feed.merge_suspicions(self._saved_state.suspicions)
         if self._saved_state.version:
@@ -223,7 +224,7 @@
         )
 
     def _state_revisions(self) -> tuple[int, ...]:
-        """Return what grows whenever there is something new to keep."""
+        """Return revisions that grow whenever there is something new to save."""
         return (
             self._version(),
             self.feed.table.revision,
@@ -232,7 +233,7 @@
         )
 
     def _current_state(self) -> SavedState:
-        """Return what is to be kept."""
+        """Return the state to save."""
         records = self.feed.table.changed_since(0).records
         suspicions, _ = self.feed.suspicions.changed_since(0, MAX_REQUESTS, read_clock())
         return SavedState(
@@ -248,7 +249,7 @@
         return max(self._log_state().orders.evacuations(), self._saved_state.evacuations)
 
     def _packed_document(self) -> bytes:
-        """Return the document of that version."""
+        """Return the packed document of the newest version known to be committed."""
         is_newer = self._machine().version >= self._saved_state.version
         return self._machine().packed if is_newer else self._saved_state.packed
 
@@ -281,12 +282,12 @@
         await self._handler(self.calls, self.evacuation_calls, exchange)
 
     def _on_applied(self) -> None:
-        """Have subscribers look at the version."""
+        """Cache the applied document and wake the subscribers."""
         self._documents.put(self._machine().version, self._machine().document)
         self.feed.wake()
 
     async def _run_maintenance(self) -> None:
-        """Find new peers and forget old targets."""
+        """Discover peers, save changed state and remove old entries, periodically."""
         while True:
             await asyncio.sleep(MAINTENANCE_INTERVAL_S)
             self.follow(self._hosts())
@@ -296,7 +297,7 @@
                 logger.info("target forgotten", target=target_id)
 
     def follow(self, hosts: tuple[str, ...]) -> None:
-        """Follow the news of every other replica."""
+        """Subscribe to the updates of every other replica."""
         for host in hosts:
             if host == self.settings.host or host in self._links:
                 continue
@@ -312,36 +313,36 @@
             link.start()
 
     def table_digest(self) -> int:
-        """Return which targets are known here."""
+        """Return the digest of the target table."""
         return self.feed.table.digest
 
     def held_counts(self, host: str) -> tuple[HeldCount, ...]:
-        """Return nothing: replicas send nothing to targets."""
+        """Return nothing: replicas send no requests to targets."""
         return ()
 
     def service_counts(self) -> tuple[ServiceReport, ...]:
-        """Return nothing, for the same reason."""
+        """Return nothing: replicas send no requests to services."""
         return ()
 
     def is_first(self, host: str) -> bool:
-        """Tell that every replica is asked for changes at once: all of them tell routers."""
+        """Return true: every replica is asked for all changes, since each one serves routers."""
         return True
 
     def heard_targets(self) -> tuple[Heard, ...]:
-        """Return nothing: who reports here is told to those that ask."""
+        """Return nothing: subscribers get the heartbeats received here from the update feed."""
         return ()
 
     def new_records(self) -> tuple[TargetRecord, ...]:
-        """Return nothing, for the same reason."""
+        """Return nothing: subscribers get new records from the update feed."""
         return ()
 
     def take_news(self, host: str, news: News) -> None:
-        """Merge what another replica knows."""
+        """Merge updates from another replica."""
         self.feed.merge(news.records, news.heard)
         self.feed.merge_suspicions(news.suspicions)
 
     def lost(self, host: str) -> None:
-        """Do nothing: the link tries again."""
+        """Do nothing: the link reconnects by itself."""
 
     def _spawn(self, coroutine: Any) -> None:
         self._tasks.append(asyncio.ensure_future(coroutine))
--- a/packages/control/src/damaskwind/control/fleet/saved_state.py
+++ b/packages/control/src/damaskwind/control/fleet/saved_state.py
@@ -1,13 +1,14 @@
-"""Keep what was known last, to serve it at once after a restart.
+"""Save the last known state to disk, to serve it at once after a restart.
 
-After a restart the log tells only what is durable, not what is committed; that
-is known again when a leader has been elected, a second or more later. What was
-committed never goes back, so the newest configuration that this replica has
-applied may be told to routers meanwhile, as one that may not be the newest.
-The same holds for the targets: one that has gone since refuses by itself.
+After a restart a replica knows only which entries are durable, not which are
+committed; it learns that once a leader has been elected, a second or more later.
+Committed entries are never rolled back, so the newest configuration that this
+replica has applied can be served to routers in the meantime, marked as possibly
+outdated. The same holds for the targets: one that has left since then refuses
+requests itself.
 
-The file is written whole beside the log, now and then, and its loss harms
-nobody: a failure is logged and the replica goes on.
+The whole file is rewritten beside the log after changes. It may be lost without
+harm, so a failure is logged and the replica goes on.
 """
 
 import asyncio
@@ -41,9 +42,9 @@
 
 
 class SavedState(NamedTuple):
-    """A configuration that was applied, packed, all targets known, and the requests suspected.
+    """An applied configuration (packed), the known targets, the suspected requests and evacuations.
 
-    Files that were written before there were evacuations have none.
+    Files written before evacuations were introduced have no such field.
     """
 
     version: int = 0
@@ -54,7 +55,7 @@
 
 
 def mark_first_start(data_folder: Path, files: FileSystem) -> None:
-    """Keep, for the life of the disk, that it was there when the system first started."""
+    """Create a marker file for a disk that was present at the first start of the system."""
     path = data_folder / _FOLDER / _FIRST_START_NAME
     if path.is_file():
         return
@@ -66,12 +67,12 @@
 
 
 def was_first_start(data_folder: Path) -> bool:
-    """Tell whether this disk was there when the system first started."""
+    """Tell whether this disk was present at the first start of the system."""
     return (data_folder / _FOLDER / _FIRST_START_NAME).is_file()
 
 
 def read_saved_state(data_folder: Path, files: FileSystem) -> SavedState:
-    """Return what was kept; nothing when there is none or it can't be read."""
+    """Return the saved state; an empty one if there is none or it can't be read."""
     path = data_folder / _FOLDER / _NAME
     try:
         if not path.is_file():
@@ -84,7 +85,10 @@
 
 
 class StateWriter:
-    """Write the state when it has changed, one write at a time."""
+    """Writes the state to disk when it has changed, one write at a time.
+
+    `revisions` returns values that grow with each change, `state` the state to write.
+    """
 
     def __init__(
         self,
@@ -103,14 +107,14 @@
         self._has_failed = False
 
     def write_if_changed(self) -> None:
-        """Begin to write if something has changed since the last write."""
+        """Start a write if the state has changed since the last one and none is running."""
         if self._writing is not None or self._revisions() == self._written_revisions:
             return
         self._written_revisions = self._revisions()
         self._writing = asyncio.ensure_future(self._write(self._make_state()))
 
     async def close(self) -> None:
-        """Wait for the write in hand."""
+        """Wait for the running write."""
         if self._writing is not None:
             await asyncio.wait([self._writing])
         self._thread.shutdown(wait=False)
@@ -132,6 +136,6 @@
             self._writing = None
 
     def _write_file(self, data: bytes) -> None:
-        """Write the file whole; runs in the thread."""
+        """Rewrite the whole file; runs in the worker thread."""
         self._files.make_folder(self._path.parent)
         write_file_durably(self._files, self._path, data)
--- a/packages/control/src/damaskwind/control/fleet/settings.py
+++ b/packages/control/src/damaskwind/control/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a replica whose peers find each other."""
+"""Settings of a control replica of a fleet whose replicas discover each other."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,13 @@
 
 
 class FleetControlSettings(NamedTuple):
-    """Where a replica listens, what it keeps, and whom it may ask first.
+    """Addresses, data folder, seed hosts and limits of a replica.
 
-    `seed_hosts` are the IP numbers of some replicas; ports are the same on all.
-    With `tolerated_losses` so many replicas may be lost at once, with their disks;
-    without, every replica votes and the loss of one is borne. `link_bytes_per_s`
-    is the rate of the VM's link, by which documents are paced. `failure_domains` are all
-    that there are; without any, an order may name any.
+    `seed_hosts` are the IP addresses of some replicas; ports are the same on all.
+    `tolerated_losses` is the number of replicas that may be lost at once, with their disks;
+    if it is `None`, every replica votes and the loss of one is tolerated. `link_bytes_per_s`
+    is the rate of the VM's link, by which documents are paced. `failure_domains` lists all
+    failure domains; if it is empty, an evacuation order may name any.
     """
 
     node_id: str
@@ -34,5 +34,5 @@
 
     @property
     def required_voters(self) -> int | None:
-        """Return how many replicas vote: a majority has to outlive the losses."""
+        """Return the number of voters of which a majority survives the tolerated losses."""
         return None if self.tolerated_losses is None else 2 * self.tolerated_losses + 1
--- a/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Tests of the calls of operators and targets, with a log that is told what to do."""
+"""Tests of the calls of operators and targets, with a scripted log."""
 
 from random import Random
 
@@ -29,9 +29,9 @@
 
 
 class FakeLog:
-    """Commits, refuses or says nothing, as `verdict` says.
+    """A log that returns `verdict` for each proposal, and commits if that is `COMMITTED`.
 
-    Documents of others in `meets` are committed just before.
+    Each proposal is preceded by the commit of one document from `competing`, if any is left.
     """
 
     def __init__(self, machine):
@@ -39,12 +39,12 @@
         self.verdict = CommitVerdict.COMMITTED
         self.is_current = True
         self.proposed = 0
-        self.meets = []
+        self.competing = []
 
     async def propose(self, payload, timeout_s):
         self.proposed += 1
-        if self.meets:
-            other = self.meets.pop(0)
+        if self.competing:
+            other = self.competing.pop(0)
             self.machine.apply(1, publish_command(int(other), other))
         if self.verdict is not CommitVerdict.COMMITTED:
             return CommitOutcome(self.verdict)
@@ -81,25 +81,27 @@
         self.assertEqual(await self.status(b"5"), PublishStatus.ACKNOWLEDGED)
 
     @asyncio_test
-    async def test_highest_version_holds_and_all_valid_ones_are_acknowledged(self):
+    async def test_highest_version_wins_and_all_valid_documents_are_acknowledged(self):
         for document in (b"5", b"3", b"5", b"9"):
             self.assertEqual(await self.status(document), PublishStatus.ACKNOWLEDGED)
         self.assertEqual((await self.calls.read("o")).document, b"9")
         self.assertEqual(self.log.proposed, 2)
 
     @asyncio_test
-    async def test_change_that_meets_others_is_written_anew_upon_them(self):
+    async def test_conflicting_publication_is_retried_on_the_new_base(self):
         await self.calls.publish(b"3")
-        for met in (1, 2, 5):
+        for attempts in (1, 2, 5):
             version = self.machine.version + 10
-            self.log.meets = [b"%d" % (self.machine.version + number) for number in range(1, met)]
+            self.log.competing = [
+                b"%d" % (self.machine.version + number) for number in range(1, attempts)
+            ]
             before = self.log.proposed
             self.assertEqual(await self.status(b"%d" % version), PublishStatus.ACKNOWLEDGED)
             self.assertEqual(self.machine.document, b"%d" % version)
-            self.assertEqual(self.log.proposed - before, min(met, DIFFERENCE_ATTEMPTS + 1))
+            self.assertEqual(self.log.proposed - before, min(attempts, DIFFERENCE_ATTEMPTS + 1))
 
     @asyncio_test
-    async def test_invalid_ones_never_reach_the_log(self):
+    async def test_invalid_documents_are_not_proposed(self):
         for document in (b"", b"x", b"0"):
             self.assertEqual(await self.status(document), PublishStatus.INVALID)
         self.assertEqual(self.log.proposed, 0)
@@ -111,10 +113,10 @@
             self.assertEqual(await self.status(b"4"), PublishStatus.UNKNOWN)
 
     @asyncio_test
-    async def test_large_document_is_read_at_a_router_with_a_wider_link(self):
+    async def test_read_of_a_large_document_is_redirected_to_a_router_with_a_faster_link(self):
         for node, rate in (("narrow", 50.0), ("wide", 1000.0)):
-            place = RelayEndpoint(f"{node}.example", rate)
-            request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, passes_on=place)
+            relay = RelayEndpoint(f"{node}.example", rate)
+            request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, passes_on=relay)
             await self.feed.wait_for_updates(request)
         await self.calls.publish(b"1")
         self.assertEqual((await self.calls.read("o")).sent_on_to, "")
@@ -125,18 +127,18 @@
         )
 
     @asyncio_test
-    async def test_large_document_is_read_here_while_no_router_asks(self):
+    async def test_large_document_is_read_locally_while_no_router_is_subscribed(self):
         await self.calls.publish(b"123456789")
         self.assertEqual((await self.calls.read("o")).sent_on_to, "")
 
     @asyncio_test
-    async def test_drain_that_does_not_come_into_force_is_not_acknowledged(self):
-        """A target with its clock stepped back starts again, and soon says that it leaves.
+    async def test_drain_that_is_not_applied_is_not_acknowledged(self):
+        """A target restarts with its clock stepped back, and soon reports that it is leaving.
 
-        By its birth that is a late report of an earlier life, which changes nothing as long
-        as the life held was heard in the last ten seconds. It was acknowledged all the same,
-        and routers that knew nothing of it sent on: nine requests reached such a target 2.6 to
-        4.3 s after its word, all that a replica had logged of it was
+        Its start time makes that look like a late report of an older incarnation, which changes
+        nothing while the stored incarnation was seen in the last ten seconds. Acknowledging it
+        left routers unaware of the drain: nine requests reached such a target 2.6 to 4.3 s after
+        its report, and the only log line about it was
 
             target reported, phase serving, sequence 2, born_ms 1796271480150
         """
@@ -160,7 +162,7 @@
         self.assertEqual(await self.status(b"8"), PublishStatus.UNKNOWN)
 
     @asyncio_test
-    async def test_leaves_are_taken_without_a_disk(self):
+    async def test_leaves_are_accepted_without_a_disk(self):
         self.log = None
         await self.calls.leave("t")
         self.assertEqual(self.feed.table.phase_of("t"), 2)
--- a/packages/control/src/damaskwind/control/fleet/tests/test_news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_news_feed.py
@@ -1,9 +1,10 @@
-"""Tests of the news: at once when there is something, late when there is nothing."""
+"""Tests of the update feed: answers at once if there are updates, else after the wait time."""
 
 import asyncio
 
 from twisted.trial.unittest import TestCase
 
+from damaskwind.control.fleet.heard_targets import HEARTBEAT_WINDOW_S
 from damaskwind.control.fleet.news_feed import (
     LAG_THRESHOLD_S,
     MAX_LISTED_TARGETS,
@@ -11,7 +12,6 @@
     MAX_RECORDS,
     NewsFeed,
 )
-from damaskwind.control.fleet.target_heartbeats import HEARTBEAT_WINDOW_S
 from damaskwind.decisions.load.held_sums import HeldCount, HeldSum
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.model.targets import Address
@@ -38,14 +38,14 @@
         return request._replace(**changes)
 
     @asyncio_test
-    async def test_unknown_epoch_is_told_everything_at_once(self):
+    async def test_unknown_epoch_gets_everything_at_once(self):
         self.feed.report(record())
         news = await self.feed.answer(self.request(epoch="", revision=99))
         self.assertEqual([item.target_id for item in news.records], ["t"])
         self.assertEqual(decode_news(encode(news)), news)
 
     @asyncio_test
-    async def test_what_routers_tell_is_summed(self):
+    async def test_loads_reported_by_routers_are_summed(self):
         for node in ("r1", "r2"):
             request = self.request(node=node, wait_s=0.01, held=(HeldCount(7, 2),))
             await self.feed.wait_for_updates(decode_request(encode(request)))
@@ -55,22 +55,22 @@
         self.assertEqual(decode_news(encode(news)), news)
 
     @asyncio_test
-    async def test_routers_are_told_their_places(self):
+    async def test_routers_receive_their_index(self):
         requests = [self.request(node=node, wait_s=0.01) for node in ("r3", "r1", "r2")]
         for request in [*requests, self.request(SubscriberKind.REPLICA, "r0", 0.01)]:
             await self.feed.wait_for_updates(request)
-        places = {item.node_id: self.feed.build_news(item).place for item in requests}
-        self.assertEqual(places, {"r1": 0, "r2": 1, "r3": 2})
+        indexes = {item.node_id: self.feed.build_news(item).place for item in requests}
+        self.assertEqual(indexes, {"r1": 0, "r2": 1, "r3": 2})
         self.assertIsNone(self.feed.build_news(self.request(node="unknown")).place)
 
     @asyncio_test
-    async def test_replicas_tell_no_requests(self):
+    async def test_replicas_report_no_requests(self):
         request = self.request(kind=SubscriberKind.REPLICA, wait_s=0.01)
         await self.feed.wait_for_updates(request)
         self.assertEqual(self.feed.load_sums.total(read_clock()), HeldSum())
 
     @asyncio_test
-    async def test_nothing_new_is_said_after_the_wait(self):
+    async def test_without_updates_the_answer_comes_after_the_wait(self):
         self.feed.report(record())
         started_s = read_clock()
         news = await self.feed.answer(self.request())
@@ -79,7 +79,7 @@
         self.assertEqual([item.target_id for item in news.heard], ["t"])
 
     @asyncio_test
-    async def test_leave_and_version_wake_who_waits(self):
+    async def test_leave_and_version_wake_waiting_subscribers(self):
         self.feed.report(record())
         for change in (lambda: self.feed.leave("t"), self.publish):
             waiting = asyncio.ensure_future(self.feed.answer(self.request(wait_s=5.0)))
@@ -92,14 +92,14 @@
         self.feed.wake()
 
     @asyncio_test
-    async def test_replicas_hear_of_versions_by_the_log_alone(self):
+    async def test_new_version_does_not_wake_replicas(self):
         waiting = self.request(SubscriberKind.REPLICA, "c", wait_s=0.1)
         self.version = 5
         news = await self.feed.answer(waiting._replace(version=0))
         self.assertEqual(news.version, 5)
 
     @asyncio_test
-    async def test_leave_counts_as_told_when_the_replicas_have_asked_beyond_it(self):
+    async def test_leave_is_replicated_once_replicas_ask_with_its_revision(self):
         self.feed.report(record())
         first = asyncio.ensure_future(
             self.feed.answer(self.request(SubscriberKind.REPLICA, "c", wait_s=5.0))
@@ -115,19 +115,19 @@
         await asking
 
     @asyncio_test
-    async def test_without_other_replicas_a_leave_is_told(self):
+    async def test_leave_is_replicated_at_once_without_other_replicas(self):
         self.feed.leave("t")
         self.assertTrue(await self.feed.wait_until_replicated(self.feed.table.revision, 0.0))
 
     @asyncio_test
-    async def test_what_another_replica_told_is_passed_on_but_not_as_heard_here(self):
+    async def test_records_from_another_replica_are_forwarded_without_heartbeats(self):
         self.feed.merge([record("far")], ())
         news = await self.feed.answer(self.request(epoch=""))
         self.assertEqual([item.target_id for item in news.records], ["far"])
         self.assertEqual(news.heard, ())
 
     @asyncio_test
-    async def test_routers_that_ask_are_counted(self):
+    async def test_subscribed_routers_are_counted(self):
         for node in ("r1", "r2", "r1"):
             await self.feed.answer(self.request(node=node, wait_s=0.0))
         await self.feed.answer(self.request(SubscriberKind.REPLICA, "c", wait_s=0.0))
@@ -135,7 +135,7 @@
 
 
 class ManyTargetsTest(TestCase):
-    """A board with more targets than are told one by one."""
+    """A feed with more targets than are listed one by one."""
 
     timeout = 10
 
@@ -145,7 +145,7 @@
             self.feed.report(record(f"t-{number}"))
 
     async def ask(self, is_first=True, wait_s=0.01, **changes):
-        """Ask as a router that knows the table, and take the answer."""
+        """Return the answer to a request of a router that has the table."""
         table = self.feed.table
         request = NewsRequest(
             "r", SubscriberKind.ROUTER, self.feed.epoch, table.revision, 0, wait_s, table.digest
@@ -153,14 +153,14 @@
         return await self.feed.answer(request._replace(is_first=is_first, **changes))
 
     def pass_time(self, seconds):
-        """Have all that was noted so far be this much older."""
+        """Advance the clock, so that everything recorded so far is older."""
         later_s = read_clock() + seconds
         clock = clock_in_force(lambda: later_s)
         clock.__enter__()
         self.addCleanup(clock.__exit__, None, None, None)
 
     @asyncio_test
-    async def test_a_router_with_the_same_table_is_told_who_is_silent(self):
+    async def test_a_router_with_the_same_table_gets_the_silent_targets(self):
         news = await self.ask()
         self.assertEqual((news.heard, news.heard_others.silent), ((), ()))
         self.assertEqual(news.heard_others.digest, self.feed.table.digest)
@@ -173,7 +173,7 @@
         self.assertEqual(decode_news(encode(news)), news)
 
     @asyncio_test
-    async def test_a_router_that_disagrees_for_long_is_told_who_was_heard(self):
+    async def test_a_router_whose_table_differs_for_long_gets_a_list_of_heartbeats(self):
         await self.ask(table_digest=5)
         self.pass_time(MAX_MISMATCH_S + 0.1)
         news = await self.ask(table_digest=5, wait_s=0.0)
@@ -181,7 +181,7 @@
         self.assertEqual(len(news.heard), MAX_LISTED_TARGETS + 1)
 
     @asyncio_test
-    async def test_another_replica_tells_a_change_only_to_a_router_that_still_lacks_it(self):
+    async def test_another_replica_sends_a_change_only_to_a_lagging_router(self):
         digest, revision = self.feed.table.digest, self.feed.table.revision
         waiting = asyncio.ensure_future(self.ask(is_first=False, wait_s=0.1))
         await asyncio.sleep(0.02)
@@ -200,28 +200,28 @@
         self.assertEqual((await self.ask(**lacking)).phases, ())
 
     @asyncio_test
-    async def test_a_large_table_goes_in_parts_where_there_is_room(self):
+    async def test_a_large_table_is_sent_in_parts_if_there_is_headroom(self):
         for number in range(MAX_RECORDS):
             self.feed.report(record(f"u-{number}"))
-        revision, told = 0, []
+        revision, received = 0, []
         while revision < self.feed.table.revision:
             news = await self.ask(table_digest=0, revision=revision)
             self.assertLessEqual(len(news.records), MAX_RECORDS)
-            told += [item.target_id for item in news.records]
+            received += [item.target_id for item in news.records]
             revision = news.revision
-        self.assertEqual(len(told), len(self.feed.table))
-        asked = NewsRequest("r", SubscriberKind.ROUTER, self.feed.epoch, 0, 0, 0.0)
-        news = self.feed.build_news(asked, has_headroom=False)
+        self.assertEqual(len(received), len(self.feed.table))
+        request = NewsRequest("r", SubscriberKind.ROUTER, self.feed.epoch, 0, 0, 0.0)
+        news = self.feed.build_news(request, has_headroom=False)
         self.assertEqual((news.records, news.revision), ((), 0))
 
     @asyncio_test
-    async def test_replicas_tell_each_other_whom_they_heard_though_the_link_is_busy(self):
-        """While routers loaded tables, replicas told each other nothing.
+    async def test_replicas_get_a_list_of_heartbeats_even_if_the_link_is_busy(self):
+        """Replicas that sent each other no heartbeats while routers loaded tables cost a lease.
 
-        Each believed the others' targets silent, two thirds of 3,000, and so told 95 routers
-        one by one whom it had heard itself: 608,892 bytes in a second on a link of 175,000.
-        The leader's heartbeats waited behind them, and it lost its lease ("quorum-lost", its
-        followers' answers 0.9 s old) in one of four plays.
+        Each considered the others' targets silent, two thirds of 3,000, and so listed its own
+        heartbeats to 95 routers: 608,892 bytes in a second on a link of 175,000 bytes per
+        second. The leader's heartbeats queued behind them, and in one of four runs it lost its
+        lease ("quorum-lost", its followers' answers 0.9 s old).
         """
         self.feed.has_headroom = lambda: False
         self.feed.reserve_headroom = lambda size_bytes: False
@@ -229,12 +229,12 @@
         self.assertEqual(len(news.heard), MAX_LISTED_TARGETS + 1)
 
     @asyncio_test
-    async def test_lists_for_routers_that_lack_targets_go_where_there_is_room(self):
-        room_bytes = [1000]
+    async def test_lists_for_lagging_routers_are_sent_if_there_is_headroom(self):
+        headroom_bytes = [1000]
 
         def reserve_headroom(size_bytes):
-            room_bytes[0] -= size_bytes
-            return room_bytes[0] > 0
+            headroom_bytes[0] -= size_bytes
+            return headroom_bytes[0] > 0
 
         self.feed.reserve_headroom = reserve_headroom
         listed = []
--- a/packages/control/src/damaskwind/control/fleet/tests/test_process.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Tests of a replica's start: news come before the log."""
+"""Tests of a replica's start: updates are served before the log is loaded."""
 
 import tempfile
 import time
@@ -18,14 +18,14 @@
 from damaskwind.standins.harness import free_addresses
 from damaskwind.wire.news import NEWS_PATH, NewsRequest, SubscriberKind, decode_news, encode
 
-# What each part of the log takes to load on a VM of a quarter of a core.
-PART_S = 0.3
+# Import time of each module of the log on a VM with a quarter of a core.
+IMPORT_S = 0.3
 LIMIT_BYTES = 1 << 20
 
 
 def slow_import(name, load=process.import_module):
-    """Load a module and hold the loop for as long as a small VM would."""
-    time.sleep(PART_S)
+    """Import a module, blocking the event loop as long as a small VM would."""
+    time.sleep(IMPORT_S)
     return load(name)
 
 
@@ -33,7 +33,7 @@
     timeout = 30
 
     @asyncio_test
-    async def test_news_are_told_before_the_log_is_loaded(self):
+    async def test_updates_are_served_before_the_log_is_loaded(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         addresses = [parse_address(text) for text in free_addresses(3)]
@@ -53,4 +53,4 @@
             await starting
         await replica.stop()
         self.assertEqual(decode_news(answer.body).version, 0)
-        self.assertLess(took_s, PART_S)
+        self.assertLess(took_s, IMPORT_S)
--- a/packages/control/src/damaskwind/control/fleet/tests/test_saved_state.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_saved_state.py
@@ -1,4 +1,4 @@
-"""Tests of what a replica keeps beside its log: torn, missing, unwritable."""
+"""Tests of the state saved beside the log: torn, missing and unwritable files."""
 
 import tempfile
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 class FullDisk(FileSystem):
-    """Takes no byte."""
+    """A disk without free space."""
 
     def write(self, descriptor, data):
         raise StorageError("write: no space")
@@ -45,13 +45,13 @@
         await writer.close()
 
     @asyncio_test
-    async def test_what_was_kept_comes_back(self):
+    async def test_saved_state_is_read_back(self):
         self.assertEqual(self.read(), SavedState())
         await self.write(STATE)
         self.assertEqual(self.read(), STATE)
 
     @asyncio_test
-    async def test_damage_at_any_byte_is_noticed(self):
+    async def test_damage_at_any_byte_is_detected(self):
         await self.write(STATE)
         path = self.folder / "kept" / "state"
         whole = path.read_bytes()
@@ -65,7 +65,7 @@
             self.assertEqual(self.read(), SavedState())
 
     @asyncio_test
-    async def test_full_disk_keeps_what_was_there(self):
+    async def test_failed_write_leaves_the_saved_state_unchanged(self):
         await self.write(STATE)
         await self.write(STATE._replace(version=8), FullDisk())
         self.assertEqual(self.read(), STATE)
--- a/packages/control/src/damaskwind/control/operator_api/http_api.py
+++ b/packages/control/src/damaskwind/control/operator_api/http_api.py
@@ -23,7 +23,7 @@
     OperatorRefusedError,
 )
 from damaskwind.control.operator_api.router_status import RouterRevision, lag_view
-from damaskwind.control.operator_api.views import configuration_view, note_view, order_view
+from damaskwind.control.operator_api.views import change_view, configuration_view, order_view
 from damaskwind.control.state.command import WantedState
 from damaskwind.control.state.configuration_machine import ConfigurationMachine, operator_roles
 from damaskwind.model.checking import check_table
@@ -280,7 +280,7 @@
                 }
                 for plan in self._machine.plans.open_plans()
             ],
-            "changes": [note_view(note) for note in changes],
+            "changes": [change_view(change) for change in changes],
             "routers": lag_view(self._routers(), revision),
         }
 
--- a/packages/control/src/damaskwind/control/operator_api/views.py
+++ b/packages/control/src/damaskwind/control/operator_api/views.py
@@ -11,7 +11,7 @@
 from damaskwind.model.configuration_checks import OBJECT_KINDS
 from damaskwind.model.configuration_codec import to_table
 
-__all__ = ["configuration_view", "note_view", "order_view", "outcome_view", "plan_view"]
+__all__ = ["configuration_view", "change_view", "order_view", "outcome_view", "plan_view"]
 
 
 def plan_view(plan: Plan | PlanCommand, planned_at_s: float, now_s: float) -> dict[str, Any]:
@@ -30,7 +30,7 @@
     }
 
 
-def note_view(note: ChangeNote) -> dict[str, Any]:
+def change_view(note: ChangeNote) -> dict[str, Any]:
     """Return who brought about a revision."""
     return to_table(note)
 
