--- a/packages/control/src/damaskwind/control/fleet/calls.py
+++ b/packages/control/src/damaskwind/control/fleet/calls.py
@@ -118,9 +118,9 @@
             logger.info("configuration refused", mistakes=mistakes[:5], bytes=len(document))
             return PublishResult(PublishStatus.INVALID, 0, mistakes[0])
         version = configuration.version
-        held = self._machine().version
-        if version <= held:
-            logger.info("configuration overtaken", version=version, held=held)
+        known_version = self._machine().version
+        if version <= known_version:
+            logger.info("configuration overtaken", version=version, held=known_version)
             return PublishResult(PublishStatus.ACKNOWLEDGED, version, "overtaken")
         access = self._access()
         if access is None:
@@ -202,15 +202,15 @@
 
     async def report(self, record: TargetRecord) -> ReportOutcome:
         """Apply a target's report; return whether it may be acknowledged."""
-        held = self._feed.table.record_of(record.target_id)
-        if held is not None and held.service not in ("", record.service):
+        stored = self._feed.table.record_of(record.target_id)
+        if stored is not None and stored.service not in ("", record.service):
             self.tallies.count("reports", phase="foreign")
             logger.warning(
                 "report refused",
                 target=record.target_id,
                 why="it names another service than the target has",
                 service=record.service,
-                held=held.service,
+                held=stored.service,
             )
             return ReportOutcome.FOREIGN
         changed = self._feed.report(record)
@@ -235,7 +235,7 @@
                 why="born before the incarnation held, which was seen recently",
                 phase=record.phase.name.lower(),
                 born_ms=record.born_ms,
-                held_born_ms=held.born_ms if held else 0,
+                held_born_ms=stored.born_ms if stored else 0,
             )
             return ReportOutcome.NOT_IN_FORCE
         if changed and record.phase is not TargetPhase.SERVING:
--- a/packages/control/src/damaskwind/control/fleet/news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/news_feed.py
@@ -109,8 +109,11 @@
         """Merge a report received from a target; tell whether it changed anything."""
         now_s = read_clock()
         changed = self.table.report(record, now_s)
-        held = self.table.record_of(record.target_id)
-        if held is not None and (held.service, held.born_ms) == (record.service, record.born_ms):
+        stored = self.table.record_of(record.target_id)
+        if stored is not None and (stored.service, stored.born_ms) == (
+            record.service,
+            record.born_ms,
+        ):
             self._heartbeats.record(record.target_id, now_s)
         if changed:
             self._schedule_wake()
@@ -135,10 +138,10 @@
 
     def merge_suspicions(self, items: Iterable[Suspicion]) -> list[bytes]:
         """Merge suspicions from a router or another replica; return the digests that changed."""
-        news = self.suspicions.merge(items, read_clock())
-        if news:
+        changed = self.suspicions.merge(items, read_clock())
+        if changed:
             self._schedule_suspicion_wake()
-        return news
+        return changed
 
     def clear_suspicion(self, digest: bytes) -> bool:
         """Clear a request of suspicion; tell whether it was suspected."""
@@ -318,15 +321,15 @@
     def _has_updates(self, request: NewsRequest, revision: int) -> bool:
         wants_version = request.kind == SubscriberKind.ROUTER
         is_newer = wants_version and self._version() > request.version
-        has_orders = wants_version and self.evacuations().revision > request.evacuations_seen
+        has_evacuations = wants_version and self.evacuations().revision > request.evacuations_seen
         has_changes = self.table.revision > revision and self._sends_changes(request)
         # One replica is enough to wake a router; the others include it in their next answers.
         has_suspicions = request.is_first and self.suspicions.revision > request.suspicions_seen
         is_known = request.epoch == self.epoch
-        return not is_known or has_changes or is_newer or has_orders or has_suspicions
+        return not is_known or has_changes or is_newer or has_evacuations or has_suspicions
 
     def build_news(
-        self, request: NewsRequest, held: HeldSum | None = None, has_headroom: bool = True
+        self, request: NewsRequest, load_sum: HeldSum | None = None, has_headroom: bool = True
     ) -> News:
         """Return the current updates for a subscriber, with the routers' load sums if given.
 
@@ -355,7 +358,7 @@
             changes.records,
             self._heartbeats_for(request, now_s),
             self._is_leader(),
-            held,
+            load_sum,
             self._router_index(request.node_id),
             (
                 self._heartbeats.summarize()
--- a/packages/control/src/damaskwind/control/fleet/news_site.py
+++ b/packages/control/src/damaskwind/control/fleet/news_site.py
@@ -96,15 +96,15 @@
             self._feed.has_current_epoch(request),
         )
         is_behind = is_router and self._feed.is_behind(request)
-        held = None
+        load_sum = None
         if is_behind:
             await asyncio.sleep(min(self._news_pacer.backlog_s(read_clock()), MAX_NEWS_WAIT_S))
         elif is_router and is_known:
             await self._wait_for_turn()
         if is_router and is_known:
-            held = self._load_sum()
+            load_sum = self._load_sum()
         has_headroom = not is_behind or self._news_pacer.backlog_s(read_clock()) < MAX_BACKLOG_S
-        answer = pack_answer(encode(self._feed.build_news(request, held, has_headroom)))
+        answer = pack_answer(encode(self._feed.build_news(request, load_sum, has_headroom)))
         size_bytes = len(answer.body)
         self._last_news_bytes = size_bytes + OVERHEAD_BYTES
         if is_behind:
@@ -152,8 +152,8 @@
         except MessageError as error:
             exchange.respond(Answer(400, [], str(error).encode()))
             return
-        news = self._feed.merge_suspicions(items)
-        self._tallies.count("suspicions", len(news))
+        changed = self._feed.merge_suspicions(items)
+        self._tallies.count("suspicions", len(changed))
         exchange.respond(Answer(204, []))
 
     async def _document(self, exchange: Exchange) -> None:
--- a/packages/control/src/damaskwind/control/operator_api/assembly.py
+++ b/packages/control/src/damaskwind/control/operator_api/assembly.py
@@ -1,4 +1,4 @@
-"""Put the intent API of one replica together from its settings."""
+"""Assemble the intent API of one replica from its settings."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -26,7 +26,7 @@
     """Return the API and the archive of the audit trail.
 
     Serve `api.site()` at the operator address, and call
-    `archive.store_closed(machine.trail)` after commands were applied.
+    `archive.store_closed(machine.trail)` after commands have been applied.
     """
     archive = AuditArchive(Path(control.data_folder) / AUDIT_FOLDER)
     service = IntentService(port, machine, IntentLimits(plan_ttl_s=control.plan_ttl_s))
--- a/packages/control/src/damaskwind/control/operator_api/authentication.py
+++ b/packages/control/src/damaskwind/control/operator_api/authentication.py
@@ -19,7 +19,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the SHA-256 of a key in hex, which is all that the system keeps of it."""
+    """Return the SHA-256 of a key in hex; the system stores only this hash, not the key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -37,9 +37,9 @@
 def authenticate(key: str, configuration: Configuration, bootstrap_key_hash: str) -> str | None:
     """Return the name of the operator with a key, or `None`.
 
-    Every hash is compared, so that the time tells nothing. The bootstrap key is
-    still recognised after the first operators came in, but has no role then: it
-    can only be told again what came of its own confirmation.
+    Every hash is compared, so that the duration reveals nothing. The bootstrap key is
+    still recognised once operators have been configured, but has no role then: its
+    caller can only get the outcome of its own confirmation again.
     """
     presented = hash_key(key).encode()
     known = [(item.name, item.key_hash) for item in configuration.operators.values()]
--- a/packages/control/src/damaskwind/control/operator_api/bounded_site.py
+++ b/packages/control/src/damaskwind/control/operator_api/bounded_site.py
@@ -1,8 +1,8 @@
-"""An HTTP site that keeps no body over its limit.
+"""An HTTP site that limits the size of request bodies.
 
-The rest of a body that is too large is read and dropped, so that a caller who
-sends it whole hears the refusal; beyond a multiple of the limit the connection
-is closed.
+The rest of an oversized body is read and discarded, so that a caller that sends
+all of it receives the refusal; beyond a multiple of the limit the connection is
+closed.
 """
 
 from typing import Any
@@ -21,10 +21,10 @@
 
 
 def _request_class(limit_bytes: int) -> type[Request]:
-    """Return a class of requests that hold no more than the limit."""
+    """Return a request class that stores at most the limit of a body."""
 
     class BoundedRequest(Request):
-        """A request that keeps no more than the limit of its body."""
+        """A request that stores at most the limit of its body, and refuses a larger one."""
 
         _received_bytes = 0
 
--- a/packages/control/src/damaskwind/control/operator_api/difference.py
+++ b/packages/control/src/damaskwind/control/operator_api/difference.py
@@ -1,4 +1,4 @@
-"""Tell in words how a change alters a configuration; keys by fingerprint only."""
+"""Describe in words how a change alters a configuration; keys by fingerprint only."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 def fingerprint(key_hash: str) -> str:
-    """Return the short name of a key, from its hash.
+    """Return the fingerprint of a key, from its hash.
 
     >>> fingerprint("0123456789abcdef" * 4)
     'sha256:01234567'
@@ -42,7 +42,7 @@
 
 
 def _item_text(field: str, item: Any) -> str:
-    """Return one item of a list in a few words."""
+    """Return a short text for one item of a list."""
     if field in _HASH_FIELDS:
         return fingerprint(item)
     if isinstance(item, ModelGrant):
@@ -56,14 +56,14 @@
 
 
 def _value_text(field: str, value: Any) -> str:
-    """Return a field's value in a few words."""
+    """Return a short text for a field's value."""
     if isinstance(value, tuple):
         return "[" + ", ".join(_item_text(field, item) for item in value) + "]"
     return _item_text(field, value)
 
 
 def _list_changes(field: str, old: tuple, new: tuple) -> str:
-    """Return what a list gains and loses; the whole list when only its order changes."""
+    """Return the items added and removed; the whole list if only its order changes."""
     gained = [f"+{_item_text(field, item)}" for item in new if item not in old]
     lost = [f"-{_item_text(field, item)}" for item in old if item not in new]
     return ", ".join(gained + lost) or f"order becomes {_value_text(field, new)}"
@@ -93,7 +93,7 @@
 
 
 def difference_lines(before: Configuration, change: ConfigurationChange) -> tuple[str, ...]:
-    """Return the difference that a change makes, a line for each thing that differs."""
+    """Return the difference that a change makes, one line per object or field."""
     after = apply_change(before, change)
     lines: list[str] = []
     for kind in OBJECT_KINDS:
@@ -125,7 +125,7 @@
 
 
 def affected_objects(before: Configuration, change: ConfigurationChange) -> tuple[str, ...]:
-    """Name the objects that depend, before or after, on what a change touches."""
+    """Return the objects that depend, before or after a change, on the objects it touches."""
     after = apply_change(before, change)
     touched = [(kind, name) for kind, objects in change.put.items() for name in objects]
     touched += [(kind, name) for kind, names in change.delete.items() for name in names]
--- a/packages/control/src/damaskwind/control/operator_api/http_api.py
+++ b/packages/control/src/damaskwind/control/operator_api/http_api.py
@@ -42,7 +42,7 @@
 
 
 class OperatorApiSettings(NamedTuple):
-    """Which replica this is and the hash that lets the first operator in."""
+    """The id of this replica and the key hash of the bootstrap operator."""
 
     replica_id: str
     bootstrap_key_hash: str = ""
@@ -74,7 +74,7 @@
 
 
 def _json_body(request: Any) -> Any:
-    """Return the request's body, read as JSON."""
+    """Return the request's body, decoded from JSON."""
     try:
         return msgspec.json.decode(request.content.read())
     except msgspec.DecodeError as error:
@@ -100,7 +100,7 @@
 
 
 def _number(request: Any, name: str, default: int) -> int:
-    """Return a whole number of the query that is at least 0."""
+    """Return a non-negative integer of the query."""
     text = _parameter(request, name, str(default))
     if not text.isdecimal() or len(text) > 18:
         raise OperatorRefusedError(OperatorCode.BAD_REQUEST, f"{name}: expected a number")
@@ -108,14 +108,14 @@
 
 
 def _checked_id(text: str) -> str:
-    """Return an id; refuse a text that can be none."""
+    """Return an id; refuse a malformed one."""
     if not _ID.fullmatch(text):
         raise OperatorRefusedError(OperatorCode.BAD_REQUEST, "malformed id")
     return text
 
 
 def _check_address(text: str) -> None:
-    """Refuse a text that is no address."""
+    """Refuse a malformed address."""
     try:
         parse_address(text)
     except ValueError as error:
@@ -129,7 +129,7 @@
 
 
 class OperatorApi:
-    """The HTTP face of one replica towards operators."""
+    """The HTTP interface of one replica for operators."""
 
     def __init__(
         self,
@@ -150,7 +150,7 @@
         self._route()
 
     def serve_metrics(self, render: Callable[[], bytes]) -> None:
-        """Answer `GET /metrics` with what `render` returns; a scraper needs no key."""
+        """Answer `GET /metrics` with the result of `render`; a scraper needs no key."""
 
         def metrics(request: Any) -> bytes:
             request.setHeader("content-type", "text/plain; version=0.0.4; charset=utf-8")
@@ -163,11 +163,11 @@
         return self._klein.resource()
 
     def site(self) -> Site:
-        """Return a site that bounds bodies and idle connections."""
+        """Return a site that limits the size of bodies and the time of idle connections."""
         return bounded_site(self.resource(), BODY_LIMIT_BYTES, IDLE_TIMEOUT_S)
 
     def _route(self) -> None:
-        """Bind each path to the method that answers it."""
+        """Bind each path to its handler method."""
         root = "/operator/v1"
         table: tuple[tuple[str, str, Any], ...] = (
             ("POST", "/intents", self._intents),
@@ -185,7 +185,7 @@
             self._klein.route(root + path, methods=[method])(self._make_handler(action, method))
 
     def _make_handler(self, action: Callable[..., Coroutine[Any, Any, Answer]], method: str) -> Any:
-        """Return the klein handler that answers with what `act` returns."""
+        """Return the klein handler that answers with the result of `action`."""
 
         def handle(request: Any, **names: str) -> Deferred:
             return to_deferred(self._answer(action, method, request, names))
@@ -194,7 +194,7 @@
         return handle
 
     async def _answer(self, action: Any, method: str, request: Any, names: dict[str, str]) -> bytes:
-        """Authenticate, act, and turn the outcome or the refusal into an answer."""
+        """Authenticate, run the action, and encode its result or its refusal."""
         request.setHeader("content-type", "application/json")
         request.setHeader("cache-control", "no-store")
         try:
@@ -206,7 +206,7 @@
         except OperatorRefusedError as error:
             return self._refuse(request, error)
         except Exception as error:
-            # The text of an unforeseen error may quote the request, and so a key.
+            # The message of an unexpected error may quote the request, and thus a key.
             path = request.path.decode("ascii", "replace")
             kind, place = type(error).__name__, _location_of(error)
             logger.error("operator request failed", path=path, error=kind, place=place)
@@ -221,7 +221,7 @@
         return msgspec.json.encode(error.body())
 
     def _authenticate(self, request: Any) -> _Caller:
-        """Return who asks; refuse an unknown key."""
+        """Return the authenticated caller; refuse an unknown key."""
         key = bearer_key(request.getHeader("authorization"))
         operator = authenticate(key, self._machine.configuration, self._settings.bootstrap_key_hash)
         address = request.getClientAddress()
@@ -239,7 +239,7 @@
         return roles
 
     async def _intents(self, request: Any, caller: _Caller) -> Answer:
-        """Plan what is wanted."""
+        """Plan an intent."""
         return await self._service.plan(caller.operator, caller.origin, _json_body(request))
 
     async def _plan(self, request: Any, caller: _Caller, plan_id: str) -> Answer:
@@ -254,7 +254,7 @@
         return await self._service.confirm(caller.operator, caller.origin, plan_id)
 
     async def _configuration(self, request: Any, caller: _Caller) -> Answer:
-        """Show the configuration as this replica holds it; planners see key hashes."""
+        """Show the local configuration; planners see key hashes."""
         roles = self._require_viewer(caller)
         kind, name = _parameter(request, "kind"), _parameter(request, "name")
         return configuration_view(self._machine.configuration, kind, name, "planner" in roles)
@@ -322,7 +322,7 @@
         }
 
     async def _order(self, request: Any, caller: _Caller) -> Answer:
-        """Take an order to a target into the log."""
+        """Commit an order to a target."""
         body = _typed_body(request, _OrderBody)
         _checked_id(body.target_id)
         if body.order_id:
--- a/packages/control/src/damaskwind/control/operator_api/intent_service.py
+++ b/packages/control/src/damaskwind/control/operator_api/intent_service.py
@@ -1,8 +1,8 @@
 """Turn intents into plans and plans into confirmed changes, through the log.
 
-A plan is computed against the state that a majority held a moment ago and is
-itself committed to the log. Any replica can then show and confirm it, whoever
-leads by then.
+A plan is computed against the state that a majority stored a moment ago and is
+itself committed to the log. Any replica can then show and confirm it, whichever
+replica leads by then.
 """
 
 import secrets
@@ -48,7 +48,7 @@
 
 
 class IntentLimits(NamedTuple):
-    """How long plans live and how long the log is waited for."""
+    """Lifetime of plans and timeouts of the log."""
 
     plan_ttl_s: float = 900.0
     read_timeout_s: float = 2.0
@@ -56,12 +56,12 @@
 
 
 def random_id(prefix: str) -> str:
-    """Return an id that no one else will draw or guess."""
+    """Return a random id that does not collide and can't be guessed."""
     return f"{prefix}-{secrets.token_hex(_ID_BYTES)}"
 
 
 class IntentService:
-    """The operators' acts on one replica, free of HTTP."""
+    """Operators' actions on one replica, independent of HTTP."""
 
     def __init__(
         self,
@@ -78,11 +78,11 @@
         self._new_id = new_id
 
     def actor(self, operator: str, origin: str) -> Actor:
-        """Return who asks, stamped with this replica's wall clock."""
+        """Return the actor of a request, with a timestamp of this replica's wall clock."""
         return Actor(operator, origin, self._wall_clock())
 
     async def read_current(self) -> None:
-        """Wait for what a majority holds; refuse when there is no majority."""
+        """Wait until the local state is current; refuse if there is no majority."""
         if not await self._port.read_current(self._limits.read_timeout_s):
             raise OperatorRefusedError(
                 OperatorCode.NO_QUORUM,
@@ -90,7 +90,7 @@
             )
 
     async def _require_role(self, operator: str, origin: str, role: str, action: str) -> None:
-        """Refuse an operator who lacks a role, and put the attempt on the trail."""
+        """Refuse an operator who lacks a role, and record the attempt in the audit trail."""
         if role in operator_roles(self._machine.configuration, operator):
             return
         attempt = RecordCommand(
@@ -100,9 +100,9 @@
         raise OperatorRefusedError(OperatorCode.FORBIDDEN, f"'{operator}' lacks the role '{role}'")
 
     async def _commit(self, command: Any, ask: str) -> ApplyResult:
-        """Commit a command and return its result; refuse truthfully otherwise."""
+        """Commit a command and return its result; refuse if that fails or is uncertain."""
         outcome = await self._port.propose(encode_command(command), self._limits.commit_timeout_s)
-        # A replica that caught up by a snapshot has the state but no result of the command.
+        # A replica that caught up from a snapshot has the state but not the command's result.
         if outcome.verdict is not CommitVerdict.COMMITTED or not outcome.result:
             raise _commit_refusal(outcome, ask)
         result = decode_result(outcome.result)
@@ -115,7 +115,7 @@
         return result
 
     async def plan(self, operator: str, origin: str, intent: Any) -> dict[str, Any]:
-        """Plan an intent and return the plan; nothing changes."""
+        """Plan an intent and return the plan, without changing the configuration."""
         await self._require_role(operator, origin, "planner", "plan")
         change = _parse_intent(intent)
         plan_id = self._new_id("plan")
@@ -140,7 +140,7 @@
         base: Configuration,
         change: ConfigurationChange,
     ) -> PlanCommand:
-        """Check a change against a base and make it a plan."""
+        """Check a change against a base configuration and return the command for its plan."""
         mistakes = check_change(base, change) + _placement_mistakes(change)
         if mistakes:
             logger.info("intent refused", operator=operator, mistakes=len(mistakes))
@@ -162,7 +162,7 @@
         return plan_view(command, command.actor.now_s, self._wall_clock())
 
     def show_plan(self, plan_id: str) -> dict[str, Any]:
-        """Return an open plan or the outcome of a closed one, as known here."""
+        """Return an open plan or the outcome of a closed one, from the local state."""
         outcome = self._machine.plans.outcome(plan_id)
         if outcome is not None:
             return {"outcome": outcome_view(outcome)}
@@ -172,7 +172,7 @@
         return {"plan": plan_view(plan, plan.planned_at_s, self._wall_clock())}
 
     async def confirm(self, operator: str, origin: str, plan_id: str) -> dict[str, Any]:
-        """Confirm a plan, or return what came of its first confirmation."""
+        """Confirm a plan, or return the outcome of its first confirmation."""
         command = ConfirmCommand(self.actor(operator, origin), plan_id)
         result = await self._commit(command, f"GET /operator/v1/plans/{plan_id}")
         if result.outcome is None:
@@ -191,7 +191,7 @@
         wanted: WantedState,
         address: str = "",
     ) -> dict[str, Any]:
-        """Take an order to a target into the log and return its fencing number."""
+        """Commit an order to a target and return its fencing number."""
         await self._require_role(operator, origin, "confirmer", "order")
         order_id = order_id or self._new_id("order")
         command = OrderCommand(self.actor(operator, origin), order_id, target_id, wanted, address)
@@ -211,7 +211,7 @@
         address: str,
         failure_domain: str,
     ) -> dict[str, Any]:
-        """Add or remove a replica of the log; the trail tells of it before and after."""
+        """Add or remove a replica of the log, recorded in the trail before and after."""
         await self._require_role(operator, origin, "confirmer", action)
         subject = f"replica {replica_id}"
         ask = "GET /operator/v1/replicas"
@@ -234,14 +234,14 @@
 
 
 def _invalid(mistakes: list[str]) -> OperatorRefusedError:
-    """Refuse an intent with all its mistakes."""
+    """Return the refusal of an intent, with all its mistakes."""
     return OperatorRefusedError(
         OperatorCode.INVALID_INTENT, "the intent has mistakes", mistakes=mistakes
     )
 
 
 def _parse_intent(intent: Any) -> ConfigurationChange:
-    """Read an intent; refuse one of the wrong form."""
+    """Parse an intent; refuse a malformed one."""
     try:
         return change_from_table(intent)
     except ConfigurationError as error:
@@ -249,14 +249,14 @@
 
 
 def _placement_mistakes(change: ConfigurationChange) -> list[str]:
-    """Name a placement policy that no router has."""
+    """Return a mistake for a placement policy that routers don't have."""
     if change.policy is None or change.policy.placement in PLACEMENT_POLICIES:
         return []
     return [f"policy.placement: expected one of {', '.join(sorted(PLACEMENT_POLICIES))}"]
 
 
 def _commit_refusal(outcome: CommitOutcome, ask: str) -> OperatorRefusedError:
-    """Say truthfully what a proposal that was not seen to commit may have done."""
+    """Return the refusal for a proposal that is not known to be committed."""
     if outcome.verdict is CommitVerdict.REFUSED:
         return OperatorRefusedError(
             OperatorCode.NO_QUORUM,
@@ -272,7 +272,7 @@
 
 
 def _unknown_plan(plan_id: str) -> OperatorRefusedError:
-    """Say that a plan is neither open nor among the outcomes remembered."""
+    """Return the refusal for a plan that is neither open nor among the stored outcomes."""
     return OperatorRefusedError(
         OperatorCode.UNKNOWN_PLAN,
         "no such plan is open, and its outcome is not among the last"
@@ -282,7 +282,7 @@
 
 
 def _not_confirmed(result: ApplyResult, view: dict[str, Any]) -> OperatorRefusedError:
-    """Say why a plan was closed without coming into force."""
+    """Return the refusal for a plan that was closed without being applied."""
     if result.status is ResultStatus.CONFLICT:
         return OperatorRefusedError(
             OperatorCode.CONFLICT,
--- a/packages/control/src/damaskwind/control/operator_api/plan_warnings.py
+++ b/packages/control/src/damaskwind/control/operator_api/plan_warnings.py
@@ -1,7 +1,7 @@
-"""Warn of what a change would take away or loosen.
+"""Warn of changes that revoke access, lower limits or loosen guarantees.
 
-Each warning is a function over the configuration before and after; a decorator
-puts it on the list.
+Each warning rule is a function of the configurations before and after the change; a
+decorator registers it.
 """
 
 from collections.abc import Callable, Iterator
@@ -17,7 +17,7 @@
 
 
 def _rule(rule: WarningRule) -> WarningRule:
-    """Put a rule on the list."""
+    """Register a rule."""
     _RULES.append(rule)
     return rule
 
@@ -31,7 +31,7 @@
 def _remaining_accounts(
     before: Configuration, after: Configuration
 ) -> Iterator[tuple[ClientAccount, ClientAccount]]:
-    """Yield each account that stays, before and after."""
+    """Yield each account that exists before and after, as a pair."""
     for name, old in before.accounts.items():
         if name in after.accounts:
             yield old, after.accounts[name]
--- a/packages/control/src/damaskwind/control/operator_api/ports.py
+++ b/packages/control/src/damaskwind/control/operator_api/ports.py
@@ -1,4 +1,4 @@
-"""What the intent API needs from the replicated log, as a protocol."""
+"""The interface of the replicated log that the intent API requires."""
 
 from enum import StrEnum
 from typing import Any, NamedTuple, Protocol
@@ -7,9 +7,9 @@
 
 
 class CommitVerdict(StrEnum):
-    """Say whether a proposal took its place in the log.
+    """Whether a proposal was committed to the log.
 
-    `REFUSED` is only ever used when it is certain that nothing was changed;
+    `REFUSED` is used only when it is certain that nothing was changed;
     `UNKNOWN` means that it may still be committed later.
     """
 
@@ -19,9 +19,9 @@
 
 
 class CommitOutcome(NamedTuple):
-    """How a proposal ended: `result` is what the machine's `apply` returned.
+    """The outcome of a proposal; `result` is what the state machine's `apply` returned.
 
-    `leader_hint` names the replica that would take it, when one is known.
+    `leader_hint` names the replica that would accept it, if one is known.
     """
 
     verdict: CommitVerdict
@@ -31,16 +31,16 @@
 
 
 class ProposalPort(Protocol):
-    """The replica as the intent API sees it."""
+    """A replica of the log, as used by the intent API."""
 
     async def propose(self, payload: bytes, timeout_s: float) -> CommitOutcome:
         """Propose one command and wait for its outcome."""
         ...
 
     async def read_current(self, timeout_s: float) -> bool:
-        """Wait until the local state holds all that a majority had confirmed.
+        """Wait until the local state includes all entries committed before the call.
 
-        Return `False` when no majority said so in time.
+        Return `False` if no majority confirmed that in time.
         """
         ...
 
--- a/packages/control/src/damaskwind/control/operator_api/refusal.py
+++ b/packages/control/src/damaskwind/control/operator_api/refusal.py
@@ -1,4 +1,4 @@
-"""Why the intent API refuses, and how each refusal looks over HTTP."""
+"""Refusals of the intent API, with their HTTP status and body."""
 
 from enum import StrEnum
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class OperatorCode(StrEnum):
-    """Name a refusal; the value is the `code` in the answer."""
+    """The kind of a refusal; the value is the `code` in the answer."""
 
     BAD_REQUEST = "bad_request"
     INVALID_INTENT = "invalid_intent"
@@ -42,7 +42,7 @@
 
 
 class OperatorRefusedError(DamaskwindError):
-    """A request of an operator is refused.
+    """Raised when an operator's request is refused.
 
     `nothing_changed` is true when it is certain that this request changed
     nothing and false when that is not known yet; `details` go into the answer.
--- a/packages/control/src/damaskwind/control/operator_api/router_status.py
+++ b/packages/control/src/damaskwind/control/operator_api/router_status.py
@@ -1,4 +1,4 @@
-"""What each router says that it enforces; kept in memory only, never in the log."""
+"""The revision that each router reports to enforce; kept in memory only, not in the log."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 
 
 class RouterRevision(NamedTuple):
-    """The revision that a router enforces, by its own report of `age_s` ago."""
+    """The revision that a router enforces, as it reported `age_s` ago."""
 
     router_id: str
     failure_domain: str
@@ -18,7 +18,7 @@
 
 
 class _Report(NamedTuple):
-    """A report as it came."""
+    """A report with the time at which it was received."""
 
     failure_domain: str
     revision: int
@@ -26,18 +26,18 @@
 
 
 class RouterStatusTable:
-    """The latest report of each router that this replica heard of."""
+    """The latest report received from each router."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._reports: dict[str, _Report] = {}
 
     def report(self, router_id: str, failure_domain: str, revision: int) -> None:
-        """Take a router's report of the revision that it has applied."""
+        """Record a router's report of the revision that it has applied."""
         self._reports[router_id] = _Report(failure_domain, revision, self._clock())
 
     def latest_reports(self) -> list[RouterRevision]:
-        """Return the reports by router, without those that are too old."""
+        """Return the reports sorted by router, and drop those that are too old."""
         now_s = self._clock()
         self._reports = {
             router_id: report
@@ -51,5 +51,5 @@
 
 
 def lag_view(routers: list[RouterRevision], revision: int) -> list[dict[str, Any]]:
-    """Return the routers with how many revisions each one is behind."""
+    """Return the routers with the number of revisions by which each one lags."""
     return [{**router._asdict(), "lag": revision - router.revision} for router in routers]
--- a/packages/control/src/damaskwind/control/operator_api/tests/objects.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/objects.py
@@ -1,4 +1,4 @@
-"""Small objects that tests plan and confirm."""
+"""Small configuration objects for tests to plan and confirm."""
 
 from damaskwind.control.operator_api.authentication import hash_key
 
--- a/packages/control/src/damaskwind/control/operator_api/tests/serving.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/serving.py
@@ -12,7 +12,7 @@
 
 
 class ServedFleet:
-    """Replicas of one log, each behind its own port; `now_s` is everyone's clock."""
+    """Replicas of one log, each on its own port; `now_s` is the clock of all."""
 
     def __init__(self, replicas=2, archive=None):
         self.archive = archive
--- a/packages/control/src/damaskwind/control/operator_api/tests/shared_log.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/shared_log.py
@@ -1,4 +1,4 @@
-"""A log shared by several machines, that can refuse, lose answers and lag."""
+"""A log shared by several state machines that can refuse, lose answers and lag."""
 
 from collections import deque
 
@@ -7,17 +7,17 @@
 
 
 class SharedLog:
-    """Commands in the order in which they were committed."""
+    """The commands in commit order."""
 
     def __init__(self):
         self.payloads = []
 
 
 class FakeReplica:
-    """One replica's port on the shared log; `moods` tells how next proposals fare.
+    """One replica's port on the shared log; `next_results` scripts the next proposals.
 
-    `commit` is the ordinary one; `no_result` commits without telling the result;
-    `lost_answer` commits and says unknown; `lost_command` says unknown and commits
+    `commit` is the default; `no_result` commits without returning the result;
+    `lost_answer` commits and returns unknown; `lost_command` returns unknown and commits
     nothing; `refuse` refuses; `explode` raises an error that quotes the command.
     """
 
--- a/packages/control/src/damaskwind/control/operator_api/tests/test_http_api.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/test_http_api.py
@@ -65,7 +65,7 @@
         return answer
 
     @asyncio_test
-    async def test_the_first_operator_comes_in_by_the_bootstrap_key_which_then_ends(self):
+    async def test_the_bootstrap_key_creates_the_first_operators_and_then_has_no_role(self):
         await self.change(operators(), BOOTSTRAP_KEY)
         status, answer = await self.ask("GET", "/configuration", BOOTSTRAP_KEY)
         self.assertEqual((status, answer["error"]["code"]), (403, "forbidden"))
@@ -90,7 +90,7 @@
         self.assertRegex(shown, r"^sha256:[0-9a-f]{8}$")
 
     @asyncio_test
-    async def test_conflict_expiry_and_unknown_plans_have_their_own_answers(self):
+    async def test_conflict_expiry_and_unknown_plans_have_distinct_answers(self):
         await self.change({**operators(), **base_objects()}, BOOTSTRAP_KEY)
         plans = []
         for rank in (5, 6, 7):
@@ -110,7 +110,7 @@
             self.assertEqual((status, answer["error"]["code"]), (404, "unknown_plan"))
 
     @asyncio_test
-    async def test_without_majority_writes_are_refused_and_reads_go_on(self):
+    async def test_without_majority_writes_are_refused_and_reads_succeed(self):
         await self.change(operators(), BOOTSTRAP_KEY)
         self.fleet.replicas[0].has_majority = False
         status, answer = await self.ask("POST", "/intents", body=priority_class())
@@ -160,7 +160,7 @@
         self.assertEqual(status, 400)
 
     @asyncio_test
-    async def test_the_trail_is_read_from_the_archive_where_memory_begins_later(self):
+    async def test_entries_no_longer_in_memory_are_read_from_the_archive(self):
         with TemporaryDirectory() as folder:
             archive = AuditArchive(Path(folder))
             await self.fleet.stop()
@@ -170,15 +170,17 @@
                 trail.append(AuditEvent(0.0, "mei", "here", "plan", "p", "planned", 0))
                 archive.store_closed(trail)
             last = trail.last_sequence
-            told = []
-            while len(told) < last:
-                status, answer = await self.ask("GET", f"/audit?after={len(told)}", BOOTSTRAP_KEY)
+            received = []
+            while len(received) < last:
+                status, answer = await self.ask(
+                    "GET", f"/audit?after={len(received)}", BOOTSTRAP_KEY
+                )
                 self.assertTrue(answer["entries"], answer)
-                told += answer["entries"]
-        self.assertEqual([item["sequence"] for item in told], list(range(1, last + 1)))
+                received += answer["entries"]
+        self.assertEqual([item["sequence"] for item in received], list(range(1, last + 1)))
 
     @asyncio_test
-    async def test_keys_are_in_no_answer_no_log_and_not_on_the_trail(self):
+    async def test_keys_appear_in_no_answer_log_or_audit_entry(self):
         await self.change({**operators(), **base_objects()}, BOOTSTRAP_KEY)
         pasted = {"accounts": {"clerks": account(key_hashes=[SECRETS[3]])}}
         answers = [await self.ask("POST", "/intents", body=pasted)]
--- a/packages/control/src/damaskwind/control/operator_api/tests/test_intent_service.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/test_intent_service.py
@@ -20,7 +20,7 @@
 
 
 class Fleet:
-    """Three replicas of one log, each with its service and wall clock."""
+    """Three replicas of one log, each with its own service and wall clock."""
 
     def __init__(self):
         self.log = SharedLog()
@@ -92,7 +92,7 @@
         self.assertEqual(fleet.revision(2), 3)
 
     @asyncio_test
-    async def test_a_commit_without_its_result_is_not_known_and_told_when_resent(self):
+    async def test_a_commit_without_result_is_unknown_and_resolved_when_resent(self):
         fleet = await started_fleet()
         plan = await fleet.plan(0, "mei", priority_class("batch", 5))
         fleet.replicas[0].next_results.append("no_result")
@@ -102,7 +102,7 @@
         self.assertEqual((again["repeated"], again["outcome"]["revision"]), (True, 2))
 
     @asyncio_test
-    async def test_confirm_that_was_lost_before_the_log_commits_when_resent(self):
+    async def test_confirm_lost_before_the_log_commits_when_resent(self):
         fleet = await started_fleet()
         plan = await fleet.plan(0, "mei", priority_class("batch", 5))
         fleet.replicas[0].next_results.append("lost_command")
@@ -123,7 +123,7 @@
         self.assertEqual(refused.code, OperatorCode.FORBIDDEN)
 
     @asyncio_test
-    async def test_of_two_operators_on_one_revision_one_wins_and_the_other_hears_who(self):
+    async def test_second_confirm_on_one_revision_is_refused_with_the_conflicting_operator(self):
         fleet = await started_fleet()
         mine = await fleet.plan(0, "mei", priority_class("batch", 5))
         theirs = await fleet.plan(1, "tuan", priority_class("night", 6))
@@ -140,7 +140,7 @@
         self.assertEqual(fleet.revision(), 3)
 
     @asyncio_test
-    async def test_a_plan_moves_with_the_base_when_another_change_comes_between(self):
+    async def test_a_plan_is_rebased_when_another_change_is_committed_first(self):
         fleet = await started_fleet()
         night = await fleet.plan(1, "mei", priority_class("night", 6))
         payload = encode_command(ConfirmCommand(Actor("mei", ORIGIN, 1000.0), night["id"]))
@@ -166,7 +166,7 @@
         self.assertEqual(len(states), 1)
 
     @asyncio_test
-    async def test_without_majority_it_is_said_that_nothing_was_changed(self):
+    async def test_without_majority_the_refusal_states_that_nothing_was_changed(self):
         fleet = await started_fleet()
         plan = await fleet.plan(0, "mei", priority_class("batch", 5))
         fleet.replicas[0].has_majority = False
@@ -179,7 +179,7 @@
         self.assertEqual(fleet.revision(2), 1)
 
     @asyncio_test
-    async def test_roles_are_kept_and_attempts_against_them_are_on_the_trail(self):
+    async def test_roles_are_enforced_and_forbidden_attempts_are_on_the_trail(self):
         fleet = await started_fleet()
         refused = await self.refusal(fleet.plan(0, "lin", priority_class("batch", 5)))
         self.assertEqual(refused.code, OperatorCode.FORBIDDEN)
@@ -194,7 +194,7 @@
         self.assertEqual(fleet.revision(), 2)
 
     @asyncio_test
-    async def test_every_mistake_is_named_and_nothing_reaches_the_log(self):
+    async def test_every_mistake_is_reported_and_nothing_is_proposed(self):
         fleet = await started_fleet()
         length = len(fleet.log.payloads)
         wrong = account(priority_class="gone", max_tokens_per_s=0, key_hashes=["dw-raw-key"])
@@ -216,7 +216,7 @@
         self.assertEqual(len(fleet.log.payloads), length)
 
     @asyncio_test
-    async def test_the_last_who_may_confirm_cannot_be_deleted(self):
+    async def test_the_last_confirmer_cannot_be_deleted(self):
         fleet = await started_fleet()
         refused = await self.refusal(fleet.plan(0, "mei", {"delete": {"operators": ["mei"]}}))
         self.assertEqual(
@@ -224,13 +224,13 @@
         )
 
     @asyncio_test
-    async def test_an_intent_that_is_in_force_already_needs_no_plan(self):
+    async def test_an_intent_already_in_force_needs_no_plan(self):
         fleet = await started_fleet()
         answer = await fleet.services[0].plan("mei", ORIGIN, priority_class())
         self.assertEqual((answer["plan"], answer["already_in_force"]), (None, True))
 
     @asyncio_test
-    async def test_keys_are_neither_in_plans_nor_on_the_trail_nor_hashes_whole(self):
+    async def test_neither_keys_nor_full_hashes_appear_in_plans_or_on_the_trail(self):
         fleet = await started_fleet()
         plan = await fleet.plan(0, "mei", {"accounts": {"clerks": account(key_hashes=["ab" * 32])}})
         machine = fleet.replicas[0].machine
--- a/packages/control/src/damaskwind/control/operator_api/views.py
+++ b/packages/control/src/damaskwind/control/operator_api/views.py
@@ -1,4 +1,4 @@
-"""What operators are shown of plans, outcomes and objects, as plain tables."""
+"""Views of plans, outcomes and objects for operators, as plain tables."""
 
 from typing import Any
 
@@ -31,12 +31,12 @@
 
 
 def change_view(note: ChangeNote) -> dict[str, Any]:
-    """Return who brought about a revision."""
+    """Return the operator and the details of the change that made a revision."""
     return to_table(note)
 
 
 def outcome_view(outcome: PlanOutcome) -> dict[str, Any]:
-    """Return what came of a plan."""
+    """Return the outcome of a plan."""
     return {**to_table(outcome), "status": str(outcome.status)}
 
 
