--- a/packages/control/src/damaskwind/control/__init__.py
+++ b/packages/control/src/damaskwind/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control replica: replicated log, intents, audit trail, claim holder."""
+"""The control replica: replicated log, operator intents, audit trail, claim holder."""
--- a/packages/control/src/damaskwind/control/audit/__init__.py
+++ b/packages/control/src/damaskwind/control/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The audit trail: entries chained by hash, kept with the replicated state."""
+"""The audit trail: entries chained by hash, stored with the replicated state."""
--- a/packages/control/src/damaskwind/control/audit/archive.py
+++ b/packages/control/src/damaskwind/control/audit/archive.py
@@ -1,8 +1,8 @@
 """Closed segments of the audit trail as files in a replica's data folder.
 
-Each replica writes the segments that it has seen close; a newcomer has those
-from its first snapshot on. A file is complete and synced before it has its
-name, and is never written again.
+Each replica writes a segment when it closes; a replica that joined later has the
+segments from its first snapshot on. A file gets its name once it is complete and
+synced, and is not modified afterwards.
 """
 
 import os
@@ -24,13 +24,13 @@
 
     @property
     def first_sequence(self) -> int | None:
-        """Return the number of the oldest entry on disk, if any."""
+        """Return the number of the oldest entry on disk; `None` if there is none."""
         return min(self._stored, default=None)
 
     def store_closed(self, trail: AuditTrail) -> int:
-        """Write the closed segments that are not on disk yet; return how many.
+        """Write the closed segments that are not on disk yet; return their number.
 
-        Call it after every command; it returns at once when none has closed.
+        Call it after every command; it returns at once if no segment has closed.
         """
         written = 0
         start = trail.first_sequence
@@ -42,11 +42,11 @@
         return written
 
     def _path(self, start: int) -> Path:
-        """Return the file of the segment that starts at a number."""
+        """Return the path of the segment that starts at an entry number."""
         return self._folder / f"audit-{start:012d}.jsonl"
 
     def _write(self, start: int, lines: list[bytes]) -> None:
-        """Write one segment under a temporary name, sync it and give it its name."""
+        """Write one segment to a temporary file, sync it and rename it."""
         path = self._path(start)
         temporary = path.with_suffix(".tmp")
         try:
@@ -61,7 +61,7 @@
         self._stored.add(start)
 
     def _sync_folder(self) -> None:
-        """Sync the folder, so that a new name lasts."""
+        """Sync the folder, so that a rename is durable."""
         descriptor = os.open(self._folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -69,7 +69,7 @@
             os.close(descriptor)
 
     def lines_after(self, sequence: int, limit: int) -> list[bytes]:
-        """Return up to `limit` encoded entries after a number, from one segment."""
+        """Return up to `limit` encoded entries after an entry number, from one segment."""
         start = sequence // SEGMENT_ENTRIES * SEGMENT_ENTRIES + 1
         if start not in self._stored:
             later = [stored for stored in self._stored if stored > sequence]
--- a/packages/control/src/damaskwind/control/audit/chain.py
+++ b/packages/control/src/damaskwind/control/audit/chain.py
@@ -1,4 +1,4 @@
-"""Verify a run of audit entries: hashes, links and numbers without gaps."""
+"""Verify a sequence of audit entries: hashes, links and consecutive numbers."""
 
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
@@ -9,10 +9,10 @@
 
 
 class ChainHead(NamedTuple):
-    """The place up to which a chain is known: a number and the hash found there.
+    """The last verified entry of a chain: its number and its hash.
 
-    Whoever keeps the head of an earlier check finds out when the whole trail
-    was written anew since, which the chain alone can't show.
+    Comparing with the head of an earlier check detects a trail that has been rewritten
+    as a whole since then, which the chain alone can't show.
     """
 
     sequence: int
@@ -20,7 +20,7 @@
 
 
 class ChainVerdict(NamedTuple):
-    """Whether the run holds; `faults` names each break, `head` is its last entry."""
+    """The result of a check; `faults` lists each break, `head` is the last entry."""
 
     entries: int
     head: ChainHead | None
@@ -28,7 +28,7 @@
 
 
 def _faults_of(entry: AuditEntry, before: ChainHead | None) -> list[str]:
-    """Name what is wrong with one entry after the one before it."""
+    """Return the faults of one entry, given the one before it."""
     faults = []
     if entry.entry_hash != entry_hash(entry):
         faults.append(f"entry {entry.sequence}: its content does not match its hash")
@@ -42,7 +42,7 @@
 
 
 def head_faults(entries: Sequence[AuditEntry], known: ChainHead | None) -> list[str]:
-    """Name how entries in order disagree with the head of an earlier check.
+    """Return the contradictions between entries in order and the head of an earlier check.
 
     The entry at the head's number must have its hash; when the entries start
     right after it, the first must be chained to it.
--- a/packages/control/src/damaskwind/control/audit/entry.py
+++ b/packages/control/src/damaskwind/control/audit/entry.py
@@ -22,10 +22,10 @@
 
 
 class AuditEvent(NamedTuple):
-    """What is worth an entry: who did what to what, when, from where, with what result.
+    """An audited event: who did what to which object, when, from where, with what result.
 
-    `at_s` is the wall clock of the replica that took the request, in seconds
-    since 1970; `origin` the caller's address and that replica.
+    `at_s` is the wall clock of the replica that received the request, in seconds
+    since 1970; `origin` is the caller's address and that replica.
     """
 
     at_s: float
@@ -39,7 +39,7 @@
 
 
 class AuditEntry(NamedTuple):
-    """An event in its place in the chain; `entry_hash` covers all other fields."""
+    """An event with its number and links in the chain; `entry_hash` covers all other fields."""
 
     sequence: int
     at_s: float
@@ -60,24 +60,24 @@
 
 
 def make_entry(sequence: int, event: AuditEvent, previous_hash: str) -> AuditEntry:
-    """Give an event its place in the chain.
+    """Return the entry that chains an event to the previous entry.
 
     >>> event = AuditEvent(0.0, "mei", "127.0.0.1", "plan", "p", "planned", 0)
     >>> entry = make_entry(1, event, GENESIS_HASH)
     >>> entry.entry_hash == entry_hash(entry)
     True
     """
-    unsealed = AuditEntry(sequence, *event, previous_hash, "")
-    return unsealed._replace(entry_hash=entry_hash(unsealed))
+    unhashed = AuditEntry(sequence, *event, previous_hash, "")
+    return unhashed._replace(entry_hash=entry_hash(unhashed))
 
 
 def encode_entry(entry: AuditEntry) -> bytes:
-    """Return an entry as one line of JSON, fields by name."""
+    """Return an entry as one line of JSON, with its fields by name."""
     return msgspec.json.encode(entry._asdict())
 
 
 def decode_entry(line: bytes | dict[str, Any]) -> AuditEntry:
-    """Read an entry back from its line or table; raise `MessageError` when it is none."""
+    """Decode an entry from its line or table; raise `MessageError` if it is malformed."""
     try:
         raw = msgspec.json.decode(line) if isinstance(line, bytes) else line
     except msgspec.DecodeError as error:
--- a/packages/control/src/damaskwind/control/audit/tests/test_audit.py
+++ b/packages/control/src/damaskwind/control/audit/tests/test_audit.py
@@ -23,7 +23,7 @@
 
 
 def forged_chain(entries):
-    """Forge a run whose own hashes all match."""
+    """Return a forged chain whose own hashes all match."""
     forged = []
     before = entries[0].previous_hash
     for entry in entries:
@@ -34,23 +34,23 @@
 
 
 class ChainTest(TestCase):
-    def test_an_untouched_trail_holds(self):
+    def test_an_unmodified_trail_is_valid(self):
         verdict = verify_chain(filled(20).entries())
         self.assertEqual((verdict.entries, verdict.head.sequence, verdict.faults), (20, 20, ()))
 
-    def test_each_field_that_is_altered_breaks_the_chain(self):
+    def test_altering_any_field_breaks_the_chain(self):
         entries = list(filled(3).entries())
         for field, value in entries[1]._asdict().items():
             other = (*value, "x") if isinstance(value, tuple) else value * 2 + type(value)(1)
             altered = [entries[0], entries[1]._replace(**{field: other}), entries[2]]
             self.assertTrue(verify_chain(altered).faults, field)
 
-    def test_removed_reordered_and_doubled_entries_break_the_chain(self):
+    def test_removed_reordered_and_duplicated_entries_break_the_chain(self):
         a, b, c, d = filled(4).entries()
         for run in ([a, c, d], [a, c, b, d], [a, b, b, c]):
             self.assertTrue(verify_chain(run).faults)
 
-    def test_a_trail_written_anew_is_found_by_the_head_kept_from_before(self):
+    def test_a_rewritten_trail_is_detected_by_the_head_of_an_earlier_check(self):
         entries = list(filled(5).entries())
         known = ChainHead(4, entries[3].entry_hash)
         forged = forged_chain([entries[0], entries[1]._replace(operator="lin"), *entries[2:]])
@@ -60,7 +60,7 @@
         for wrong in (forged, forged[4:], entries[:2], []):
             self.assertEqual(len(head_faults(wrong, known)), 1 + (wrong == forged))
 
-    def test_lines_that_are_no_entries_are_refused(self):
+    def test_malformed_lines_are_refused(self):
         line = encode_entry(next(filled(1).entries()))
         for wrong in (b"{", b"[]", line[:-1] + b',"more":1}', b'{"sequence":1}'):
             with self.assertRaises(MessageError):
@@ -68,7 +68,7 @@
 
 
 class TrailTest(TestCase):
-    def test_memory_is_bounded_and_the_chain_goes_on(self):
+    def test_memory_is_bounded_and_the_chain_continues(self):
         limit = (MAX_CLOSED_SEGMENTS + 1) * SEGMENT_ENTRIES
         trail = filled(limit + 1)
         self.assertEqual(trail.first_sequence, SEGMENT_ENTRIES + 1)
@@ -77,14 +77,14 @@
         restored = AuditTrail(trail.state())
         self.assertEqual(restored.append(event(0)), trail.append(event(0)))
 
-    def test_long_texts_are_cut(self):
+    def test_long_texts_are_truncated(self):
         trail = AuditTrail()
         entry = trail.append(event(1, tuple("x" * 1000 for _ in range(100))))
         self.assertEqual(len(entry.detail), 21)
         self.assertEqual(entry.detail[-1], "and 80 more")
         self.assertLess(len(encode_entry(entry)), 6000)
 
-    def test_closed_segments_outlive_memory_and_a_restart_in_the_archive(self):
+    def test_closed_segments_remain_in_the_archive_after_a_restart(self):
         with TemporaryDirectory() as folder:
             path = Path(folder) / "audit"
             archive = AuditArchive(path)
@@ -103,7 +103,7 @@
             verdict = verify_chain(map(decode_entry, lines))
             self.assertEqual((verdict.faults, verdict.head.entry_hash), ((), trail.last_hash))
 
-    def test_a_half_written_segment_is_not_taken_for_one(self):
+    def test_a_partially_written_segment_is_ignored(self):
         with TemporaryDirectory() as folder:
             (Path(folder) / "audit-000000000001.tmp").write_bytes(b"half")
             archive = AuditArchive(Path(folder))
--- a/packages/control/src/damaskwind/control/audit/trail.py
+++ b/packages/control/src/damaskwind/control/audit/trail.py
@@ -1,7 +1,7 @@
 """The append-only trail in the replicated state, bounded by closed segments.
 
 Entries are kept encoded, in segments of `SEGMENT_ENTRIES`. Beyond `MAX_CLOSED_SEGMENTS`
-closed ones, the oldest leaves the memory; by then every replica has had time to
+closed ones, the oldest is dropped from memory; by then every replica has had time to
 write it to its archive. All replicas drop the same segment at the same entry.
 """
 
@@ -26,7 +26,7 @@
 
 
 class TrailState(NamedTuple):
-    """The trail as a snapshot keeps it: the number of the first entry and all lines."""
+    """The trail as stored in a snapshot: first entry number, last hash and all lines."""
 
     first_sequence: int = 1
     last_hash: str = GENESIS_HASH
@@ -34,7 +34,7 @@
 
 
 def _truncated(event: AuditEvent) -> AuditEvent:
-    """Cut the texts of an event to what one entry may hold."""
+    """Truncate the texts of an event to the limits of one entry."""
     detail = tuple(line[:_TEXT_LENGTH] for line in event.detail[:_DETAIL_LINES])
     left_out = len(event.detail) - _DETAIL_LINES
     if left_out > 0:
@@ -44,7 +44,7 @@
 
 
 class AuditTrail:
-    """The entries that are in memory and the head of the chain."""
+    """The entries in memory and the head of the hash chain."""
 
     def __init__(self, state: TrailState | None = None) -> None:
         start = state or TrailState()
@@ -59,7 +59,7 @@
 
     @property
     def last_sequence(self) -> int:
-        """Return the number of the newest entry; 0 before the first."""
+        """Return the number of the newest entry; 0 if there is none yet."""
         return self._first_sequence + len(self._lines) - 1
 
     @property
@@ -68,7 +68,7 @@
         return self._last_hash
 
     def append(self, event: AuditEvent) -> AuditEntry:
-        """Chain an event to the trail and return its entry."""
+        """Append an event to the trail and return its entry."""
         entry = make_entry(self.last_sequence + 1, _truncated(event), self._last_hash)
         self._lines.append(encode_entry(entry))
         self._last_hash = entry.entry_hash
@@ -78,14 +78,14 @@
         return entry
 
     def lines_after(self, sequence: int, limit: int) -> list[bytes]:
-        """Return up to `limit` encoded entries that come after a number."""
+        """Return up to `limit` encoded entries after an entry number."""
         start = max(sequence + 1 - self._first_sequence, 0)
         return self._lines[start : start + limit]
 
     def entries(self) -> Iterator[AuditEntry]:
-        """Decode and return the entries in memory, oldest first."""
+        """Return the decoded entries in memory, oldest first."""
         return map(decode_entry, self._lines)
 
     def state(self) -> TrailState:
-        """Return what a snapshot keeps."""
+        """Return the state for a snapshot."""
         return TrailState(self._first_sequence, self._last_hash, tuple(self._lines))
--- a/packages/control/src/damaskwind/control/claim_holding.py
+++ b/packages/control/src/damaskwind/control/claim_holding.py
@@ -1,9 +1,9 @@
-"""Start this process's claim holder once it is known what it may have forgotten.
+"""Start the claim holder of this process once it is clear whether its records may be incomplete.
 
-A holder that was there before its cluster was founded has forgotten nothing at
-its first start. Any other empty one must first read the others; its incarnation
-counts from the wall clock's time at which its disk was new, so that it is above
-those of the disk's earlier lives.
+A holder whose disk existed before its cluster was founded has lost no records at its
+first start. Any other holder without records must first read those of the others. Its
+incarnations count from the wall clock time at which its disk was initialized, so that
+they exceed those of any earlier disk.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 
 
 class DeferredClaimHolder(ClaimsBase):
-    """The holder's service; until the holder is there, calls are told to come back."""
+    """The holder's service; calls fail with `UNAVAILABLE` until the holder has been started."""
 
     def __init__(self) -> None:
         self.inner: ClaimHolderService | None = None
@@ -41,7 +41,7 @@
         self._start = 0
 
     def make_holder(self, node: ReplicaNode, holder_ids: list[str], ttl_s: float) -> ClaimHolder:
-        """Number this start and make the holder, with what the last clean stop kept."""
+        """Record this start and create the holder, with the records of the last clean stop."""
         identity = node.folder.identity
         is_founding = node.service.is_founding
         self._folder = node.folder.path
@@ -61,7 +61,7 @@
         return holder
 
     async def stop(self) -> None:
-        """Answer no more and keep the records, so that the next start goes on from them."""
+        """Stop answering and save the records, from which the next start resumes."""
         if self.inner is None:
             return
         holder, self.inner = self.inner.holder, None
@@ -75,24 +75,24 @@
             logger.error("claims not kept", error=str(error))
 
     def set_ttl(self, ttl_s: float) -> None:
-        """Let claims live as long as the policy says, those on record too."""
+        """Set the lifetime of claims, including those already on record."""
         if self.inner is not None:
             self.inner.holder.policy = self.inner.holder.policy._replace(ttl_s=ttl_s)
 
     async def Order(self, stream: Any) -> None:  # noqa: N802
-        """First phase of a claim."""
+        """Answer a call of the first phase of a claim."""
         await self._service().Order(stream)
 
     async def Write(self, stream: Any) -> None:  # noqa: N802
-        """Second phase of a claim."""
+        """Answer a call of the second phase of a claim."""
         await self._service().Write(stream)
 
     async def Record(self, stream: Any) -> None:  # noqa: N802
-        """Keep an outcome."""
+        """Record the outcome of a claim."""
         await self._service().Record(stream)
 
     async def CatchUp(self, stream: Any) -> None:  # noqa: N802
-        """Give all records to a holder that restarted."""
+        """Send all records to a holder that restarted."""
         await self._service().CatchUp(stream)
 
     def _service(self) -> ClaimHolderService:
@@ -110,10 +110,10 @@
 ) -> None:
     """Wait until this replica is current in a log, then start the holder.
 
-    Before there is a log anywhere, a disk that is lost would not be noticed; and
-    one that is behind may know a shorter life of claims than is in force, and
-    would vote too early. The holders are the bootstrap replicas; another replica
-    holds no claims. `ttl_s` returns the life of a claim by this replica's policy.
+    Before the log exists, the loss of a disk would go unnoticed. A replica that lags
+    may apply a shorter lifetime of claims than the one in force, and would vote too
+    early. Only the bootstrap replicas are holders. `ttl_s` returns the lifetime of
+    a claim by this replica's policy.
     """
     addresses = {item.replica_id: parse_address(item.address) for item in bootstrap}
     if node.folder.identity.replica_id not in addresses:
@@ -124,12 +124,12 @@
             return
         await replica.wait_until(lambda: replica.has_log and replica.is_current, LOG_WAIT_S)
     loop = asyncio.get_running_loop()
-    making = loop.run_in_executor(None, claim_holder.make_holder, node, list(addresses), ttl_s())
+    creation = loop.run_in_executor(None, claim_holder.make_holder, node, list(addresses), ttl_s())
     try:
-        holder = await asyncio.shield(making)
+        holder = await asyncio.shield(creation)
     except asyncio.CancelledError:
-        # The thread writes into the folder, which this process is about to give back.
-        await asyncio.wait([making])
+        # The thread writes to the data folder, whose lock this process is about to release.
+        await asyncio.wait([creation])
         raise
     claim_holder.inner = ClaimHolderService(holder, verifier, read_clock)
     claim_holder.set_ttl(ttl_s())
--- a/packages/control/src/damaskwind/control/fleet/news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/news_feed.py
@@ -329,7 +329,7 @@
         return not is_known or has_changes or is_newer or has_evacuations or has_suspicions
 
     def build_news(
-        self, request: NewsRequest, load_sum: HeldSum | None = None, has_headroom: bool = True
+        self, request: NewsRequest, held: HeldSum | None = None, has_headroom: bool = True
     ) -> News:
         """Return the current updates for a subscriber, with the routers' load sums if given.
 
@@ -358,7 +358,7 @@
             changes.records,
             self._heartbeats_for(request, now_s),
             self._is_leader(),
-            load_sum,
+            held,
             self._router_index(request.node_id),
             (
                 self._heartbeats.summarize()
--- a/packages/control/src/damaskwind/control/operator_api/views.py
+++ b/packages/control/src/damaskwind/control/operator_api/views.py
@@ -30,9 +30,9 @@
     }
 
 
-def change_view(note: ChangeNote) -> dict[str, Any]:
+def change_view(change: ChangeNote) -> dict[str, Any]:
     """Return the operator and the details of the change that made a revision."""
-    return to_table(note)
+    return to_table(change)
 
 
 def outcome_view(outcome: PlanOutcome) -> dict[str, Any]:
--- a/packages/control/src/damaskwind/control/process.py
+++ b/packages/control/src/damaskwind/control/process.py
@@ -32,7 +32,7 @@
 class ControlProcess:
     """One running control process.
 
-    `failed` is done, with the `StorageError`, when the replica had to stop.
+    `failed` is resolved with the `StorageError` that forced the replica to stop.
     """
 
     def __init__(self, settings: Settings, reactor: Any, files: FileSystem) -> None:
@@ -74,7 +74,7 @@
         self.replica.on_failure.append(self._report_failure)
 
     def _make_telemetry(self) -> ControlTelemetry:
-        """Make the metrics and show them beside the intent API."""
+        """Create the metrics and serve them beside the intent API."""
         telemetry = ControlTelemetry(self.settings.node.node_id)
         telemetry.watch_log(self.access)
         telemetry.watch_storage(self.node.journal, self.replica.writer)
@@ -84,7 +84,7 @@
         return telemetry
 
     async def start(self) -> None:
-        """Open the sockets and run."""
+        """Open the sockets and start the services."""
         control = self.settings.control
         host, port = self.replica_address
         listening = socket.create_server((host, port))
@@ -117,13 +117,13 @@
         }
 
     async def stop(self) -> None:
-        """Finish the writes in hand and release everything; safe to call again."""
+        """Finish the pending writes and release all resources; may be called repeatedly."""
         if self._stopping is None:
             self._stopping = asyncio.ensure_future(self._stop())
         await asyncio.shield(self._stopping)
 
     async def _stop(self) -> None:
-        """Do what `stop` says."""
+        """Stop the services and the replica, and close the connections."""
         if self._listener is not None:
             await to_future(maybeDeferred(self._listener.stopListening))
         for task in self._tasks:
@@ -149,7 +149,7 @@
             self._report_failure(error)
 
     def _on_applied(self) -> None:
-        """Let followers and the audit archive have what was just applied."""
+        """Publish the applied state to followers, claim holder and audit archive."""
         self.follow.publish(self.machine.configuration)
         self.claim_holder.set_ttl(self.machine.configuration.policy.idempotency_ttl_s)
         try:
--- a/packages/control/src/damaskwind/control/router_reports.py
+++ b/packages/control/src/damaskwind/control/router_reports.py
@@ -1,4 +1,4 @@
-"""Know what every router enforces: the own followers and those of the other replicas."""
+"""Collect the revision that each router enforces, from this and the other replicas."""
 
 import asyncio
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class RouterReports:
-    """The newest report of each router, from whichever replica has it."""
+    """The newest report of each router, from any replica."""
 
     def __init__(self, replica: Replica, signer: CallSigner) -> None:
         self.local = RouterStatusTable(read_clock)
@@ -32,7 +32,7 @@
         self._polled_at_s: dict[str, float] = {}
 
     def local_messages(self) -> list[FollowerReport]:
-        """Return the reports of the own followers as messages."""
+        """Return the reports of this replica's followers as messages."""
         return [
             FollowerReport(
                 router_id=item.router_id,
@@ -57,7 +57,7 @@
         return [newest[router_id] for router_id in sorted(newest)]
 
     async def poll(self) -> None:
-        """Ask the other replicas over and over."""
+        """Poll the other replicas periodically."""
         while self._replica.is_running:
             membership = self._replica.core.membership
             members = {item.replica_id for item in membership.voters + membership.learners}
@@ -70,7 +70,7 @@
         self._channels.close()
 
     async def _poll_replica(self, replica_id: str) -> None:
-        """Ask one replica; keep what it last said when it does not answer."""
+        """Poll one replica; keep its last reports if it does not answer."""
         address: Address | None = self._replica.state.addresses.address_of(replica_id)
         if address is None:
             return
--- a/packages/control/src/damaskwind/control/telemetry.py
+++ b/packages/control/src/damaskwind/control/telemetry.py
@@ -22,13 +22,13 @@
 
 
 class ControlTelemetry:
-    """The instruments of one control process; most read the parts when a scraper asks."""
+    """The instruments of one control process; most are read at each scrape."""
 
     def __init__(self, node_id: str) -> None:
         self.metrics = Metrics(node_id)
 
     def watch_log(self, access: LogAccess) -> None:
-        """Show the replica's place in the log, and proposals made here while it leads."""
+        """Add metrics of the replica's log position, and of proposals made here while it leads."""
         replica = access.replica
         proposals = self.metrics.counter(
             "proposals", "1", "Proposals at this replica, by outcome and reason."
@@ -69,7 +69,7 @@
         )
 
     def watch_storage(self, journal: Journal, writer: GroupCommitWriter) -> None:
-        """Show how long the disk takes and how much lies on it."""
+        """Add metrics of the duration of syncs and the size of files."""
         durations = self.metrics.histogram(
             "journal_sync_duration", "s", "Time to make a group of writes durable."
         )
@@ -80,7 +80,7 @@
         )
 
     def watch_machine(self, machine: ConfigurationMachine) -> None:
-        """Show the replicated state."""
+        """Add metrics of the replicated state."""
         self._gauge(
             "configuration_revision",
             "Revision confirmed here.",
@@ -95,7 +95,7 @@
     def watch_callers(
         self, follow: FollowService, claim_holder: DeferredClaimHolder, verifier: CallVerifier
     ) -> None:
-        """Show followers, claims and refused calls."""
+        """Add metrics of followers, claims and refused calls."""
         self._gauge("followers", "Routers that follow here.", lambda: follow.follower_count)
         self.metrics.total(
             "claim_replies",
@@ -120,16 +120,16 @@
         )
 
     def _gauge(self, name: str, description: str, read: ReadValue, unit: str = "1") -> None:
-        """Make a gauge of one value."""
+        """Create a gauge with one value."""
         self.metrics.gauge(name, unit, description, lambda: [Sample(read())])
 
     def _total(self, name: str, description: str, read: ReadValue, unit: str = "1") -> None:
-        """Make a counter of one value."""
+        """Create a counter with one value."""
         self.metrics.total(name, unit, description, lambda: [Sample(read())])
 
 
 def _role_samples(replica: Replica) -> list[Sample]:
-    """Return 1 for the role that a replica has and 0 for the others."""
+    """Return samples of 1 for the replica's role and 0 for the others."""
     role = replica.core.role if replica.failure is None else "failed"
     return [Sample(int(role == name), {"role": name}) for name in _ROLES]
 
--- a/packages/control/src/damaskwind/control/tests/single_control.py
+++ b/packages/control/src/damaskwind/control/tests/single_control.py
@@ -1,4 +1,4 @@
-"""Start a control process that is the only one of its cluster, for tests."""
+"""Start a control process that is the only replica of its cluster, for tests."""
 
 import hashlib
 import tempfile
@@ -14,7 +14,7 @@
 
 
 async def start_single(test) -> ControlProcess:
-    """Start the process; its folder goes with the test, the process must be stopped."""
+    """Start the process; the test removes its folder, the caller must stop it."""
     folder = tempfile.TemporaryDirectory()
     test.addCleanup(folder.cleanup)
     replicas = (ReplicaSettings("a", free_address(), "domain-a"),)
--- a/packages/control/src/damaskwind/control/tests/test_claim_holding.py
+++ b/packages/control/src/damaskwind/control/tests/test_claim_holding.py
@@ -20,7 +20,7 @@
         return await to_future(treq.json_content(answer))
 
     @asyncio_test
-    async def test_claims_live_as_long_as_the_policy_says(self):
+    async def test_lifetime_of_claims_follows_the_policy(self):
         self.process = await start_single(self)
         claim_holder = self.process.claim_holder
         try:
@@ -35,7 +35,7 @@
             await self.process.stop()
 
     @asyncio_test
-    async def test_single_replica_answers_its_keys_after_a_clean_stop(self):
+    async def test_single_replica_keeps_its_claims_after_a_clean_stop(self):
         self.process = await start_single(self)
         ballot = Ballot(3, "request")
         try:
--- a/packages/control/src/damaskwind/control/tests/test_process.py
+++ b/packages/control/src/damaskwind/control/tests/test_process.py
@@ -39,7 +39,7 @@
 
 
 class BreakableFileSystem(FileSystem):
-    """A disk that can break: from then on every sync fails."""
+    """A disk on which every sync fails once `broken` is set."""
 
     broken = False
 
@@ -100,7 +100,7 @@
         return len(self.running[name].replica.core.membership.voters)
 
     @asyncio_test
-    async def test_confirmed_change_is_in_force_at_followers_and_in_every_status(self):
+    async def test_confirmed_change_reaches_followers_and_every_status(self):
         for item in self.bootstrap:
             await self.start(item.replica_id)
         followers = [self.follower(f"router-{number}") for number in range(2)]
@@ -142,7 +142,7 @@
             await self.start(item.replica_id)
         try:
             await until(lambda: all(self.votes(name) for name in "abc"))
-            # Of two voters none may be lost: the third must count before a disk goes.
+            # Two voters tolerate no loss: the third must vote before a disk is lost.
             await until(lambda: all(self.voter_count(name) == 3 for name in "abc"))
             first = self.running["c"].claim_holder.inner.holder.incarnation
             await self.running["c"].stop()
@@ -156,7 +156,7 @@
             await self.stop_all()
 
     @asyncio_test
-    async def test_failed_disk_is_reported_and_a_held_folder_is_refused(self):
+    async def test_failed_disk_is_reported_and_a_locked_folder_is_refused(self):
         self.bootstrap = self.bootstrap[:1]
         files = BreakableFileSystem()
         process = await self.start("a", files)
@@ -179,11 +179,11 @@
         try:
             await until(lambda: process.replica.is_leader)
             body = {"target_id": "engine-1", "wanted": {"role": "serving", "models": ["damask@7"]}}
-            code, told = await self.call("a", "POST", "/orders", body | {"address": "nowhere"})
-            self.assertEqual((code, told["error"]["code"]), (400, "bad_request"))
+            code, answer = await self.call("a", "POST", "/orders", body | {"address": "nowhere"})
+            self.assertEqual((code, answer["error"]["code"]), (400, "bad_request"))
             body["address"] = str(engine.address)
-            code, told = await self.call("a", "POST", "/orders", body | {"order_id": "o-1"})
-            self.assertEqual((code, told["fencing_number"]), (200, 1), told)
+            code, answer = await self.call("a", "POST", "/orders", body | {"order_id": "o-1"})
+            self.assertEqual((code, answer["fencing_number"]), (200, 1), answer)
             await until(lambda: engine.highest_fencing_number == 1)
             self.assertEqual([offer.version for offer in engine.models], ["7"])
         finally:
--- a/packages/control/src/damaskwind/control/tests/test_telemetry.py
+++ b/packages/control/src/damaskwind/control/tests/test_telemetry.py
@@ -46,7 +46,7 @@
         return samples
 
     @asyncio_test
-    async def test_page_follows_the_log_the_disk_and_the_state(self):
+    async def test_metrics_follow_the_log_the_disk_and_the_state(self):
         await self.start()
         try:
             first = await self.scrape()
@@ -80,7 +80,7 @@
             await self.process.stop()
 
     @asyncio_test
-    async def test_page_counts_followers_claims_and_refused_calls(self):
+    async def test_metrics_count_followers_claims_and_refused_calls(self):
         await self.start()
         address = parse_address(self.replicas[0].address)
         signer = CallSigner("kl", "key", "router-1")
