--- a/packages/control/src/damaskwind/control/fleet/heard_targets.py
+++ b/packages/control/src/damaskwind/control/fleet/heard_targets.py
@@ -49,7 +49,7 @@
         self._seen_at_routers.pop(target_id, None)
 
     def has_few_silent(self) -> bool:
-        """Tell whether the list of silent targets is short enough to be sent."""
+        """Return whether the list of silent targets is short enough to be sent."""
         return len(self._silent_targets(read_clock()).target_ids) <= MAX_SILENT_LISTED
 
     def summarize(self) -> HeardOthers:
--- a/packages/control/src/damaskwind/control/fleet/log_host.py
+++ b/packages/control/src/damaskwind/control/fleet/log_host.py
@@ -75,17 +75,17 @@
 
     @property
     def is_current(self) -> bool:
-        """Tell whether this replica considers itself up to date with all committed entries."""
+        """Return whether this replica considers itself up to date with all committed entries."""
         return self._node is not None and self._node.replica.is_current
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica leads the log."""
+        """Return whether this replica leads the log."""
         return self._node is not None and self._node.replica.is_leader
 
     @property
     def has_enough_voters(self) -> bool:
-        """Tell whether there are enough voters for committed entries to survive the losses.
+        """Return whether there are enough voters for committed entries to survive the losses.
 
         Without a configured number of tolerated losses, the minimum is the number of
         seed hosts, three at most.
--- a/packages/control/src/damaskwind/control/fleet/news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/news_feed.py
@@ -91,7 +91,7 @@
         self._hosts = hosts
         self._is_leader = leads
         self.evacuations = evacuations
-        # Tells whether the link is idle enough for deferrable updates; set by `NewsSite`.
+        # Returns whether the link is idle enough for deferrable updates; set by `NewsSite`.
         self.has_headroom: Callable[[], bool] = lambda: True
         # Reserves bytes of the link's share for news if there is no backlog; set by `NewsSite`.
         self.reserve_headroom: Callable[[int], bool] = lambda size_bytes: True
@@ -106,7 +106,7 @@
         self._last_change_s = float("-inf")
 
     def report(self, record: TargetRecord) -> bool:
-        """Merge a report received from a target; tell whether it changed anything."""
+        """Merge a report received from a target; return whether it changed anything."""
         now_s = read_clock()
         changed = self.table.report(record, now_s)
         stored = self.table.record_of(record.target_id)
@@ -120,7 +120,7 @@
         return changed
 
     def leave(self, target_id: str) -> bool:
-        """Merge a target's own announcement that it is gone; tell whether it changed anything."""
+        """Merge a target's own announcement that it is gone; return whether it changed anything."""
         changed = self.table.leave(target_id, read_clock(), int(time.time() * 1000))
         self._heartbeats.remove(target_id)
         if changed:
@@ -144,7 +144,7 @@
         return changed
 
     def clear_suspicion(self, digest: bytes) -> bool:
-        """Clear a request of suspicion; tell whether it was suspected."""
+        """Clear a request of suspicion; return whether it was suspected."""
         was_suspected = self.suspicions.record_completion(digest, read_clock())
         if was_suspected:
             self._schedule_suspicion_wake()
@@ -180,7 +180,7 @@
         return self.build_news(request)
 
     def has_current_epoch(self, request: NewsRequest) -> bool:
-        """Tell whether a request continues from an earlier answer of this replica process."""
+        """Return whether a request continues from an earlier answer of this replica process."""
         return request.epoch == self.epoch
 
     async def wait_for_updates(self, request: NewsRequest) -> None:
@@ -201,11 +201,11 @@
 
     @property
     def is_large(self) -> bool:
-        """Tell whether there are too many targets for every replica to list them one by one."""
+        """Return whether there are too many targets for every replica to list them one by one."""
         return len(self.table) > MAX_LISTED_TARGETS
 
     def is_behind(self, request: NewsRequest) -> bool:
-        """Tell whether a subscriber lacks so many changes that sending them needs headroom.
+        """Return whether a subscriber lacks so many changes that sending them needs headroom.
 
         The other subscribers are answered in turn: if all learned of a version at once, all
         would fetch it at once, before any router has it to relay.
@@ -216,14 +216,14 @@
         )
 
     def _sends_changes(self, request: NewsRequest) -> bool:
-        """Tell whether this replica sends changes to a subscriber now."""
+        """Return whether this replica sends changes to a subscriber now."""
         if not self.is_large or request.is_first:
             return True
         subscription = self._subscriptions.get(request.node_id)
         return subscription is not None and subscription.is_lagging and self.has_headroom()
 
     async def wait_until_replicated(self, revision: int, limit_s: float) -> bool:
-        """Wait until all subscribed replicas have a revision; tell whether they do."""
+        """Wait until all subscribed replicas have a revision; return whether they do."""
         deadline_s = read_clock() + limit_s
         while not self._is_replicated(revision):
             if not await self._wait(deadline_s - read_clock()):
@@ -398,7 +398,7 @@
         )
 
     def _sends_silent_targets(self, subscription: _Subscription | None, now_s: float) -> bool:
-        """Tell whether a subscriber gets the silent targets instead of a list of heartbeats."""
+        """Return whether a subscriber gets the silent targets instead of a list of heartbeats."""
         return (
             subscription is not None
             and subscription.kind == SubscriberKind.ROUTER
@@ -423,11 +423,11 @@
         return self._heartbeats.list_recent(is_router)
 
     def _reserve_list_headroom(self) -> bool:
-        """Reserve headroom for a list of all recent heartbeats; tell whether there was enough."""
+        """Reserve headroom for a list of all recent heartbeats; return whether there was enough."""
         return self.reserve_headroom(HEARTBEAT_BYTES * self._heartbeats.max_list_length)
 
     async def _wait(self, limit_s: float) -> bool:
-        """Wait for a change; tell whether one came."""
+        """Wait for a change; return whether one came."""
         if limit_s <= 0:
             return False
         waiter = asyncio.get_running_loop().create_future()
--- a/packages/control/src/damaskwind/control/fleet/news_site.py
+++ b/packages/control/src/damaskwind/control/fleet/news_site.py
@@ -129,11 +129,11 @@
         return self._feed.load_sums.total(now_s)
 
     def _is_idle(self) -> bool:
-        """Tell whether an answer could be sent at once."""
+        """Return whether an answer could be sent at once."""
         return not self._news_pacer.backlog_s(read_clock())
 
     def _reserve_headroom(self, size_bytes: int) -> bool:
-        """Reserve bytes for optional updates if they can be sent at once; tell whether they can."""
+        """Reserve bytes for optional updates if they can be sent at once; return success."""
         return self._news_pacer.try_reserve(size_bytes, read_clock())
 
     async def _wait_for_turn(self) -> None:
--- a/packages/control/src/damaskwind/control/fleet/saved_state.py
+++ b/packages/control/src/damaskwind/control/fleet/saved_state.py
@@ -67,7 +67,7 @@
 
 
 def was_first_start(data_folder: Path) -> bool:
-    """Tell whether this disk was present at the first start of the system."""
+    """Return whether this disk was present at the first start of the system."""
     return (data_folder / _FOLDER / _FIRST_START_NAME).is_file()
 
 
--- a/packages/control/src/damaskwind/control/telemetry.py
+++ b/packages/control/src/damaskwind/control/telemetry.py
@@ -149,5 +149,5 @@
 
 
 def _is_voting(claim_holder: DeferredClaimHolder) -> bool:
-    """Tell whether the holder votes."""
+    """Return whether the holder votes."""
     return claim_holder.inner is not None and claim_holder.inner.holder.is_voting(read_clock())
