--- a/packages/commands/src/damaskwind/commands/daemon.py
+++ b/packages/commands/src/damaskwind/commands/daemon.py
@@ -6,7 +6,7 @@
 import defopt
 
 from damaskwind.model.exception import SettingsError
-from damaskwind.runtime.lifecycle import EXIT_FINE, run_on_reactor, serve_until_signal
+from damaskwind.runtime.lifecycle import EXIT_OK, run_on_reactor, serve_until_signal
 from damaskwind.runtime.logging import configure_logging
 from damaskwind.runtime.reactor import install_reactor
 from damaskwind.runtime.settings import Settings, read_settings
@@ -75,7 +75,7 @@
     settings = _read_or_exit(file)
     roles = [name for name in ("router", "control") if getattr(settings, name) is not None]
     print(f"{file}: fine ({', '.join(roles)})")
-    return EXIT_FINE
+    return EXIT_OK
 
 
 def main() -> None:
--- a/packages/control/src/damaskwind/control/claims/catch_up.py
+++ b/packages/control/src/damaskwind/control/claims/catch_up.py
@@ -15,7 +15,7 @@
 from damaskwind.wire.authentication import CallSigner
 from damaskwind.wire.claims_grpc import ClaimsStub
 from damaskwind.wire.claims_pb2 import ClaimCall
-from damaskwind.wire.lost_connection import lost_connections_named
+from damaskwind.wire.lost_connection import translate_lost_connections
 
 __all__ = ["catch_up"]
 
@@ -72,7 +72,7 @@
     method = stub.CatchUp
     metadata = signer.sign(method.name, request.SerializeToString(deterministic=True))
     pages = []
-    with lost_connections_named():
+    with translate_lost_connections():
         async with method.open(timeout=READ_TIMEOUT_S, metadata=metadata) as stream:
             await stream.send_message(request, end=True)
             async for page in stream:
--- a/packages/control/src/damaskwind/control/fleet/calls.py
+++ b/packages/control/src/damaskwind/control/fleet/calls.py
@@ -32,7 +32,7 @@
     ReadOutcome,
     log_read,
     outcome_of,
-    read_place,
+    read_url,
 )
 
 __all__ = ["ControlCalls", "PublishResult", "PublishStatus", "ReportOutcome"]
@@ -180,17 +180,17 @@
         place = self._read_redirector.choose(len(read.document), places)
         if place is None:
             return read
-        url = read_place(place.host, self._read_redirector.port, read.version)
-        self.tallies.count("reads", outcome=ReadOutcome.SENT_ON)
+        url = read_url(place.host, self._read_redirector.port, read.version)
+        self.tallies.count("reads", outcome=ReadOutcome.REDIRECTED)
         logger.info(
             "read sent on",
             caller=read.caller,
             version=read.version,
             bytes=len(read.document),
-            vouched_ms=round(read.vouched_s * 1000, 1),
+            vouched_ms=round(read.confirmation_s * 1000, 1),
             to=url,
         )
-        return read._replace(sent_on_to=url)
+        return read._replace(redirect_url=url)
 
     def read_ended(self, read: ConfigurationRead, delivery: Delivery) -> None:
         """Note how far the answer to a read came."""
--- a/packages/control/src/damaskwind/control/fleet/heard_targets.py
+++ b/packages/control/src/damaskwind/control/fleet/heard_targets.py
@@ -2,7 +2,7 @@
 
 from damaskwind.decisions.membership.target_table import SilentTargets, TargetTable
 from damaskwind.runtime.clock import read_clock
-from damaskwind.wire.news import Heard, HeardOthers
+from damaskwind.wire.news import LastSeen, OthersLastSeen
 
 __all__ = ["HEARD_S", "HeardTargets"]
 
@@ -52,14 +52,14 @@
         """Tell whether so few targets are silent that they can be told by name."""
         return len(self._silence_at(read_clock()).target_ids) <= SILENT_TOLD
 
-    def others(self) -> HeardOthers:
+    def others(self) -> OthersLastSeen:
         """Return how all targets stand, but for those that nobody has heard lately."""
         now_s = read_clock()
         silence = self._silence_at(now_s)
         age_s = round(now_s - silence.others_seen_s, 2)
-        return HeardOthers(self._table.digest, age_s, silence.target_ids)
+        return OthersLastSeen(self._table.digest, age_s, silence.target_ids)
 
-    def listed(self, is_router: bool) -> tuple[Heard, ...]:
+    def listed(self, is_router: bool) -> tuple[LastSeen, ...]:
         """Return who was heard lately, one by one.
 
         Routers tell every replica, so that replicas need not tell each other.
@@ -68,7 +68,7 @@
         self._forget_unheard(now_s)
         heard = self._at_routers | self._here if is_router else self._here
         return tuple(
-            Heard(key, round(now_s - at, 2), (self._table.incarnation_of(key) or (0, 0))[1])
+            LastSeen(key, round(now_s - at, 2), (self._table.incarnation_of(key) or (0, 0))[1])
             for key, at in heard.items()
         )
 
--- a/packages/control/src/damaskwind/control/fleet/news_board.py
+++ b/packages/control/src/damaskwind/control/fleet/news_board.py
@@ -17,7 +17,7 @@
 from damaskwind.decisions.membership.target_table import Changes, TargetTable
 from damaskwind.model.evacuations import Evacuations
 from damaskwind.runtime.clock import read_clock
-from damaskwind.wire.news import Heard, News, NewsRequest, SubscriberKind
+from damaskwind.wire.news import LastSeen, News, NewsRequest, SubscriberKind
 
 __all__ = ["NewsBoard"]
 
@@ -123,7 +123,7 @@
             self._note_change()
         return changed
 
-    def merge(self, records: Iterable[TargetRecord], heard: Iterable[Heard]) -> None:
+    def merge(self, records: Iterable[TargetRecord], heard: Iterable[LastSeen]) -> None:
         """Take what another replica knows."""
         now_s = read_clock()
         changed = [self.table.merge(record, now_s) for record in records]
@@ -272,15 +272,15 @@
         if before is None and request.kind == SubscriberKind.ROUTER:
             insort(self._routers, request.node_id)
         self._subscriptions[request.node_id] = self._subscription(request, revision, before, now_s)
-        if request.passes_on.host:
-            self._link_rates[request.passes_on.host] = request.passes_on.link_bytes_per_s
+        if request.relay.host:
+            self._link_rates[request.relay.host] = request.relay.link_bytes_per_s
         self._forget_silent(now_s)
         if request.kind == SubscriberKind.REPLICA:
             self.wake()
         else:
             self.held.report(request.node_id, request.held, now_s, request.services)
-            self.merge(request.records, request.heard)
-            for target_id, age_s, _ in request.heard:
+            self.merge(request.records, request.last_seen)
+            for target_id, age_s, _ in request.last_seen:
                 self._heard.note_at_router(target_id, now_s - age_s)
 
     def _subscription(
@@ -298,7 +298,7 @@
             revision,
             now_s,
             heard_told_s,
-            request.passes_on,
+            request.relay,
             told_digest,
             agreed_s,
             request.table_digest != self.table.digest and is_overdue,
@@ -385,7 +385,7 @@
             and self._heard.are_few_silent()
         )
 
-    def _heard_for(self, request: NewsRequest, now_s: float) -> tuple[Heard, ...]:
+    def _heard_for(self, request: NewsRequest, now_s: float) -> tuple[LastSeen, ...]:
         """Return which targets were heard here lately, unless the subscriber was just told."""
         subscription = self._subscriptions.get(request.node_id)
         if subscription is None or now_s - subscription.heard_told_s < HEARD_EVERY_S:
--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -43,7 +43,7 @@
 from damaskwind.runtime.load_meter import LoadMeter
 from damaskwind.runtime.metrics_site import MetricsSite
 from damaskwind.runtime.tallies import Tallies
-from damaskwind.wire.news import Heard, News, SubscriberKind, unpack_document
+from damaskwind.wire.news import LastSeen, News, SubscriberKind, unpack_document
 from damaskwind.wire.news_link import NewsLink
 
 if TYPE_CHECKING:
@@ -159,7 +159,7 @@
         self._control.close_after_answers()
         await self._control.stop_listening()
         self._control.close_idle()
-        await self._control.wait_until_quiet(1.5)
+        await self._control.wait_until_idle(1.5)
         self._load.stop()
         for task in self._tasks:
             task.cancel()
@@ -321,7 +321,7 @@
         """Tell that every replica is asked for changes at once: all of them tell routers."""
         return True
 
-    def heard_targets(self) -> tuple[Heard, ...]:
+    def recently_seen_targets(self) -> tuple[LastSeen, ...]:
         """Return nothing: who reports here is told to those that ask."""
         return ()
 
@@ -329,9 +329,9 @@
         """Return nothing, for the same reason."""
         return ()
 
-    def take_news(self, host: str, news: News) -> None:
+    def handle_news(self, host: str, news: News) -> None:
         """Merge what another replica knows."""
-        self.board.merge(news.records, news.heard)
+        self.board.merge(news.records, news.last_seen)
         self.board.suspect(news.suspicions)
 
     def lost(self, host: str) -> None:
--- a/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
@@ -114,20 +114,20 @@
     async def test_large_document_is_read_at_a_router_with_a_wider_link(self):
         for node, rate in (("narrow", 50.0), ("wide", 1000.0)):
             place = RelayEndpoint(f"{node}.example", rate)
-            request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, passes_on=place)
+            request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, relay=place)
             await self.board.wait_for_news(request)
         await self.calls.publish(b"1")
-        self.assertEqual((await self.calls.read("o")).sent_on_to, "")
+        self.assertEqual((await self.calls.read("o")).redirect_url, "")
         await self.calls.publish(b"123456789")
         read = await self.calls.read("o")
         self.assertEqual(
-            read.sent_on_to, "http://wide.example:8101/configuration?version=123456789"
+            read.redirect_url, "http://wide.example:8101/configuration?version=123456789"
         )
 
     @asyncio_test
     async def test_large_document_is_read_here_while_no_router_asks(self):
         await self.calls.publish(b"123456789")
-        self.assertEqual((await self.calls.read("o")).sent_on_to, "")
+        self.assertEqual((await self.calls.read("o")).redirect_url, "")
 
     @asyncio_test
     async def test_drain_that_does_not_come_into_force_is_not_acknowledged(self):
--- a/packages/control/src/damaskwind/control/fleet/tests/test_news_board.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_news_board.py
@@ -16,7 +16,7 @@
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.model.targets import Address
 from damaskwind.runtime.bridge import asyncio_test
-from damaskwind.runtime.clock import clock_in_force, read_clock
+from damaskwind.runtime.clock import override_clock, read_clock
 from damaskwind.wire.news import NewsRequest, SubscriberKind, decode_news, decode_request, encode
 
 
@@ -76,7 +76,7 @@
         news = await self.board.answer(self.request())
         self.assertGreater(read_clock() - started_s, 0.15)
         self.assertEqual(news.records, ())
-        self.assertEqual([item.target_id for item in news.heard], ["t"])
+        self.assertEqual([item.target_id for item in news.last_seen], ["t"])
 
     @asyncio_test
     async def test_leave_and_version_wake_who_waits(self):
@@ -124,7 +124,7 @@
         self.board.merge([record("far")], ())
         news = await self.board.answer(self.request(epoch=""))
         self.assertEqual([item.target_id for item in news.records], ["far"])
-        self.assertEqual(news.heard, ())
+        self.assertEqual(news.last_seen, ())
 
     @asyncio_test
     async def test_routers_that_ask_are_counted(self):
@@ -155,21 +155,21 @@
     def pass_time(self, seconds):
         """Have all that was noted so far be this much older."""
         later_s = read_clock() + seconds
-        clock = clock_in_force(lambda: later_s)
+        clock = override_clock(lambda: later_s)
         clock.__enter__()
         self.addCleanup(clock.__exit__, None, None, None)
 
     @asyncio_test
     async def test_a_router_with_the_same_table_is_told_who_is_silent(self):
         news = await self.ask()
-        self.assertEqual((news.heard, news.heard_others.silent), ((), ()))
-        self.assertEqual(news.heard_others.digest, self.board.table.digest)
+        self.assertEqual((news.last_seen, news.others_last_seen.silent), ((), ()))
+        self.assertEqual(news.others_last_seen.digest, self.board.table.digest)
         self.pass_time(HEARD_S + 0.1)
         self.board.report(record("t-0", sequence=2))
         for number in range(2, LISTED_TARGETS + 1):
             self.board.report(record(f"t-{number}", sequence=2))
         news = await self.ask(wait_s=0.0)
-        self.assertEqual(news.heard_others.silent, ("t-1",))
+        self.assertEqual(news.others_last_seen.silent, ("t-1",))
         self.assertEqual(decode_news(encode(news)), news)
 
     @asyncio_test
@@ -177,8 +177,8 @@
         await self.ask(table_digest=5)
         self.pass_time(DISAGREES_S + 0.1)
         news = await self.ask(table_digest=5, wait_s=0.0)
-        self.assertIsNone(news.heard_others)
-        self.assertEqual(len(news.heard), LISTED_TARGETS + 1)
+        self.assertIsNone(news.others_last_seen)
+        self.assertEqual(len(news.last_seen), LISTED_TARGETS + 1)
 
     @asyncio_test
     async def test_another_replica_tells_a_change_only_to_a_router_that_still_lacks_it(self):
@@ -226,7 +226,7 @@
         self.board.has_room = lambda: False
         self.board.take_room = lambda size_bytes: False
         news = await self.ask(node_id="c", kind=SubscriberKind.REPLICA)
-        self.assertEqual(len(news.heard), LISTED_TARGETS + 1)
+        self.assertEqual(len(news.last_seen), LISTED_TARGETS + 1)
 
     @asyncio_test
     async def test_lists_for_routers_that_lack_targets_go_where_there_is_room(self):
@@ -244,5 +244,5 @@
             self.pass_time(DISAGREES_S + 0.1)
             for target in range(LISTED_TARGETS + 1):
                 self.board.report(record(f"t-{target}", sequence=2 + number))
-            listed.append(len((await self.ask(**request)).heard))
+            listed.append(len((await self.ask(**request)).last_seen))
         self.assertEqual(listed, [LISTED_TARGETS + 1, 0, 0, 0, 0])
--- a/packages/model/src/damaskwind/model/configuration_checks.py
+++ b/packages/model/src/damaskwind/model/configuration_checks.py
@@ -211,7 +211,7 @@
     yield from _FIELD_CHECKS.get(type(value), lambda value, path: iter(()))(value, path)
 
 
-def _unknown(path: str, what: str, name: str) -> str:
+def _unknown_reference(path: str, what: str, name: str) -> str:
     """Say that a reference points nowhere."""
     return f"{path}: no {what} '{name}'" if is_name(name) else f"{path}: not a name of a {what}"
 
@@ -222,74 +222,78 @@
     return next((item for item in versions if item.version == version), None)
 
 
-def _account_references(whole: Configuration, account: ClientAccount) -> Iterator[str]:
+def _account_references(configuration: Configuration, account: ClientAccount) -> Iterator[str]:
     """Name what an account refers to that does not exist."""
     path = f"accounts.{account.name}"
-    if account.priority_class not in whole.priority_classes:
-        yield _unknown(f"{path}.priority_class", "priority class", account.priority_class)
+    if account.priority_class not in configuration.priority_classes:
+        yield _unknown_reference(f"{path}.priority_class", "priority class", account.priority_class)
     for index, service in enumerate(account.services):
-        if service not in whole.services:
-            yield _unknown(f"{path}.services[{index}]", "service", service)
+        if service not in configuration.services:
+            yield _unknown_reference(f"{path}.services[{index}]", "service", service)
     for index, grant in enumerate(account.models):
-        place = f"{path}.models[{index}]"
-        if grant.model not in whole.models:
-            yield _unknown(f"{place}.model", "model", grant.model)
+        grant_path = f"{path}.models[{index}]"
+        if grant.model not in configuration.models:
+            yield _unknown_reference(f"{grant_path}.model", "model", grant.model)
             continue
-        version = _version_of(whole.models[grant.model], grant.version)
+        version = _version_of(configuration.models[grant.model], grant.version)
         if version is None:
-            yield _unknown(f"{place}.version", f"version of '{grant.model}'", grant.version)
+            yield _unknown_reference(
+                f"{grant_path}.version", f"version of '{grant.model}'", grant.version
+            )
             continue
         for adapter in grant.adapters:
             if adapter not in version.adapters:
-                yield _unknown(f"{place}.adapters", f"adapter of '{grant.model}'", adapter)
+                yield _unknown_reference(
+                    f"{grant_path}.adapters", f"adapter of '{grant.model}'", adapter
+                )
 
 
-def _model_references(whole: Configuration, model: Model) -> Iterator[str]:
+def _model_references(configuration: Configuration, model: Model) -> Iterator[str]:
     """Name what a model refers to that does not exist or does not fit."""
     path = f"models.{model.name}.service"
-    service = whole.services.get(model.service)
+    service = configuration.services.get(model.service)
     if service is None:
-        yield _unknown(path, "service", model.service)
+        yield _unknown_reference(path, "service", model.service)
     elif service.kind != "engine":
         yield f"{path}: '{model.service}' is not a pool of engines"
 
 
-def _shared_hashes(whole: Configuration) -> Iterator[str]:
+def _shared_hashes(configuration: Configuration) -> Iterator[str]:
     """Name the owners of a key hash that another owner has too."""
     owners: dict[str, str] = {}
-    held = [(f"operators.{o.name}", o.key_hash) for o in whole.operators.values()]
-    for account in whole.accounts.values():
-        held += [(f"accounts.{account.name}", key_hash) for key_hash in account.key_hashes]
-    for owner, key_hash in held:
+    owned_hashes = [(f"operators.{o.name}", o.key_hash) for o in configuration.operators.values()]
+    for account in configuration.accounts.values():
+        owned_hashes += [(f"accounts.{account.name}", key_hash) for key_hash in account.key_hashes]
+    for owner, key_hash in owned_hashes:
         first = owners.setdefault(key_hash, owner)
         if first != owner:
             yield f"{owner}: has the same key as {first}"
 
 
-def _operator_references(whole: Configuration) -> Iterator[str]:
+def _operator_references(configuration: Configuration) -> Iterator[str]:
     """Say so when operators exist but no one could ever change anything again."""
-    roles = {role for operator in whole.operators.values() for role in operator.roles}
+    roles = {role for operator in configuration.operators.values() for role in operator.roles}
     for role in ("planner", "confirmer"):
-        if whole.operators and role not in roles:
+        if configuration.operators and role not in roles:
             yield f"operators: at least one must have the role '{role}'"
 
 
-def _reference_mistakes(whole: Configuration) -> Iterator[str]:
+def _reference_mistakes(configuration: Configuration) -> Iterator[str]:
     """Name every reference that does not hold."""
-    for account in whole.accounts.values():
-        yield from _account_references(whole, account)
-    for model in whole.models.values():
-        yield from _model_references(whole, model)
+    for account in configuration.accounts.values():
+        yield from _account_references(configuration, account)
+    for model in configuration.models.values():
+        yield from _model_references(configuration, model)
     ranks: dict[int, str] = {}
-    for item in whole.priority_classes.values():
+    for item in configuration.priority_classes.values():
         first = ranks.setdefault(item.rank, item.name)
         if first != item.name:
             yield f"priority_classes.{item.name}.rank: same rank as '{first}'"
-    yield from _shared_hashes(whole)
-    yield from _operator_references(whole)
+    yield from _shared_hashes(configuration)
+    yield from _operator_references(configuration)
 
 
-def check_configuration(whole: Configuration) -> list[str]:
+def check_configuration(configuration: Configuration) -> list[str]:
     """Return every mistake of a configuration; none means that it is sound.
 
     >>> check_configuration(Configuration())
@@ -298,11 +302,11 @@
     >>> check_configuration(Configuration(models={"m": lone}))
     ["models.m.service: no service 'pool'"]
     """
-    mistakes = [] if whole.revision >= 0 else ["revision: expected at least 0"]
+    mistakes = [] if configuration.revision >= 0 else ["revision: expected at least 0"]
     for kind in OBJECT_KINDS:
-        for name, value in getattr(whole, kind).items():
+        for name, value in getattr(configuration, kind).items():
             mistakes += _object_mistakes(kind, name, value)
-    mistakes += _range_mistakes(whole.policy, "policy")
-    mistakes += _policy_fields(whole.policy, "policy")
-    mistakes += _reference_mistakes(whole)
+    mistakes += _range_mistakes(configuration.policy, "policy")
+    mistakes += _policy_fields(configuration.policy, "policy")
+    mistakes += _reference_mistakes(configuration)
     return mistakes
--- a/packages/model/src/damaskwind/model/configuration_codec.py
+++ b/packages/model/src/damaskwind/model/configuration_codec.py
@@ -80,17 +80,17 @@
     if type(revision) is not int:
         mistakes.append("revision: expected a whole number")
         revision = 0
-    whole = Configuration(revision=revision, policy=policy, **objects)
+    configuration = Configuration(revision=revision, policy=policy, **objects)
     # References of objects that could not be built would be named as missing.
-    mistakes += [] if mistakes else check_configuration(whole)
+    mistakes += [] if mistakes else check_configuration(configuration)
     if mistakes:
         raise ConfigurationError(mistakes)
-    return whole
+    return configuration
 
 
-def encode_configuration(whole: Configuration) -> bytes:
+def encode_configuration(configuration: Configuration) -> bytes:
     """Return a configuration as JSON, the same bytes for equal configurations."""
-    return msgspec.json.encode(to_table(whole), order="deterministic")
+    return msgspec.json.encode(to_table(configuration), order="deterministic")
 
 
 def decode_configuration(payload: bytes) -> Configuration:
--- a/packages/model/src/damaskwind/model/configuration_digest.py
+++ b/packages/model/src/damaskwind/model/configuration_digest.py
@@ -17,27 +17,27 @@
 __all__ = ["DIGEST_BYTES", "configuration_digest"]
 
 DIGEST_BYTES = 16
-_REMEMBERED_OBJECTS = 8192
+_CACHED_OBJECTS = 8192
 
 
-@lru_cache(maxsize=_REMEMBERED_OBJECTS)
+@lru_cache(maxsize=_CACHED_OBJECTS)
 def _object_digest(kind: str, value: Any) -> bytes:
     """Return the digest of one object; it names its kind and, in itself, its name."""
     coded = msgspec.json.encode([kind, to_table(value)], order="deterministic")
     return hashlib.blake2b(coded, digest_size=DIGEST_BYTES).digest()
 
 
-def configuration_digest(whole: Configuration) -> bytes:
+def configuration_digest(configuration: Configuration) -> bytes:
     """Return the digest of a configuration, the same in every process.
 
     >>> same = configuration_digest(Configuration(1)) == configuration_digest(Configuration(1))
     >>> same, configuration_digest(Configuration(1)) == configuration_digest(Configuration(2))
     (True, False)
     """
-    digest = hashlib.blake2b(str(whole.revision).encode(), digest_size=DIGEST_BYTES)
-    digest.update(_object_digest("policy", whole.policy))
+    digest = hashlib.blake2b(str(configuration.revision).encode(), digest_size=DIGEST_BYTES)
+    digest.update(_object_digest("policy", configuration.policy))
     for kind in OBJECT_KINDS:
-        objects = getattr(whole, kind)
+        objects = getattr(configuration, kind)
         for name in sorted(objects):
             digest.update(_object_digest(kind, objects[name]))
     return digest.digest()
--- a/packages/model/src/damaskwind/model/reason.py
+++ b/packages/model/src/damaskwind/model/reason.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-__all__ = ["REASON_FACES", "Reason", "ReasonFace"]
+__all__ = ["REASON_STATUSES", "Reason", "ReasonStatus"]
 
 
 class Reason(StrEnum):
@@ -29,30 +29,30 @@
     NOT_READY = "not_ready"
 
 
-class ReasonFace(NamedTuple):
+class ReasonStatus(NamedTuple):
     """How a reason looks to a caller: HTTP status and OpenAI error type."""
 
     http_status: int
     error_type: str
 
 
-REASON_FACES: dict[Reason, ReasonFace] = {
-    Reason.BAD_REQUEST: ReasonFace(400, "invalid_request_error"),
-    Reason.BAD_KEY: ReasonFace(401, "authentication_error"),
-    Reason.FORBIDDEN: ReasonFace(403, "permission_error"),
-    Reason.UNKNOWN_MODEL: ReasonFace(404, "invalid_request_error"),
-    Reason.UNKNOWN_SERVICE: ReasonFace(404, "invalid_request_error"),
-    Reason.CALLER_TIMEOUT: ReasonFace(408, "timeout_error"),
-    Reason.KEY_IN_USE: ReasonFace(409, "conflict_error"),
-    Reason.KEY_MISMATCH: ReasonFace(422, "invalid_request_error"),
-    Reason.TOO_LARGE: ReasonFace(413, "invalid_request_error"),
-    Reason.ACCOUNT_LIMIT: ReasonFace(429, "rate_limit_error"),
-    Reason.TARGET_FAILED: ReasonFace(502, "api_error"),
-    Reason.ANSWER_CUT: ReasonFace(502, "api_error"),
-    Reason.OVERLOADED: ReasonFace(503, "overloaded_error"),
-    Reason.NO_TARGET: ReasonFace(503, "overloaded_error"),
-    Reason.DRAINING: ReasonFace(503, "overloaded_error"),
-    Reason.NO_QUORUM: ReasonFace(503, "overloaded_error"),
-    Reason.NOT_READY: ReasonFace(503, "overloaded_error"),
-    Reason.DEADLINE: ReasonFace(504, "timeout_error"),
+REASON_STATUSES: dict[Reason, ReasonStatus] = {
+    Reason.BAD_REQUEST: ReasonStatus(400, "invalid_request_error"),
+    Reason.BAD_KEY: ReasonStatus(401, "authentication_error"),
+    Reason.FORBIDDEN: ReasonStatus(403, "permission_error"),
+    Reason.UNKNOWN_MODEL: ReasonStatus(404, "invalid_request_error"),
+    Reason.UNKNOWN_SERVICE: ReasonStatus(404, "invalid_request_error"),
+    Reason.CALLER_TIMEOUT: ReasonStatus(408, "timeout_error"),
+    Reason.KEY_IN_USE: ReasonStatus(409, "conflict_error"),
+    Reason.KEY_MISMATCH: ReasonStatus(422, "invalid_request_error"),
+    Reason.TOO_LARGE: ReasonStatus(413, "invalid_request_error"),
+    Reason.ACCOUNT_LIMIT: ReasonStatus(429, "rate_limit_error"),
+    Reason.TARGET_FAILED: ReasonStatus(502, "api_error"),
+    Reason.ANSWER_CUT: ReasonStatus(502, "api_error"),
+    Reason.OVERLOADED: ReasonStatus(503, "overloaded_error"),
+    Reason.NO_TARGET: ReasonStatus(503, "overloaded_error"),
+    Reason.DRAINING: ReasonStatus(503, "overloaded_error"),
+    Reason.NO_QUORUM: ReasonStatus(503, "overloaded_error"),
+    Reason.NOT_READY: ReasonStatus(503, "overloaded_error"),
+    Reason.DEADLINE: ReasonStatus(504, "timeout_error"),
 }
--- a/packages/model/src/damaskwind/model/statechart.py
+++ b/packages/model/src/damaskwind/model/statechart.py
@@ -51,7 +51,7 @@
     strict: bool = False
 
 
-class _Holder:
+class _MachineContext:
     """Keep the owner and the present state of one machine."""
 
     def __init__(self, owner: Any, state: str) -> None:
@@ -62,19 +62,19 @@
 class Machine:
     """One running chart. Inputs are methods; `state` names where it stands."""
 
-    def __init__(self, holder: _Holder, inner: Any) -> None:
-        self._holder = holder
+    def __init__(self, context: _MachineContext, inner: Any) -> None:
+        self._context = context
         self._inner = inner
 
     @property
     def state(self) -> str:
         """Name the present state."""
-        return self._holder.state
+        return self._context.state
 
     def feed(self, input_name: str, *arguments: Any) -> str:
         """Feed an input, run its actions, and return the state that follows."""
         getattr(self._inner, input_name)(*arguments)
-        return self._holder.state
+        return self._context.state
 
 
 def _parse(raw: dict[str, Any], path: Path) -> Chart:
@@ -109,23 +109,23 @@
         return _parse(tomllib.load(file), path)
 
 
-def _step(target: str, actions: tuple[str, ...]) -> Callable[..., None]:
+def _make_transition(target: str, actions: tuple[str, ...]) -> Callable[..., None]:
     """Make the behaviour of one transition."""
 
-    def run(protocol: Any, holder: _Holder, *arguments: Any) -> None:
-        holder.state = target
+    def run(protocol: Any, context: _MachineContext, *arguments: Any) -> None:
+        context.state = target
         for action in actions:
-            getattr(holder.owner, action)(*arguments)
+            getattr(context.owner, action)(*arguments)
 
     return run
 
 
-def _ignore(protocol: Any, holder: _Holder, *arguments: Any) -> None:
+def _ignore_input(protocol: Any, context: _MachineContext, *arguments: Any) -> None:
     """Do nothing: the state does not list this input."""
 
 
 @cache
-def _factory(chart: Chart) -> Any:
+def _machine_factory(chart: Chart) -> Any:
     """Build the automat machine of a chart once."""
 
     def make_input(name: str) -> Callable[..., None]:
@@ -136,22 +136,22 @@
 
     namespace: dict[str, Any] = {name: make_input(name) for name in chart.inputs}
     protocol = type(chart.name, (Protocol,), namespace)
-    builder = TypeMachineBuilder(protocol, _Holder)
+    builder = TypeMachineBuilder(protocol, _MachineContext)
     states = {name: builder.state(name) for name in chart.states}
     listed = set()
     for row in chart.transitions:
         listed.add((row.source, row.input_name))
         upon = states[row.source].upon(getattr(protocol, row.input_name))
-        upon.to(states[row.target])(_step(row.target, row.actions))
+        upon.to(states[row.target])(_make_transition(row.target, row.actions))
     if not chart.strict:
         for state in chart.states:
             for name in chart.inputs:
                 if (state, name) not in listed:
-                    states[state].upon(getattr(protocol, name)).loop()(_ignore)
+                    states[state].upon(getattr(protocol, name)).loop()(_ignore_input)
     return builder.build()
 
 
 def start_machine(chart: Chart, owner: Any) -> Machine:
     """Start a chart whose actions are methods of `owner`."""
-    holder = _Holder(owner, chart.states[0])
-    return Machine(holder, _factory(chart)(holder))
+    context = _MachineContext(owner, chart.states[0])
+    return Machine(context, _machine_factory(chart)(context))
--- a/packages/router/src/damaskwind/router/answers.py
+++ b/packages/router/src/damaskwind/router/answers.py
@@ -6,7 +6,7 @@
 import msgspec
 from twisted.web.http import Request
 
-from damaskwind.model.reason import REASON_FACES
+from damaskwind.model.reason import REASON_STATUSES
 from damaskwind.model.verdict import Refusal, Verdict
 
 __all__ = ["answer_json", "error_body", "error_event", "refuse", "set_outcome"]
@@ -19,7 +19,7 @@
     """Return a refusal as the JSON body that OpenAI clients expect."""
     error = {
         "message": refusal.detail,
-        "type": REASON_FACES[refusal.reason].error_type,
+        "type": REASON_STATUSES[refusal.reason].error_type,
         "code": refusal.reason.value,
         "param": None,
         "request_id": request_id,
@@ -50,7 +50,7 @@
 
 def refuse(request: Request, request_id: str, refusal: Refusal) -> bytes:
     """Set status and headers for a refusal and return its body."""
-    status = REASON_FACES[refusal.reason].http_status
+    status = REASON_STATUSES[refusal.reason].http_status
     body = error_body(refusal, request_id)
     request.setResponseCode(status)
     set_outcome(request, request_id, refusal.verdict)
--- a/packages/router/src/damaskwind/router/caller_request.py
+++ b/packages/router/src/damaskwind/router/caller_request.py
@@ -12,7 +12,7 @@
 
 from twisted.web.server import Request
 
-from damaskwind.model.reason import REASON_FACES, Reason
+from damaskwind.model.reason import REASON_STATUSES, Reason
 from damaskwind.model.verdict import Refusal, Verdict
 from damaskwind.router.answers import error_body
 from damaskwind.router.upload import Upload
@@ -78,7 +78,7 @@
             (b"x-request-id", self.request_id.encode()),
             (b"x-verdict", Verdict.NOT_RUN.value.encode()),
         ]
-        status = REASON_FACES[Reason.CALLER_TIMEOUT].http_status
+        status = REASON_STATUSES[Reason.CALLER_TIMEOUT].http_status
         self.channel.writeHeaders(b"HTTP/1.1", str(status).encode(), b"Request Timeout", headers)
         self.channel.write(body)
         self.channel.loseConnection()
--- a/packages/router/src/damaskwind/router/configuration/upstream.py
+++ b/packages/router/src/damaskwind/router/configuration/upstream.py
@@ -27,7 +27,7 @@
 )
 from damaskwind.wire.follow_grpc import FollowStub
 from damaskwind.wire.follow_pb2 import FetchRequest
-from damaskwind.wire.lost_connection import lost_connections_named
+from damaskwind.wire.lost_connection import translate_lost_connections
 
 __all__ = ["ATTEMPT_BYTES", "Upstream", "UpstreamStream", "UpstreamUpdate"]
 
@@ -115,7 +115,7 @@
         with self._channel(address) as channel:
             try:
                 watch = FollowStub(channel).Watch
-                with lost_connections_named():
+                with translate_lost_connections():
                     async with watch.open(metadata=metadata) as stream:
                         send = stream.send_message(first)
                         await asyncio.wait_for(send, CONNECT_TIMEOUT_S)
@@ -133,7 +133,7 @@
         with self._channel(address) as channel:
             try:
                 call = FollowStub(channel).Fetch(request, metadata=metadata)
-                with lost_connections_named():
+                with translate_lost_connections():
                     update = await asyncio.wait_for(call, timeout_s)
             except CALL_ERRORS as error:
                 raise MessageError(f"{address}: {error!r}") from error
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -38,9 +38,9 @@
 from damaskwind.wire.news import (
     TABLE_PATH,
     Document,
-    Heard,
+    LastSeen,
     News,
-    Seen,
+    SeenRevision,
     SubscriberKind,
     TableCopy,
     pack_document,
@@ -151,7 +151,7 @@
                 Address(host, self._news_port),
                 self,
                 self._random,
-                passes_on=RelayEndpoint(self._own_host, self._link_bytes_per_s),
+                relay=RelayEndpoint(self._own_host, self._link_bytes_per_s),
             )
             self._links[host] = link
             self.suspicions.follow(host)
@@ -164,13 +164,13 @@
     def _reachable_hosts(self) -> list[str]:
         """Return the hosts of the replicas that were reached recently."""
         oldest_s = read_clock() - REACHABLE_S
-        return [host for host, link in self._links.items() if link.last_heard_s > oldest_s]
+        return [host for host, link in self._links.items() if link.last_received_s > oldest_s]
 
     def _reaches_majority(self) -> bool:
         """Tell whether a majority of the replicas was reached recently."""
         return 2 * self.count_reachable_replicas() > len(self._links)
 
-    def heard_targets(self) -> tuple[Heard, ...]:
+    def recently_seen_targets(self) -> tuple[LastSeen, ...]:
         """Return the targets that reported to this router recently."""
         return self.heartbeats.recent_reports()
 
@@ -262,7 +262,7 @@
         self.sources.record_failure(host, read_clock())
         return False
 
-    def take_news(self, host: str, news: News) -> None:
+    def handle_news(self, host: str, news: News) -> None:
         """Merge an update from a replica."""
         now_s = read_clock()
         self.sources.record_version(host, news.version, news.is_current, news.leads, now_s)
@@ -272,17 +272,17 @@
         self._apply_evacuations(host, news.evacuations)
         self._merge_records(host, news.records, now_s)
         self._merge_records(host, self.targets.expand_phases(news.phases), now_s)
-        if news.tables_at:
-            self._table_exchange.fetch(news.tables_at)
-        for target_id, age_s, born_ms in news.heard:
+        if news.table_sources:
+            self._table_exchange.fetch(news.table_sources)
+        for target_id, age_s, born_ms in news.last_seen:
             self.targets.mark_seen(target_id, now_s - age_s, born_ms)
-        others = news.heard_others
+        others = news.others_last_seen
         if others is not None and others.digest == self.targets.digest:
             self.targets.mark_others_seen(SilentTargets(others.silent, now_s - others.age_s))
         for target_id in self.targets.forget(now_s):
             logger.info("target forgotten", target=target_id)
             self._note_gone(target_id)
-        self.suspicions.take_news(host, news)
+        self.suspicions.handle_news(host, news)
         self._router_counts[host] = news.routers
         self.routers = max(1, *self._router_counts.values())
         self.max_routers.observe(self.routers, now_s)
@@ -306,7 +306,7 @@
             told_by=host,
         )
 
-    def _seen(self) -> tuple[Seen, ...]:
+    def _seen(self) -> tuple[SeenRevision, ...]:
         """Return the epoch and revision seen of each replica."""
         return tuple(link.seen for link in self._links.values())
 
@@ -315,7 +315,7 @@
         self._merge_records(host, copy.records, read_clock())
         for seen in copy.seen:
             for link in self._links.values():
-                link.adopt(seen)
+                link.merge_seen(seen)
         logger.info("targets fetched", host=host, targets=len(copy.records))
 
     def _merge_records(self, host: str, records: Iterable[TargetRecord], now_s: float) -> None:
--- a/packages/router/src/damaskwind/router/forwarding/heartbeat_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/heartbeat_relay.py
@@ -10,7 +10,7 @@
 from damaskwind.decisions.membership.target_record import TargetPhase, TargetRecord
 from damaskwind.decisions.membership.target_table import TargetTable
 from damaskwind.runtime.clock import read_clock
-from damaskwind.wire.news import Heard
+from damaskwind.wire.news import LastSeen
 
 __all__ = ["HeartbeatRelay"]
 
@@ -56,12 +56,12 @@
         self._reports[record.target_id] = _Report(now_s, new_at_s, record.born_ms)
         return True
 
-    def recent_reports(self) -> tuple[Heard, ...]:
+    def recent_reports(self) -> tuple[LastSeen, ...]:
         """Return the targets that reported to this router recently."""
         self._drop_old_reports()
         now_s = read_clock()
         return tuple(
-            Heard(key, round(now_s - report.at_s, 2), report.born_ms)
+            LastSeen(key, round(now_s - report.at_s, 2), report.born_ms)
             for key, report in self._reports.items()
         )
 
--- a/packages/router/src/damaskwind/router/forwarding/process.py
+++ b/packages/router/src/damaskwind/router/forwarding/process.py
@@ -143,7 +143,7 @@
         await asyncio.sleep(LAME_DUCK_S)
         await self._callers.stop_listening()
         self._callers.close_idle()
-        is_quiet = await self._callers.wait_until_quiet(limit_s - read_clock())
+        is_quiet = await self._callers.wait_until_idle(limit_s - read_clock())
         logger.info(
             "drain ended",
             is_quiet=is_quiet,
--- a/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/suspicion_relay.py
@@ -91,7 +91,7 @@
             logger.info("request cleared", digest=digest.hex())
             self._queue_for_all([digest])
 
-    def take_news(self, host: str, news: News) -> None:
+    def handle_news(self, host: str, news: News) -> None:
         """Merge the suspicions of a replica, and send it those that it may lack."""
         now_s = read_clock()
         for digest in self.table.merge(news.suspicions, now_s):
--- a/packages/router/src/damaskwind/router/forwarding/table_exchange.py
+++ b/packages/router/src/damaskwind/router/forwarding/table_exchange.py
@@ -25,7 +25,7 @@
 from damaskwind.runtime.http1.messages import Answer, Request
 from damaskwind.wire.news import (
     TABLE_PATH,
-    Seen,
+    SeenRevision,
     TableCopy,
     decode_table,
     encode,
@@ -57,7 +57,7 @@
     def __init__(
         self,
         table: TargetTable,
-        seen: Callable[[], tuple[Seen, ...]],
+        seen: Callable[[], tuple[SeenRevision, ...]],
         take: Callable[[str, TableCopy], None],
         port: int,
         link_bytes_per_s: float,
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
@@ -12,7 +12,7 @@
 from damaskwind.router.forwarding import fleet_view
 from damaskwind.router.forwarding.fleet_view import FETCH_PAUSE_S, FleetView
 from damaskwind.runtime.bridge import asyncio_test
-from damaskwind.runtime.clock import clock_in_force
+from damaskwind.runtime.clock import override_clock
 from damaskwind.runtime.http1.client import ConnectFailedError
 from damaskwind.wire.news import Document, News, pack_document
 
@@ -30,13 +30,13 @@
         patcher.start()
         self.addCleanup(patcher.stop)
         self.now_s = 100.0
-        self.enterContext(clock_in_force(lambda: self.now_s))
+        self.enterContext(override_clock(lambda: self.now_s))
         self.view = FleetView("r", ("a", "b", "c"), 1, lambda body: None, Random(1))
         self.view.follow(("a", "b", "c"))
 
     def receive(self, host, version, is_current=False):
         """Apply a replica's update; tell whether its document would be fetched now."""
-        self.view.take_news(host, update(version, is_current))
+        self.view.handle_news(host, update(version, is_current))
         return self.view.sources.choose(self.view.known_version(), 3, self.now_s) == host
 
     def test_document_of_a_current_replica_is_fetched_at_once(self):
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
@@ -544,6 +544,6 @@
         for _ in range(3):
             relay.record_target_end([(digest, relay.table.level(digest))])
         suspicion = Suspicion(digest, 0, 3, 0.1)
-        relay.take_news("a", News("epoch", 1, 1, True, (), 1, (), (), suspicions=(suspicion,)))
+        relay.handle_news("a", News("epoch", 1, 1, True, (), 1, (), (), suspicions=(suspicion,)))
         self.assertEqual((await self.call(request_id=b"r2")).status, 200)
         self.assertEqual(relay.table.level(digest).cleared, 1)
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
@@ -25,7 +25,7 @@
     def restart(self, number, born_ms, sequence=0):
         stored = self.view.targets.record_of(f"t{number}")
         record = stored._replace(born_ms=born_ms, sequence=sequence)
-        self.view.take_news("replica", News("e", 1, 1, True, (), 1, (record,), ()))
+        self.view.handle_news("replica", News("e", 1, 1, True, (), 1, (record,), ()))
         return record
 
     @asyncio_test
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
@@ -72,8 +72,8 @@
             self.view.targets.mark_seen(target_id, read_clock())
         self.clock.suspend(AWAY_S)
         link = self.view._links["127.0.0.1"]
-        link.last_heard_s = read_clock()
-        self.view.take_news("127.0.0.1", News("epoch", 1, 1, True, (), 1, (), ()))
+        link.last_received_s = read_clock()
+        self.view.handle_news("127.0.0.1", News("epoch", 1, 1, True, (), 1, (), ()))
         self.assertEqual(self.view.count_reachable_replicas(), 1)
         silent = [one for one in ("t0", "t1") if self.view.is_silent(one, read_clock())]
         self.assertEqual(silent, [])
--- a/packages/runtime/src/damaskwind/runtime/bounded_log.py
+++ b/packages/runtime/src/damaskwind/runtime/bounded_log.py
@@ -17,7 +17,7 @@
 # A burst of some 2,000 lines fits; a reader that is further behind loses lines.
 BUFFER_LIMIT_BYTES = 512 * 1024
 # Often enough that a kill loses at most the lines of a twentieth of a second.
-FLUSH_S = 0.05
+FLUSH_INTERVAL_S = 0.05
 STDOUT = 1
 
 
@@ -41,7 +41,7 @@
                 self._buffer += b'{"event":"log lines dropped","count":%d}\n' % self.dropped_lines
                 self.dropped_lines = 0
             self._buffer += line
-        self._arrange()
+        self._schedule_flush()
 
     def flush(self) -> None:
         """Write what the descriptor takes now."""
@@ -50,7 +50,7 @@
             try:
                 written = os.write(self._descriptor, self._buffer)
             except BlockingIOError:
-                self._arrange()
+                self._schedule_flush()
                 return
             except OSError:
                 # Nobody reads any more; there is no place left to say so.
@@ -58,7 +58,7 @@
                 return
             del self._buffer[:written]
 
-    def _arrange(self) -> None:
+    def _schedule_flush(self) -> None:
         """Have the buffer flushed soon; without a loop, at once."""
         if self._timer is not None:
             return
@@ -72,7 +72,7 @@
         if loop is None or not loop.is_running():
             self._flush_now()
             return
-        self._timer = loop.call_later(FLUSH_S, self.flush)
+        self._timer = loop.call_later(FLUSH_INTERVAL_S, self.flush)
 
     def _flush_now(self) -> None:
         try:
--- a/packages/runtime/src/damaskwind/runtime/clock.py
+++ b/packages/runtime/src/damaskwind/runtime/clock.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-__all__ = ["clock_in_force", "monotonic_clock", "read_clock"]
+__all__ = ["override_clock", "monotonic_clock", "read_clock"]
 
 _BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", None)
 
@@ -30,7 +30,7 @@
 
 
 @contextmanager
-def clock_in_force(source: Callable[[], float]) -> Iterator[None]:
+def override_clock(source: Callable[[], float]) -> Iterator[None]:
     """Have `read_clock` tell another time meanwhile."""
     global _source
     before, _source = _source, source
--- a/packages/runtime/src/damaskwind/runtime/clock_loop.py
+++ b/packages/runtime/src/damaskwind/runtime/clock_loop.py
@@ -13,10 +13,10 @@
 
 from damaskwind.runtime.clock import read_clock
 
-__all__ = ["ClockLoop", "last_woken_s", "note_wake"]
+__all__ = ["ClockLoop", "last_woken_s", "record_wake"]
 
 # A wait that lasts so much longer than asked for was no late timer.
-AWAY_LEAST_S = 0.5
+MIN_AWAY_S = 0.5
 
 _woken_s = float("-inf")
 
@@ -26,7 +26,7 @@
     return _woken_s
 
 
-def note_wake(away_s: float) -> None:
+def record_wake(away_s: float) -> None:
     """Note that this process goes on after a while of which it knows nothing."""
     global _woken_s
     _woken_s = read_clock()
@@ -50,8 +50,8 @@
         suspended_s, self._ahead_s = ahead_s - self._ahead_s, ahead_s
         stopped_s = 0.0 if timeout is None else now_s - begun_s - max(timeout, 0.0)
         away_s = max(suspended_s, stopped_s)
-        if away_s > AWAY_LEAST_S:
-            note_wake(away_s)
+        if away_s > MIN_AWAY_S:
+            record_wake(away_s)
         return ready
 
 
--- a/packages/runtime/src/damaskwind/runtime/http1/client.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/client.py
@@ -70,12 +70,12 @@
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
         self._parser: h11.Connection | None = None
-        self._sent: h11.Request | None = None
+        self._sent_request: h11.Request | None = None
         self._waiter: asyncio.Future | None = None
         self._is_lost = False
-        self._was_clean_end = False
+        self._has_received_eof = False
         self.is_timed_out = False
-        self._active_s = 0.0
+        self._last_active_s = 0.0
         self.made_s = read_clock()
         self.has_stray_bytes = False
         self.is_in_use = False
@@ -102,23 +102,23 @@
             self.has_stray_bytes = True
             self.abort()
             return
-        self._active_s = read_clock()
+        self._last_active_s = read_clock()
         self._parser.receive_data(data)
         self._wake()
 
     def eof_received(self) -> bool:
         """Note that the peer ended in order; the connection is closed then."""
-        self._was_clean_end = True
+        self._has_received_eof = True
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
         """Note the end, and whether it was orderly."""
         self._is_lost = True
-        self._was_clean_end = self._was_clean_end and error is None
+        self._has_received_eof = self._has_received_eof and error is None
         # The transport does not tell a timeout from a reset; their times do.
-        silent_s = read_clock() - self._active_s
-        self.is_timed_out = not self._was_clean_end and silent_s > UNACKNOWLEDGED_MS / 1000
-        if self._parser is not None and self._was_clean_end and self.is_in_use:
+        silent_s = read_clock() - self._last_active_s
+        self.is_timed_out = not self._has_received_eof and silent_s > UNACKNOWLEDGED_MS / 1000
+        if self._parser is not None and self._has_received_eof and self.is_in_use:
             self._parser.receive_data(b"")
         self._wake()
         if self.on_lost is not None:
@@ -137,14 +137,16 @@
     def send(self, request: Request) -> None:
         """Write a whole request."""
         self.is_in_use = True
-        self._active_s = read_clock()
+        self._last_active_s = read_clock()
         self.requests += 1
         headers = [*request.headers]
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE"):
             headers.append((b"content-length", b"%d" % len(request.body)))
-        self._sent = h11.Request(method=request.method, target=request.target, headers=headers)
+        self._sent_request = h11.Request(
+            method=request.method, target=request.target, headers=headers
+        )
         self._parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=ANSWER_HEAD_BYTES)
-        data = self._parser.send(self._sent)
+        data = self._parser.send(self._sent_request)
         if request.body:
             data += self._parser.send(h11.Data(data=request.body))
         data += self._parser.send(h11.EndOfMessage())
@@ -153,7 +155,7 @@
     async def read_head(self) -> AnswerHead:
         """Wait for the head of the answer; raise `AnswerBrokenError` when none comes."""
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, h11.Response):
                 return AnswerHead(event.status_code, list(event.headers))
             if not isinstance(event, h11.InformationalResponse):
@@ -161,7 +163,7 @@
 
     async def read_data(self) -> bytes | None:
         """Return the next piece of the body, or `None` at its complete end."""
-        event = await self._next()
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -186,7 +188,7 @@
         """
         rest, _ = self._parser.trailing_data
         parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=ANSWER_HEAD_BYTES)
-        bare = h11.Request(method=self._sent.method, target=b"/", headers=[(b"host", b"-")])
+        bare = h11.Request(method=self._sent_request.method, target=b"/", headers=[(b"host", b"-")])
         parser.send(bare)
         parser.send(h11.EndOfMessage())
         if rest:
@@ -212,7 +214,7 @@
             self.abort()
         return is_clean
 
-    async def _next(self) -> Any:
+    async def _next_event(self) -> Any:
         """Return the next event of the answer."""
         while True:
             try:
--- a/packages/runtime/src/damaskwind/runtime/http1/exchange.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/exchange.py
@@ -84,7 +84,7 @@
         self.is_finished = True
         self._connection.send_whole(answer, close)
 
-    async def deliver(self, answer: Answer, ended: Callable[[Delivery], None]) -> None:
+    async def deliver(self, answer: Answer, on_end: Callable[[Delivery], None]) -> None:
         """Send a large answer as fast as the caller takes it, and tell how far it came.
 
         Its length stands in its head, so that a part never looks whole. `ended` is
@@ -101,7 +101,7 @@
                 taken_bytes += len(piece)
             self.finish()
         finally:
-            ended(Delivery(taken_bytes, body_bytes, first_byte_s, read_clock()))
+            on_end(Delivery(taken_bytes, body_bytes, first_byte_s, read_clock()))
 
     @property
     def caller(self) -> str:
--- a/packages/runtime/src/damaskwind/runtime/http1/server.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/server.py
@@ -57,7 +57,7 @@
         self._body_bytes = 0
         self._task: asyncio.Task | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._room: asyncio.Future | None = None
+        self._writable: asyncio.Future | None = None
         self._is_paused = False
         self._is_lost = False
         self._has_partial_head = False
@@ -73,7 +73,7 @@
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self._server.connections.add(self)
-        self._wait(self._server.limits.idle_timeout_s)
+        self._restart_timer(self._server.limits.idle_timeout_s)
 
     def data_received(self, data: bytes) -> None:
         """Take bytes; those behind the present request wait for its answer."""
@@ -81,8 +81,8 @@
         if self._task is None:
             if self._head is None and not self._has_partial_head:
                 self._has_partial_head = True
-                self._wait(self._server.limits.header_timeout_s)
-            self._read()
+                self._restart_timer(self._server.limits.header_timeout_s)
+            self._read_events()
 
     def eof_received(self) -> bool:
         """Drop what the caller, who has left, did not take."""
@@ -108,14 +108,14 @@
 
     def _resume(self) -> None:
         self._is_paused = False
-        if self._room is not None and not self._room.done():
-            self._room.set_result(None)
+        if self._writable is not None and not self._writable.done():
+            self._writable.set_result(None)
 
     async def drained(self) -> None:
         """Wait until there is room to write."""
         if self._is_paused and not self._is_lost:
-            self._room = asyncio.get_running_loop().create_future()
-            await self._room
+            self._writable = asyncio.get_running_loop().create_future()
+            await self._writable
 
     async def taken(self) -> None:
         """Wait until the system has taken all that was written, or the caller has left."""
@@ -138,36 +138,36 @@
         self._server.connections.discard(self)
         reset(self._transport)
 
-    def _wait(self, limit_s: float) -> None:
+    def _restart_timer(self, limit_s: float) -> None:
         self._stop_timer()
-        self._timer = asyncio.get_running_loop().call_later(limit_s, self._timed_out)
+        self._timer = asyncio.get_running_loop().call_later(limit_s, self._on_timeout)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None
 
-    def _timed_out(self) -> None:
+    def _on_timeout(self) -> None:
         """Close an idle connection; tell a caller that is too slow."""
         if self.is_idle:
             self._transport.close()
             return
         self._refuse(408)
 
-    def _read(self) -> None:
+    def _read_events(self) -> None:
         """Take events from the parser until a request is whole."""
         try:
             while self._task is None:
                 event = self._parser.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
-                if not self._take(event):
+                if not self._handle_event(event):
                     return
         except h11.RemoteProtocolError as error:
             logger.info("request unreadable", why=str(error))
             self._refuse(error.error_status_hint)
 
-    def _take(self, event: Any) -> bool:
+    def _handle_event(self, event: Any) -> bool:
         """Take one event; tell whether to go on reading."""
         if isinstance(event, h11.Request):
             if _head_bytes(event) > self._server.limits.header_bytes:
@@ -176,7 +176,7 @@
             self._head = event
             self._head_s = read_clock()
             self._body, self._body_bytes = [], 0
-            self._wait(self._server.limits.idle_timeout_s)
+            self._restart_timer(self._server.limits.idle_timeout_s)
             if self._parser.they_are_waiting_for_100_continue:
                 self._send(h11.InformationalResponse(status_code=100, headers=[]))
         elif isinstance(event, h11.Data):
@@ -212,22 +212,22 @@
                 self.abort()
         except Exception as error:
             logger.opt(exception=error).error("handler failed", why=repr(error))
-            self._fail(exchange)
+            self._answer_failure(exchange)
         finally:
             self._server.active -= 1
             self._task = None
-            self._server.note_end()
+            self._server.notify_request_end()
         if exchange.is_finished and not self._is_lost:
-            self._next()
+            self._next_request()
 
-    def _fail(self, exchange: Exchange) -> None:
+    def _answer_failure(self, exchange: Exchange) -> None:
         """Say that this process failed: whether the request ran is not known."""
         if exchange.has_begun or self._is_lost:
             self.abort()
             return
         exchange.respond(Answer(500, [], b""), close=True)
 
-    def _next(self) -> None:
+    def _next_request(self) -> None:
         """Get ready for the next request on this connection."""
         self._head = None
         self._has_partial_head = False
@@ -238,8 +238,8 @@
         if self._server.is_closing:
             self._transport.close()
             return
-        self._wait(self._server.limits.idle_timeout_s)
-        self._read()
+        self._restart_timer(self._server.limits.idle_timeout_s)
+        self._read_events()
 
     def _refuse(self, status: int) -> None:
         """Answer a request that could not be read, and close."""
@@ -295,7 +295,7 @@
         self.active = 0
         self.is_closing = False
         self._opening: asyncio.Future[asyncio.Server] | None = None
-        self._quiet: asyncio.Event = asyncio.Event()
+        self._idle: asyncio.Event = asyncio.Event()
 
     def listen(self, host: str, port: int, backlog: int = 512) -> int:
         """Open the socket and return its port."""
@@ -305,10 +305,10 @@
         self._opening = asyncio.ensure_future(serving)
         return listener.getsockname()[1]
 
-    def note_end(self) -> None:
+    def notify_request_end(self) -> None:
         """Wake whoever waits for the last request to end."""
         if not self.active:
-            self._quiet.set()
+            self._idle.set()
 
     def close_after_answers(self) -> None:
         """Have every answer from now on end its connection."""
@@ -325,14 +325,14 @@
         if opening is not None:
             (await opening).close()
 
-    async def wait_until_quiet(self, limit_s: float) -> bool:
+    async def wait_until_idle(self, limit_s: float) -> bool:
         """Wait until no request is being answered; tell whether that came in time."""
         deadline_s = read_clock() + limit_s
         while self.active:
-            self._quiet.clear()
+            self._idle.clear()
             try:
                 async with asyncio.timeout(max(0.0, deadline_s - read_clock())):
-                    await self._quiet.wait()
+                    await self._idle.wait()
             except TimeoutError:
                 return False
         return True
--- a/packages/runtime/src/damaskwind/runtime/lifecycle.py
+++ b/packages/runtime/src/damaskwind/runtime/lifecycle.py
@@ -12,14 +12,14 @@
 
 __all__ = [
     "EXIT_FAILED",
-    "EXIT_FINE",
+    "EXIT_OK",
     "RunningProcess",
     "run_on_loop",
     "run_on_reactor",
     "serve_until_signal",
 ]
 
-EXIT_FINE = 0
+EXIT_OK = 0
 EXIT_FAILED = 1
 
 
@@ -39,9 +39,9 @@
     progress has its own limit. SIGHUP calls `reload`.
     """
     loop = asyncio.get_running_loop()
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
+        loop.add_signal_handler(number, stop_requested.set)
     if reload is not None:
         loop.add_signal_handler(signal.SIGHUP, reload)
     try:
@@ -49,21 +49,21 @@
     except Exception as error:  # the daemon's last word: log it and exit non-zero
         logger.opt(exception=error).error("start failed")
         return EXIT_FAILED
-    stopped = asyncio.ensure_future(_watch(process))
+    failed = asyncio.ensure_future(_wait_for_failure(process))
     await asyncio.wait(
-        {asyncio.ensure_future(asked.wait()), stopped}, return_when="FIRST_COMPLETED"
+        {asyncio.ensure_future(stop_requested.wait()), failed}, return_when="FIRST_COMPLETED"
     )
-    if not asked.is_set():
-        logger.error("process failed", reason=str(stopped.result()))
+    if not stop_requested.is_set():
+        logger.error("process failed", reason=str(failed.result()))
         return EXIT_FAILED
-    stopped.cancel()
+    failed.cancel()
     logger.info("stopping")
     await process.stop()
     logger.info("stopped")
-    return EXIT_FINE
+    return EXIT_OK
 
 
-async def _watch(process: Any) -> Any:
+async def _wait_for_failure(process: Any) -> Any:
     """Wait for a role's own fatal failure, if it can report one."""
     failed = getattr(process, "failed", None)
     if failed is None:
--- a/packages/runtime/src/damaskwind/runtime/load_meter.py
+++ b/packages/runtime/src/damaskwind/runtime/load_meter.py
@@ -16,11 +16,11 @@
 __all__ = ["LoadMeter"]
 
 # A loop that is later than this delays whatever keeps a lease of a second.
-LATE_S = 0.1
-LOOK_EVERY_S = 0.1
-LINE_EVERY_S = 1.0
+MIN_LATE_S = 0.1
+SAMPLE_INTERVAL_S = 0.1
+LOG_INTERVAL_S = 1.0
 # A sixth of a link of 3 Mbit/s: below it nothing waits for long.
-SENT_BYTES = 64_000
+MIN_SENT_BYTES = 64_000
 
 
 class LoadMeter:
@@ -33,39 +33,43 @@
         self._slowest_s = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._due_s = 0.0
-        self._line_s = 0.0
+        self._interval_start_s = 0.0
         self._sent: dict[str, int] = {}
 
     def start(self) -> None:
         """Begin to look."""
-        self._line_s = read_clock()
-        self._arrange()
+        self._interval_start_s = read_clock()
+        self._schedule_sample()
 
     def stop(self) -> None:
         """Look no more."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _arrange(self) -> None:
+    def _schedule_sample(self) -> None:
         loop = asyncio.get_running_loop()
-        self._due_s = read_clock() + LOOK_EVERY_S
-        self._timer = loop.call_later(LOOK_EVERY_S, self._look)
+        self._due_s = read_clock() + SAMPLE_INTERVAL_S
+        self._timer = loop.call_later(SAMPLE_INTERVAL_S, self._sample)
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         now_s = read_clock()
         self.late_s = max(self.late_s, now_s - self._due_s)
         self._slowest_s = max(self._slowest_s, self._slowest_call_s())
-        if now_s - self._line_s >= LINE_EVERY_S:
-            self._tell(now_s)
-        self._arrange()
+        if now_s - self._interval_start_s >= LOG_INTERVAL_S:
+            self._log_interval(now_s)
+        self._schedule_sample()
 
-    def _tell(self, now_s: float) -> None:
+    def _log_interval(self, now_s: float) -> None:
         """Write the line of the last second, and begin the next."""
-        span_s = now_s - self._line_s
+        span_s = now_s - self._interval_start_s
         sent = {labels[0][1]: total for labels, total in self._tallies.totals("sent_bytes").items()}
         last = {kind: total - self._sent.get(kind, 0) for kind, total in sent.items()}
         self._tallies.observe("loop_delay", self.late_s)
-        if self.late_s >= LATE_S or self._slowest_s >= LATE_S or sum(last.values()) >= SENT_BYTES:
+        if (
+            self.late_s >= MIN_LATE_S
+            or self._slowest_s >= MIN_LATE_S
+            or sum(last.values()) >= MIN_SENT_BYTES
+        ):
             logger.info(
                 "process load",
                 span_s=round(span_s, 2),
@@ -74,4 +78,4 @@
                 sent_bytes={kind: size for kind, size in last.items() if size},
             )
         self.late_s = self._slowest_s = 0.0
-        self._line_s, self._sent = now_s, sent
+        self._interval_start_s, self._sent = now_s, sent
--- a/packages/runtime/src/damaskwind/runtime/settings_watch.py
+++ b/packages/runtime/src/damaskwind/runtime/settings_watch.py
@@ -12,7 +12,7 @@
 __all__ = ["SettingsWatch"]
 
 # Files change rarely, and nothing in them is needed at once.
-LOOK_S = 2.0
+POLL_INTERVAL_S = 2.0
 
 
 class SettingsWatch:
@@ -27,15 +27,15 @@
         self._path = path
         self._read = read
         self._apply = apply
-        self._seen = self._look()
+        self._last_status = self._read_status()
 
     def start(self) -> None:
         """Look at the file now and then."""
-        asyncio.get_running_loop().call_later(LOOK_S, self._check)
+        asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._check)
 
     def reload(self) -> None:
         """Read the file now; a mistake in it leaves what is in force."""
-        self._seen = self._look()
+        self._last_status = self._read_status()
         try:
             raw = self._read(self._path)
             self._apply(raw)
@@ -44,7 +44,7 @@
             return
         logger.info("settings reloaded", seeds=raw.get("seeds"))
 
-    def _look(self) -> tuple[int, int]:
+    def _read_status(self) -> tuple[int, int]:
         try:
             status = self._path.stat()
         except OSError as error:
@@ -53,6 +53,6 @@
         return (status.st_mtime_ns, status.st_size)
 
     def _check(self) -> None:
-        if self._look() != self._seen:
+        if self._read_status() != self._last_status:
             self.reload()
         self.start()
--- a/packages/standins/src/damaskwind/standins/jumping_clock.py
+++ b/packages/standins/src/damaskwind/standins/jumping_clock.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from damaskwind.runtime.clock import clock_in_force, monotonic_clock
-from damaskwind.runtime.clock_loop import note_wake
+from damaskwind.runtime.clock import monotonic_clock, override_clock
+from damaskwind.runtime.clock_loop import record_wake
 
 __all__ = ["JumpingClock"]
 
@@ -22,10 +22,10 @@
     @contextmanager
     def in_force(self) -> Iterator[None]:
         """Have the process go by this clock meanwhile."""
-        with clock_in_force(self.read):
+        with override_clock(self.read):
             yield
 
     def suspend(self, for_s: float) -> None:
         """Jump ahead, as the loop notices it at its next wake."""
         self.ahead_s += for_s
-        note_wake(for_s)
+        record_wake(for_s)
--- a/packages/standins/src/damaskwind/standins/slow_time.py
+++ b/packages/standins/src/damaskwind/standins/slow_time.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from damaskwind.runtime.clock import clock_in_force
+from damaskwind.runtime.clock import override_clock
 
 __all__ = ["SlowClock", "SlowSelector"]
 
@@ -38,7 +38,7 @@
         """Have the process and the loops of asyncio go by this time meanwhile."""
         real, time.monotonic = time.monotonic, self.monotonic
         try:
-            with clock_in_force(self.monotonic):
+            with override_clock(self.monotonic):
                 yield
         finally:
             time.monotonic = real
--- a/packages/wire/src/damaskwind/wire/authentication.py
+++ b/packages/wire/src/damaskwind/wire/authentication.py
@@ -26,7 +26,7 @@
 from loguru import logger
 
 from damaskwind.model.exception import MessageError
-from damaskwind.wire.lost_connection import lost_connections_named
+from damaskwind.wire.lost_connection import translate_lost_connections
 
 __all__ = [
     "AuthenticationError",
@@ -41,7 +41,7 @@
 ]
 
 REPLAY_WINDOW_CALLS = 4096
-REMEMBERED_STARTS = 16_384
+MAX_TRACKED_STARTS = 16_384
 MESSAGE_LIMIT_BYTES = 64 * 1024 * 1024
 _FIELDS = ("x-cluster", "x-sender", "x-start", "x-counter")
 _MAC_FIELD = "x-mac"
@@ -171,23 +171,23 @@
         if len(body) > MESSAGE_LIMIT_BYTES:
             raise AuthenticationError(AuthenticationOutcome.TOO_LARGE, f"{len(body)} bytes")
         sender, start, counter = verify_call(self.cluster, self.cluster_key, method, body, metadata)
-        self._remember((sender, start), counter)
+        self._check_replay((sender, start), counter)
         return sender
 
-    def _remember(self, key: tuple[str, str], counter: int) -> None:
+    def _check_replay(self, key: tuple[str, str], counter: int) -> None:
         """Take note of a counter; raise when it was seen or is too old."""
-        known = self._starts.pop(key, _Start(0, 0))
-        behind = known.highest - counter
+        start = self._starts.pop(key, _Start(0, 0))
+        behind = start.highest - counter
         if behind < 0:
             mask = (1 << REPLAY_WINDOW_CALLS) - 1
-            seen = ((known.seen << min(-behind, REPLAY_WINDOW_CALLS)) | 1) & mask
+            seen = ((start.seen << min(-behind, REPLAY_WINDOW_CALLS)) | 1) & mask
             self._starts[key] = _Start(counter, seen)
-        elif behind >= REPLAY_WINDOW_CALLS or known.seen >> behind & 1:
-            self._starts[key] = known
+        elif behind >= REPLAY_WINDOW_CALLS or start.seen >> behind & 1:
+            self._starts[key] = start
             raise AuthenticationError(AuthenticationOutcome.REPLAYED, f"sender '{key[0]}'")
         else:
-            self._starts[key] = _Start(known.highest, known.seen | 1 << behind)
-        while len(self._starts) > REMEMBERED_STARTS:
+            self._starts[key] = _Start(start.highest, start.seen | 1 << behind)
+        while len(self._starts) > MAX_TRACKED_STARTS:
             self._starts.popitem(last=False)
 
 
@@ -197,7 +197,7 @@
     For example `await call_unary(stub.Deliver, request, signer, timeout_s=2.0)`.
     """
     metadata = signer.sign(method.name, request.SerializeToString(deterministic=True))
-    with lost_connections_named():
+    with translate_lost_connections():
         return await method(request, timeout=timeout_s, metadata=metadata)
 
 
--- a/packages/wire/src/damaskwind/wire/configuration_history.py
+++ b/packages/wire/src/damaskwind/wire/configuration_history.py
@@ -24,7 +24,7 @@
 
 __all__ = ["ConfigurationHistory", "EncodedRevision", "decode_revision"]
 
-KEPT_STEPS = 8192
+MAX_STEPS = 8192
 BODY_LIMIT_BYTES = 32 * 1024 * 1024
 
 
@@ -72,21 +72,21 @@
         """Return the latest revision, 0 before any."""
         return self.latest.revision if self.latest is not None else 0
 
-    def set(self, whole: Configuration) -> bool:
+    def set(self, configuration: Configuration) -> bool:
         """Take a configuration as the latest; tell whether it is a new one.
 
         Revision 0, before anything was confirmed, is nothing to follow.
         """
-        if whole.revision in (0, self.revision):
+        if configuration.revision in (0, self.revision):
             return False
-        if whole.revision < self.revision:
+        if configuration.revision < self.revision:
             self._steps.clear()
         elif self.latest is not None:
-            step = _step_of(self.latest, change_between(self.latest, whole))
+            step = _step_of(self.latest, change_between(self.latest, configuration))
             self._steps[step.base_revision] = step
-        self.latest = whole
+        self.latest = configuration
         self._encoded.clear()
-        while len(self._steps) > KEPT_STEPS:
+        while len(self._steps) > MAX_STEPS:
             self._steps.popitem(last=False)
         return True
 
@@ -148,14 +148,17 @@
     data = _decompress(encoded.body)
     try:
         if encoded.is_delta:
-            whole = _apply_delta(data, encoded, applied)
+            configuration = _apply_delta(data, encoded, applied)
         else:
-            whole = decode_configuration(data)
+            configuration = decode_configuration(data)
     except ConfigurationError as error:
         raise MessageError(f"malformed configuration: {error}") from error
-    if whole.revision != encoded.revision or configuration_digest(whole) != encoded.digest:
+    if (
+        configuration.revision != encoded.revision
+        or configuration_digest(configuration) != encoded.digest
+    ):
         raise MessageError(f"revision {encoded.revision} came out different")
-    return whole
+    return configuration
 
 
 def _apply_delta(
--- a/packages/wire/src/damaskwind/wire/configuration_read.py
+++ b/packages/wire/src/damaskwind/wire/configuration_read.py
@@ -1,6 +1,6 @@
 """Read the configuration at a replica, or at the router that the replica names.
 
->>> read_place("10.1.0.1", 8101, 7)
+>>> read_url("10.1.0.1", 8101, 7)
 'http://10.1.0.1:8101/configuration?version=7'
 >>> read_version(b"version=7"), read_version(b"version=x")
 (7, None)
@@ -19,7 +19,7 @@
     "ReadOutcome",
     "log_read",
     "outcome_of",
-    "read_place",
+    "read_url",
     "read_version",
 ]
 
@@ -31,16 +31,16 @@
     """How a read of the configuration ended."""
 
     WHOLE = "whole"
-    LEFT = "caller-left"
+    CALLER_LEFT = "caller-left"
     REFUSED = "refused"
-    SENT_ON = "sent-on"
+    REDIRECTED = "sent-on"
 
 
 class ConfigurationRead(NamedTuple):
     """A read that a majority vouches for; without a document it is refused.
 
-    `asked_s` is when it came, in monotonic seconds; `vouched_s` how long it took
-    until this process was sure to have the version. `sent_on_to` is the URL of a
+    `asked_s` is when it came, in monotonic seconds; `confirmation_s` how long it took
+    until this process was sure to have the version. `redirect_url` is the URL of a
     router that gives it in a replica's place.
     """
 
@@ -48,8 +48,8 @@
     version: int
     document: bytes
     asked_s: float
-    vouched_s: float
-    sent_on_to: str = ""
+    confirmation_s: float
+    redirect_url: str = ""
 
     def took_s(self, delivery: Delivery) -> float:
         """Return how long the read took to its end, in seconds."""
@@ -58,7 +58,7 @@
 
 def outcome_of(delivery: Delivery) -> ReadOutcome:
     """Return how an answered read ended."""
-    return ReadOutcome.WHOLE if delivery.is_whole else ReadOutcome.LEFT
+    return ReadOutcome.WHOLE if delivery.is_whole else ReadOutcome.CALLER_LEFT
 
 
 def log_read(read: ConfigurationRead, delivery: Delivery) -> None:
@@ -70,13 +70,13 @@
         version=read.version,
         bytes=delivery.body_bytes,
         taken_bytes=delivery.taken_bytes,
-        vouched_ms=_ms(read.vouched_s),
-        first_byte_ms=_ms(delivery.first_byte_s - read.asked_s),
-        last_byte_ms=_ms(read.took_s(delivery)),
+        vouched_ms=_to_ms(read.confirmation_s),
+        first_byte_ms=_to_ms(delivery.first_byte_s - read.asked_s),
+        last_byte_ms=_to_ms(read.took_s(delivery)),
     )
 
 
-def read_place(host: str, port: int, version: int) -> str:
+def read_url(host: str, port: int, version: int) -> str:
     """Return the URL at which a router gives a version, or a newer one."""
     return f"http://{host}:{port}{READ_PATH.decode()}?version={version}"
 
@@ -87,6 +87,6 @@
     return int(text) if query.startswith(_VERSION) and text.isdigit() else None
 
 
-def _ms(span_s: float) -> float:
+def _to_ms(span_s: float) -> float:
     """Return a span as log lines tell it."""
     return round(span_s * 1000, 1)
--- a/packages/wire/src/damaskwind/wire/document_difference.py
+++ b/packages/wire/src/damaskwind/wire/document_difference.py
@@ -3,7 +3,7 @@
 A document is taken as the pieces between the ends of its objects. The new one is
 written as runs of pieces of the old one, and the pieces that are new; what comes
 out is checked against a digest. Pieces are found by a table, as in rsync
-(Tridgell and Mackerras, 1996) but at the places that the format itself gives,
+(Tridgell and Mackerras, 1996) but at the positions that the format itself gives,
 in time linear in both documents.
 """
 
@@ -17,7 +17,7 @@
 
 __all__ = ["apply_difference", "difference"]
 
-_PIECE_END = b"},"
+_SEPARATOR = b"},"
 # A document may be 4 MiB; nothing that grows beyond this when unpacked is one.
 _LIMIT_BYTES = 16 * 1024 * 1024
 
@@ -40,14 +40,14 @@
     >>> apply_difference(old, difference(old, new)) == new
     True
     """
-    steps = _steps(old.split(_PIECE_END), new.split(_PIECE_END))
+    steps = _steps(old.split(_SEPARATOR), new.split(_SEPARATOR))
     message = _Difference(xxhash.xxh3_64_digest(new), steps)
     return zlib.compress(msgspec.msgpack.encode(message), 6)
 
 
 def _steps(old: list[bytes], new: list[bytes]) -> list[tuple[int, int] | bytes]:
     """Return the runs and new pieces, in order."""
-    places = {piece: place for place, piece in reversed(list(enumerate(old)))}
+    first_indexes = {piece: index for index, piece in reversed(list(enumerate(old)))}
     steps: list[tuple[int, int] | bytes] = []
     first = end = 0
     for piece in new:
@@ -56,8 +56,8 @@
             continue
         if end > first:
             steps.append((first, end - first))
-        first = end = places.get(piece, 0)
-        if piece in places:
+        first = end = first_indexes.get(piece, 0)
+        if piece in first_indexes:
             end += 1
         else:
             steps.append(piece)
@@ -73,14 +73,14 @@
         message = _DECODER.decode(unpacker.decompress(packed, _LIMIT_BYTES))
     except (zlib.error, msgspec.MsgspecError) as error:
         raise MessageError(f"difference: {error}") from error
-    pieces = old.split(_PIECE_END)
+    pieces = old.split(_SEPARATOR)
     built: list[bytes] = []
     for step in message.steps:
         if isinstance(step, bytes):
             built.append(step)
         else:
             built += pieces[step[0] : step[0] + step[1]]
-    document = _PIECE_END.join(built)
+    document = _SEPARATOR.join(built)
     if xxhash.xxh3_64_digest(document) != message.digest:
         raise MessageError("difference: of another document")
     return document
--- a/packages/wire/src/damaskwind/wire/document_fetch.py
+++ b/packages/wire/src/damaskwind/wire/document_fetch.py
@@ -28,11 +28,11 @@
 
 __all__ = ["FETCH_ERRORS", "DocumentFetcher"]
 
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 # A replica sends a document of 30 KB to fifteen routers in some 2 s.
-ANSWER_S = 4.0
+ANSWER_TIMEOUT_S = 4.0
 # A router passes a document on within half a second, or has some before this one.
-PASSED_ON_S = 1.5
+RELAY_TIMEOUT_S = 1.5
 ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
 FETCH_ERRORS = (AnswerBrokenError, ConnectFailedError, MessageError, TimeoutError)
 
@@ -57,7 +57,7 @@
         for holder in document.holders:
             try:
                 request = DocumentRequest(held_version, version=document.version)
-                return await self._ask(holder, request, PASSED_ON_S)
+                return await self._ask(holder, request, RELAY_TIMEOUT_S)
             except FETCH_ERRORS as error:
                 logger.warning("document not passed on", host=holder, why=repr(error))
             finally:
@@ -72,12 +72,14 @@
         if connection is not None:
             connection.abort()
 
-    async def _ask(self, host: str, asked: DocumentRequest, limit_s: float = ANSWER_S) -> Document:
+    async def _ask(
+        self, host: str, message: DocumentRequest, limit_s: float = ANSWER_TIMEOUT_S
+    ) -> Document:
         """Make one call."""
         connection = self._connections.pop(host, None)
         if connection is None or not connection.is_open:
-            connection = await connect(Address(host, self._port), CONNECT_S)
-        request = Request(b"POST", DOCUMENT_PATH, [(b"host", b"control")], encode(asked))
+            connection = await connect(Address(host, self._port), CONNECT_TIMEOUT_S)
+        request = Request(b"POST", DOCUMENT_PATH, [(b"host", b"control")], encode(message))
         try:
             async with asyncio.timeout(limit_s):
                 answer = await fetch(connection, request, ANSWER_LIMIT_BYTES)
--- a/packages/wire/src/damaskwind/wire/follow_codec.py
+++ b/packages/wire/src/damaskwind/wire/follow_codec.py
@@ -1,7 +1,7 @@
 """Build, seal and open the messages of `Follow`.
 
 A stream's messages carry a MAC each, over the stream's own signed opening and
-the message's place in it, so that none can be played again elsewhere or later.
+the message's position in it, so that none can be played again elsewhere or later.
 """
 
 import hmac
@@ -56,8 +56,8 @@
         self._count += 1
         message.mac = b""
         body = message.SerializeToString(deterministic=True)
-        place = self._count.to_bytes(8, "big")
-        return message_mac(self._cluster_key, self._purpose, self._opening, place, body)
+        position = self._count.to_bytes(8, "big")
+        return message_mac(self._cluster_key, self._purpose, self._opening, position, body)
 
 
 def make_progress(router_id: str, failure_domain: str, applied_revision: int) -> Progress:
--- a/packages/wire/src/damaskwind/wire/follow_service.py
+++ b/packages/wire/src/damaskwind/wire/follow_service.py
@@ -66,7 +66,7 @@
         first = await receive_call(stream, METHOD_PATH + "Watch", self._verifier)
         key = self._verifier.cluster_key
         seal = StreamSeal(key, "update", stream.metadata)
-        self._note(first)
+        self._report_progress(first)
         reader = asyncio.ensure_future(self._read_progress(stream))
         self.follower_count += 1
         try:
@@ -122,9 +122,9 @@
             except MessageError as error:
                 logger.warning("stream refused", error=str(error))
                 return
-            self._note(progress)
+            self._report_progress(progress)
 
-    def _note(self, progress: Any) -> None:
+    def _report_progress(self, progress: Any) -> None:
         """Pass a follower's report on."""
         report = progress.report
         self._on_report(report.router_id, report.failure_domain, report.applied_revision)
--- a/packages/wire/src/damaskwind/wire/lost_connection.py
+++ b/packages/wire/src/damaskwind/wire/lost_connection.py
@@ -13,13 +13,13 @@
 from grpclib.exceptions import ProtocolError, StreamTerminatedError
 from h2.exceptions import H2Error
 
-__all__ = ["lost_connections_named"]
+__all__ = ["translate_lost_connections"]
 
 _TRANSPORT = "_transport"
 
 
 @contextmanager
-def lost_connections_named() -> Iterator[None]:
+def translate_lost_connections() -> Iterator[None]:
     """Raise `StreamTerminatedError` for every failure of a lost connection."""
     try:
         yield
--- a/packages/wire/src/damaskwind/wire/news.py
+++ b/packages/wire/src/damaskwind/wire/news.py
@@ -25,11 +25,11 @@
     "SUSPICIONS_PATH",
     "Document",
     "DocumentRequest",
-    "Heard",
-    "HeardOthers",
+    "LastSeen",
+    "OthersLastSeen",
     "News",
     "NewsRequest",
-    "Seen",
+    "SeenRevision",
     "SubscriberKind",
     "TABLE_PATH",
     "TableCopy",
@@ -53,7 +53,7 @@
 # A document may be 4 MiB; nothing that grows beyond this when unpacked is one.
 DOCUMENT_LIMIT_BYTES = 16 * 1024 * 1024
 # A table of sixty targets is 5.8 KB, and a third of that when it is compressed.
-PACKED_FROM_BYTES = 1024
+COMPRESS_MIN_BYTES = 1024
 _PACKED = (b"content-encoding", b"deflate")
 
 
@@ -64,7 +64,7 @@
     REPLICA = "replica"
 
 
-class Heard(NamedTuple):
+class LastSeen(NamedTuple):
     """A target that a process heard itself, `age_s` ago, in the life born at `born_ms`."""
 
     target_id: str
@@ -78,9 +78,9 @@
     `version` is the configuration that this replica last told it of. The answer
     may be held back for `wait_s`. `table_digest` tells which targets the
     subscriber knows, from whomever: a replica whose table says the same need
-    not tell it. `held` is what a router holds at targets now, `passes_on` where
+    not tell it. `held` is what a router holds at targets now, `relay` where
     it gives documents to others. Changes among many targets are told at once by the replica
-    that `is_first` for a router, and by others where it still lacks them later. `heard` are
+    that `is_first` for a router, and by others where it still lacks them later. `last_seen` are
     the targets that reported to a router, `records` what they said that was new there.
     `suspicions_seen` is how far this replica has told what it knows of fatal requests,
     `evacuations_seen` the revision of the evacuations that it last told. `services` is what
@@ -95,16 +95,16 @@
     wait_s: float
     table_digest: int = 0
     held: tuple[HeldCount, ...] = ()
-    passes_on: RelayEndpoint = NO_RELAY
+    relay: RelayEndpoint = NO_RELAY
     is_first: bool = True
-    heard: tuple[Heard, ...] = ()
+    last_seen: tuple[LastSeen, ...] = ()
     records: tuple[TargetRecord, ...] = ()
     suspicions_seen: int = 0
     evacuations_seen: int = 0
     services: tuple[ServiceReport, ...] = ()
 
 
-class HeardOthers(NamedTuple):
+class OthersLastSeen(NamedTuple):
     """All living targets were heard, by any replica, at most `age_s` ago, but the silent ones.
 
     It holds for whoever knows the same targets: whose table has this `digest`.
@@ -124,8 +124,8 @@
     that the replica leads the log. `held` is what the routers that ask here hold
     together; an answer may come without it where the link has no room. `place` is the
     subscriber's among these routers, by their names. Where a replica hears many targets,
-    `heard_others` stands in place of `heard`. Where its link has no room for changes,
-    `tables_at` names routers that know more of them. `phases` are changes of targets that
+    `others_last_seen` stands in place of `last_seen`. Where its link has no room for changes,
+    `table_sources` names routers that know more of them. `phases` are changes of targets that
     the subscriber knows. `suspicions` is what changed of fatal requests, up to
     `suspicions_revision`. `evacuations` are committed, and in force like `version`.
     """
@@ -137,19 +137,19 @@
     hosts: tuple[str, ...]
     routers: int
     records: tuple[TargetRecord, ...]
-    heard: tuple[Heard, ...]
+    last_seen: tuple[LastSeen, ...]
     leads: bool = False
     held: HeldSum | None = None
     place: int | None = None
-    heard_others: HeardOthers | None = None
-    tables_at: tuple[str, ...] = ()
+    others_last_seen: OthersLastSeen | None = None
+    table_sources: tuple[str, ...] = ()
     phases: tuple[PhaseChange, ...] = ()
     suspicions: tuple[Suspicion, ...] = ()
     suspicions_revision: int = 0
     evacuations: Evacuations = Evacuations()
 
 
-class Seen(NamedTuple):
+class SeenRevision(NamedTuple):
     """Up to which revision a replica's life `epoch` has told a router, itself or by others."""
 
     epoch: str
@@ -160,7 +160,7 @@
     """All targets that a router knows, with what it has seen of each replica."""
 
     records: tuple[TargetRecord, ...]
-    seen: tuple[Seen, ...]
+    seen: tuple[SeenRevision, ...]
 
 
 class DocumentRequest(NamedTuple):
@@ -241,7 +241,7 @@
     >>> unpack_answer(pack_answer(b"x" * 2000)) == b"x" * 2000
     True
     """
-    if len(body) < PACKED_FROM_BYTES:
+    if len(body) < COMPRESS_MIN_BYTES:
         return Answer(200, [], body)
     return Answer(200, [_PACKED], zlib.compress(body, 1))
 
--- a/packages/wire/src/damaskwind/wire/news_link.py
+++ b/packages/wire/src/damaskwind/wire/news_link.py
@@ -24,10 +24,10 @@
 from damaskwind.runtime.http1.messages import Request
 from damaskwind.wire.news import (
     NEWS_PATH,
-    Heard,
+    LastSeen,
     News,
     NewsRequest,
-    Seen,
+    SeenRevision,
     decode_news,
     encode,
     unpack_answer,
@@ -42,14 +42,14 @@
     """Periods of a link, in seconds.
 
     `hold_s` is how long a replica keeps a request when nothing is new: one
-    call a second shows that both ends live. `answer_s` beyond it covers a
+    call a second shows that both ends live. `answer_margin_s` beyond it covers a
     round trip and a busy replica. A lost link is tried again soon, since a
     leave has to arrive within the drain bound (2 s), and routers that restart
     with the replicas serve nothing before they hear one: each 0.1 s counts.
     """
 
     hold_s: float = 1.0
-    answer_s: float = 0.8
+    answer_margin_s: float = 0.8
     connect_s: float = 0.5
     backoff_first_s: float = 0.05
     backoff_limit_s: float = 0.15
@@ -77,7 +77,7 @@
         """Tell whether a replica is the one to hear of changes from at once."""
         ...
 
-    def heard_targets(self) -> tuple[Heard, ...]:
+    def recently_seen_targets(self) -> tuple[LastSeen, ...]:
         """Return the targets that reported here lately, to be told to a replica."""
         ...
 
@@ -85,7 +85,7 @@
         """Return what targets reported here that replicas may not know."""
         ...
 
-    def take_news(self, host: str, news: News) -> None:
+    def handle_news(self, host: str, news: News) -> None:
         """Take news from a replica."""
         ...
 
@@ -95,9 +95,9 @@
 
 
 class NewsLink:
-    """One subscription. `last_heard_s` is monotonic.
+    """One subscription. `last_received_s` is monotonic.
 
-    `passes_on` is where the subscriber gives documents to others, if it does.
+    `relay` is where the subscriber gives documents to others, if it does.
     """
 
     def __init__(
@@ -109,18 +109,18 @@
         random: Random,
         timing: NewsTiming = DEFAULT_TIMING,
         clock: Callable[[], float] = read_clock,
-        passes_on: RelayEndpoint = NO_RELAY,
+        relay: RelayEndpoint = NO_RELAY,
     ) -> None:
         self.address = address
-        self.last_heard_s = float("-inf")
-        self.has_heard = False
+        self.last_received_s = float("-inf")
+        self.is_up = False
         self._node_id = node_id
         self._kind = kind
         self._subscriber = subscriber
         self._random = random
         self._timing = timing
         self._clock = clock
-        self._passes_on = passes_on
+        self._relay = relay
         self._epoch = ""
         self._revision = 0
         self._version = 0
@@ -139,11 +139,11 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     @property
-    def seen(self) -> Seen:
+    def seen(self) -> SeenRevision:
         """Return what was seen of the replica's present life."""
-        return Seen(self._epoch, self._revision)
+        return SeenRevision(self._epoch, self._revision)
 
-    def adopt(self, seen: Seen) -> None:
+    def merge_seen(self, seen: SeenRevision) -> None:
         """Take what another router had seen of the replica, with all its targets."""
         if seen.epoch == self._epoch:
             self._revision = max(self._revision, seen.revision)
@@ -164,9 +164,9 @@
 
     def _note_loss(self, error: Exception) -> None:
         """Tell the subscriber, once for each time that the link was up."""
-        if self.has_heard:
+        if self.is_up:
             logger.warning("replica lost", host=self.address.host, why=repr(error))
-        self.has_heard = False
+        self.is_up = False
         self._subscriber.lost(self.address.host)
 
     async def _follow(self) -> None:
@@ -190,9 +190,9 @@
             timing.hold_s,
             self._subscriber.table_digest(),
             self._subscriber.held_counts(self.address.host),
-            self._passes_on,
+            self._relay,
             self._subscriber.is_first(self.address.host),
-            self._subscriber.heard_targets(),
+            self._subscriber.recently_seen_targets(),
             self._subscriber.new_records(),
             self._suspicions_seen,
             self._evacuations_seen,
@@ -206,19 +206,19 @@
         self._epoch, self._version = news.epoch, news.version
         self._suspicions_seen = news.suspicions_revision
         self._evacuations_seen = news.evacuations.revision
-        self.last_heard_s = self._clock()
+        self.last_received_s = self._clock()
         host = self.address.host
-        if not self.has_heard:
-            self.has_heard = True
+        if not self.is_up:
+            self.is_up = True
             logger.info(
                 "replica heard", host=host, version=news.version, is_current=news.is_current
             )
-        self._subscriber.take_news(host, news)
+        self._subscriber.handle_news(host, news)
 
     async def _call(self, connection: ClientConnection, body: bytes, hold_s: float) -> bytes:
         """Make one call; raise `AnswerBrokenError` or `TimeoutError` when it fails."""
         request = Request(b"POST", NEWS_PATH, [(b"host", b"control")], body)
-        limit_s = hold_s + self._timing.answer_s
+        limit_s = hold_s + self._timing.answer_margin_s
         # Not `wait_for`, which swallows a cancellation that meets the answer.
         async with asyncio.timeout(limit_s):
             answer = await fetch(connection, request, ANSWER_LIMIT_BYTES)
--- a/packages/wire/src/damaskwind/wire/tests/test_lost_connection.py
+++ b/packages/wire/src/damaskwind/wire/tests/test_lost_connection.py
@@ -12,7 +12,7 @@
 
 from damaskwind.runtime.bridge import asyncio_test
 from damaskwind.wire.authentication import CallSigner, call_unary
-from damaskwind.wire.lost_connection import lost_connections_named
+from damaskwind.wire.lost_connection import translate_lost_connections
 from damaskwind.wire.replication_grpc import ReplicationStub
 from damaskwind.wire.replication_pb2 import HelloRequest
 
@@ -60,7 +60,7 @@
         class Closed:
             pass
 
-        with self.assertRaises(StreamTerminatedError), lost_connections_named():
+        with self.assertRaises(StreamTerminatedError), translate_lost_connections():
             Closed()._transport  # noqa: B018
-        with self.assertRaises(AttributeError), lost_connections_named():
+        with self.assertRaises(AttributeError), translate_lost_connections():
             Closed().misspelt  # noqa: B018
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -13,7 +13,7 @@
 
 import defopt
 
-from damaskwind.runtime.lifecycle import EXIT_FAILED, EXIT_FINE, run_on_reactor
+from damaskwind.runtime.lifecycle import EXIT_FAILED, EXIT_OK, run_on_reactor
 from damaskwind.runtime.reactor import install_reactor
 
 __all__ = ["soak"]
@@ -75,7 +75,7 @@
         if not verdict.broken:
             shutil.rmtree(folder)
     print(f"{len(chosen) - failed} held, {failed} broken; findings in {where}")
-    return EXIT_FAILED if failed else EXIT_FINE
+    return EXIT_FAILED if failed else EXIT_OK
 
 
 if __name__ == "__main__":
