--- a/packages/wire/src/damaskwind/wire/authentication.py
+++ b/packages/wire/src/damaskwind/wire/authentication.py
@@ -1,16 +1,15 @@
-"""Sign and verify the calls between the system's own processes.
-
-A call's metadata names the cluster, the sender, the sender's start (a random
-number drawn when its process started) and a counter that grows with each
-call. An HMAC-SHA256 of the cluster key covers these, the method and the body.
-The receiver keeps, for each start of a sender, the highest counter and a
-window of those below it, so that a call that is repeated or far too late is
-refused. No clock is compared with another machine's, so a clock that jumps
-refuses nobody.
-
-What this does not cover: a call recorded before the receiver restarted can be
-played to it once more. The replicated log, claims and `Follow` bear duplicates
-and old messages by their terms, ballots and revisions.
+"""Sign and verify the calls between the processes of a cluster.
+
+A call's metadata name the cluster, the sender, the sender's start (a random number
+drawn when its process started) and a counter that grows with each call. An
+HMAC-SHA256 keyed with the cluster key covers these, the method and the body. For
+each start of a sender, the receiver keeps the highest counter and a window of those
+below it, and refuses calls that are replayed or older than the window. Clocks of
+different machines are never compared, so a clock that jumps causes no refusals.
+
+Limitation: a call recorded before the receiver restarted can be replayed to it once.
+The replicated log, claims and `Follow` tolerate duplicates and old messages by their
+terms, ballots and revisions.
 """
 
 import hashlib
@@ -48,7 +47,7 @@
 
 
 class AuthenticationOutcome(StrEnum):
-    """Name why a call was refused."""
+    """The reasons for which calls are refused."""
 
     MISSING_FIELD = "missing_field"
     WRONG_CLUSTER = "wrong_cluster"
@@ -66,22 +65,25 @@
 
 
 class _Start(NamedTuple):
-    """What is remembered of one start of a sender; `seen` is a set of bits."""
+    """The replay window of one start of a sender.
+
+    Bit `n` of `seen` is set if the counter `highest - n` was received.
+    """
 
     highest: int
     seen: int
 
 
 def _field_bytes(parts: list[bytes]) -> bytes:
-    """Join parts so that no two lists of parts give the same bytes."""
+    """Join parts with length prefixes, so that different lists give different bytes."""
     return b"".join(len(part).to_bytes(4, "big") + part for part in parts)
 
 
 def message_mac(cluster_key: str, purpose: str, *parts: bytes) -> bytes:
     """Return the HMAC-SHA256 of parts for one purpose.
 
-    It authenticates single messages of a stream, whose metadata cover only its
-    opening.
+    It authenticates single messages of a stream, since the signed metadata cover only
+    the opening of the stream.
 
     >>> message_mac("k", "update", b"a", b"b") == message_mac("k", "update", b"ab", b"")
     False
@@ -99,7 +101,7 @@
 def sign_call(
     cluster: str, cluster_key: str, sender: str, start: str, counter: int, method: str, body: bytes
 ) -> dict[str, str]:
-    """Return the metadata that authenticate one call."""
+    """Return the metadata that authenticate a call."""
     values = [cluster, sender, start, str(counter)]
     metadata = dict(zip(_FIELDS, values, strict=True))
     metadata[_MAC_FIELD] = _call_mac(cluster_key, method, values, body)
@@ -111,7 +113,7 @@
 ) -> tuple[str, str, int]:
     """Check a call's metadata and return its sender, start and counter.
 
-    Raises `AuthenticationError`. Replays are the work of `CallVerifier`.
+    Raises `AuthenticationError`. Replays are detected by `CallVerifier`.
     """
     values = [str(metadata.get(name, "")) for name in _FIELDS]
     if not all(values) or _MAC_FIELD not in metadata or not values[3].isdecimal():
@@ -150,7 +152,7 @@
 
 
 class CallVerifier:
-    """Verify the calls that one process gets, refuse replays and count refusals."""
+    """Verify the calls that a process receives, refuse replays and count refusals."""
 
     def __init__(self, cluster: str, cluster_key: str) -> None:
         self.cluster = cluster
@@ -167,7 +169,7 @@
             raise
 
     def _verify(self, method: str, body: bytes, metadata: Mapping[str, Any]) -> str:
-        """Do what `verify` says, uncounted."""
+        """Verify a call without counting a refusal."""
         if len(body) > MESSAGE_LIMIT_BYTES:
             raise AuthenticationError(AuthenticationOutcome.TOO_LARGE, f"{len(body)} bytes")
         sender, start, counter = verify_call(self.cluster, self.cluster_key, method, body, metadata)
@@ -175,7 +177,7 @@
         return sender
 
     def _check_replay(self, key: tuple[str, str], counter: int) -> None:
-        """Take note of a counter; raise when it was seen or is too old."""
+        """Record a counter; raise `AuthenticationError` if it was seen or is too old."""
         start = self._starts.pop(key, _Start(0, 0))
         behind = start.highest - counter
         if behind < 0:
@@ -205,8 +207,8 @@
     """Receive the request of a call on a grpclib server and verify it.
 
     `method` is the full path, such as `/damaskwind.replication.Replication/Deliver`.
-    A call that fails is logged and ends with `UNAUTHENTICATED` and the outcome's
-    name as its message.
+    A call that fails verification is logged and ends with the status `UNAUTHENTICATED`
+    and the outcome as its message.
     """
     request = await stream.recv_message()
     if request is None:
--- a/packages/wire/src/damaskwind/wire/configuration_history.py
+++ b/packages/wire/src/damaskwind/wire/configuration_history.py
@@ -1,9 +1,9 @@
-"""The confirmed configuration with its recent revisions, ready to be sent.
+"""The confirmed configuration with its recent revisions, encoded for followers.
 
-A follower that has one of the recent revisions gets only the objects that
-differ; any other gets the whole. Both carry a digest of what must come out, so
-that a follower that ends up with something else notices and asks for the
-whole.
+A follower that has one of the recent revisions gets a delta with the objects that
+differ; any other gets the whole configuration. Both carry a digest of the expected
+result, so that a follower that ends up with anything else detects it and requests
+the whole configuration.
 """
 
 import zlib
@@ -29,9 +29,10 @@
 
 
 class EncodedRevision(NamedTuple):
-    """A revision on its way; the body is empty when there is nothing to send.
+    """An encoded revision; the body is empty when there is nothing to send.
 
-    A delta applies to exactly `base_revision`; otherwise the body is the whole.
+    A delta applies to exactly `base_revision`; otherwise the body is the whole
+    configuration.
     """
 
     revision: int
@@ -42,7 +43,7 @@
 
 
 class _Step(NamedTuple):
-    """What one step of the history touched: kinds and names, and the policy or not."""
+    """The objects changed by one step of the history, by kind and name, and the policy."""
 
     base_revision: int
     names: frozenset[tuple[str, str]]
@@ -50,16 +51,16 @@
 
 
 def _step_of(old: Configuration, change: ConfigurationChange) -> _Step:
-    """Return the step that a change made."""
+    """Return the step made by a change."""
     put = {(kind, name) for kind, objects in change.put.items() for name in objects}
     gone = {(kind, name) for kind, names in change.delete.items() for name in names}
     return _Step(old.revision, frozenset(put | gone), change.policy is not None)
 
 
 class ConfigurationHistory:
-    """The latest configuration, and what each revision before it lacks.
+    """The latest configuration, and what changed since each recent revision.
 
-    Of earlier revisions only the names that each step touched are kept.
+    Of earlier revisions, only the names of the objects changed by each step are kept.
     """
 
     def __init__(self) -> None:
@@ -73,9 +74,9 @@
         return self.latest.revision if self.latest is not None else 0
 
     def set(self, configuration: Configuration) -> bool:
-        """Take a configuration as the latest; tell whether it is a new one.
+        """Set the latest configuration; tell whether it is a new one.
 
-        Revision 0, before anything was confirmed, is nothing to follow.
+        Revision 0, before anything was confirmed, is ignored.
         """
         if configuration.revision in (0, self.revision):
             return False
@@ -91,7 +92,7 @@
         return True
 
     def encode_for(self, applied_revision: int) -> EncodedRevision:
-        """Return what a follower at a revision needs; nothing if it is not behind."""
+        """Encode what a follower at a revision lacks; the body is empty if it is up to date."""
         if self.latest is None or applied_revision >= self.latest.revision:
             return EncodedRevision(self.revision)
         base = applied_revision if applied_revision in self._steps else 0
@@ -100,7 +101,7 @@
         return self._encoded[base]
 
     def _encode(self, base: int) -> EncodedRevision:
-        """Encode the latest revision against a base; 0 for the whole."""
+        """Encode the latest revision as a delta from a base, or whole for base 0."""
         latest = self.latest
         digest = configuration_digest(latest)
         if base not in self._steps:
@@ -110,7 +111,7 @@
         return EncodedRevision(latest.revision, True, base, body, digest)
 
     def _change_since(self, base: int) -> ConfigurationChange:
-        """Return the change that leads from a base to the latest revision."""
+        """Return the change from a base to the latest revision."""
         put: dict = {}
         delete: dict = {}
         has_policy = False
@@ -141,9 +142,9 @@
 
 
 def decode_revision(encoded: EncodedRevision, applied: Configuration | None) -> Configuration:
-    """Return the configuration that comes out at a follower.
+    """Decode a revision at a follower that has applied the configuration `applied`.
 
-    Raises `MessageError` when it is not the one that was sent.
+    Raises `MessageError` if the result is not the configuration that was sent.
     """
     data = _decompress(encoded.body)
     try:
@@ -157,14 +158,14 @@
         configuration.revision != encoded.revision
         or configuration_digest(configuration) != encoded.digest
     ):
-        raise MessageError(f"revision {encoded.revision} came out different")
+        raise MessageError(f"digest mismatch at revision {encoded.revision}")
     return configuration
 
 
 def _apply_delta(
     data: bytes, encoded: EncodedRevision, applied: Configuration | None
 ) -> Configuration:
-    """Apply a delta to the configuration that it is meant for."""
+    """Apply a delta to the configuration that it is based on."""
     if applied is None or applied.revision != encoded.base_revision:
         raise MessageError(f"delta from revision {encoded.base_revision} does not apply")
     return apply_change(applied, decode_change(data))._replace(revision=encoded.revision)
--- a/packages/wire/src/damaskwind/wire/configuration_read.py
+++ b/packages/wire/src/damaskwind/wire/configuration_read.py
@@ -1,4 +1,4 @@
-"""Read the configuration at a replica, or at the router that the replica names.
+"""Reads of the configuration at a replica, or at a router that the replica redirects to.
 
 >>> read_url("10.1.0.1", 8101, 7)
 'http://10.1.0.1:8101/configuration?version=7'
@@ -37,11 +37,11 @@
 
 
 class ConfigurationRead(NamedTuple):
-    """A read that a majority vouches for; without a document it is refused.
+    """A read confirmed by a majority; a read without a document is refused.
 
-    `asked_s` is when it came, in monotonic seconds; `confirmation_s` how long it took
-    until this process was sure to have the version. `redirect_url` is the URL of a
-    router that gives it in a replica's place.
+    `asked_s` is the monotonic time at which the request arrived, and `confirmation_s`
+    the time it took to confirm that this process has the version. `redirect_url` is
+    the URL at which a router serves the read in place of the replica.
     """
 
     caller: str
@@ -52,7 +52,7 @@
     redirect_url: str = ""
 
     def took_s(self, delivery: Delivery) -> float:
-        """Return how long the read took to its end, in seconds."""
+        """Return the duration of the read up to its last byte, in seconds."""
         return delivery.last_byte_s - self.asked_s
 
 
@@ -62,7 +62,7 @@
 
 
 def log_read(read: ConfigurationRead, delivery: Delivery) -> None:
-    """Log how far the answer to a read came."""
+    """Log how much of the answer to a read was delivered, and how fast."""
     logger.info(
         "read ended",
         outcome=outcome_of(delivery),
@@ -77,16 +77,16 @@
 
 
 def read_url(host: str, port: int, version: int) -> str:
-    """Return the URL at which a router gives a version, or a newer one."""
+    """Return the URL at which a router serves a version or a newer one."""
     return f"http://{host}:{port}{READ_PATH.decode()}?version={version}"
 
 
 def read_version(query: bytes) -> int | None:
-    """Return the version that is asked for, or `None` when the query names none."""
+    """Return the requested version, or `None` if the query has none."""
     text = query.removeprefix(_VERSION)
     return int(text) if query.startswith(_VERSION) and text.isdigit() else None
 
 
 def _to_ms(span_s: float) -> float:
-    """Return a span as log lines tell it."""
+    """Return a span in milliseconds, rounded for log lines."""
     return round(span_s * 1000, 1)
--- a/packages/wire/src/damaskwind/wire/document_difference.py
+++ b/packages/wire/src/damaskwind/wire/document_difference.py
@@ -1,10 +1,10 @@
-"""Tell a document by what it has in common with an earlier one.
+"""Encode a document as its difference from an earlier one.
 
-A document is taken as the pieces between the ends of its objects. The new one is
-written as runs of pieces of the old one, and the pieces that are new; what comes
-out is checked against a digest. Pieces are found by a table, as in rsync
-(Tridgell and Mackerras, 1996) but at the positions that the format itself gives,
-in time linear in both documents.
+Documents are split into pieces at the ends of their objects. The new document is
+written as runs of pieces of the old one and the pieces that are new; the result is
+checked against a digest. Pieces are looked up in a hash table, as in rsync
+(Tridgell and Mackerras, 1996), but at boundaries that the format itself gives, in
+time linear in both documents.
 """
 
 import zlib
@@ -18,7 +18,7 @@
 __all__ = ["apply_difference", "difference"]
 
 _SEPARATOR = b"},"
-# A document may be 4 MiB; nothing that grows beyond this when unpacked is one.
+# Documents are at most 4 MiB, so a difference that decompresses to more than this is invalid.
 _LIMIT_BYTES = 16 * 1024 * 1024
 
 
@@ -33,7 +33,7 @@
 
 
 def difference(old: bytes, new: bytes) -> bytes:
-    """Return what turns `old` into `new`, packed.
+    """Return the compressed difference that turns `old` into `new`.
 
     >>> old = b'[{"a":1},{"b":2},{"c":3}]'
     >>> new = b'[{"a":1},{"b":5},{"c":3}]'
@@ -46,7 +46,7 @@
 
 
 def _steps(old: list[bytes], new: list[bytes]) -> list[tuple[int, int] | bytes]:
-    """Return the runs and new pieces, in order."""
+    """Return the runs of old pieces and the new pieces, in order."""
     first_indexes = {piece: index for index, piece in reversed(list(enumerate(old)))}
     steps: list[tuple[int, int] | bytes] = []
     first = end = 0
@@ -67,7 +67,7 @@
 
 
 def apply_difference(old: bytes, packed: bytes) -> bytes:
-    """Return the new document; raise `MessageError` when it does not come out as it was."""
+    """Return the new document; raise `MessageError` if it doesn't match its digest."""
     unpacker = zlib.decompressobj()
     try:
         message = _DECODER.decode(unpacker.decompress(packed, _LIMIT_BYTES))
--- a/packages/wire/src/damaskwind/wire/document_fetch.py
+++ b/packages/wire/src/damaskwind/wire/document_fetch.py
@@ -1,7 +1,7 @@
-"""Fetch configuration documents, on a connection of its own to each replica.
+"""Fetch configuration documents, on a separate connection to each replica.
 
-Documents wait for their turn at the replica; on the connection of the news they
-would hold up the news.
+A replica queues requests for documents; on the connection of the updates they would
+delay the updates.
 """
 
 import asyncio
@@ -29,18 +29,18 @@
 __all__ = ["FETCH_ERRORS", "DocumentFetcher"]
 
 CONNECT_TIMEOUT_S = 0.5
-# A replica sends a document of 30 KB to fifteen routers in some 2 s.
+# A replica takes about 2 s to send a document of 30 KB to fifteen routers.
 ANSWER_TIMEOUT_S = 4.0
-# A router passes a document on within half a second, or has some before this one.
+# A router relays a document within half a second, unless others are queued before it.
 RELAY_TIMEOUT_S = 1.5
 ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
 FETCH_ERRORS = (AnswerBrokenError, ConnectFailedError, MessageError, TimeoutError)
 
 
 class DocumentFetcher:
-    """Keep a connection to each replica that was asked.
+    """Fetches documents and keeps a connection to each replica that was asked.
 
-    `own_host` is where this router passes documents on, if it does.
+    `own_host` is the host at which this router relays documents, if it does.
     """
 
     def __init__(self, port: int, own_host: str = "") -> None:
@@ -49,9 +49,9 @@
         self._connections: dict[str, ClientConnection] = {}
 
     async def fetch(self, host: str, held_version: int) -> Document:
-        """Fetch the newest document from a replica or a router that it names.
+        """Fetch the newest document from a replica or from a router that it refers to.
 
-        Raise one of `FETCH_ERRORS` when it doesn't come.
+        Raises one of `FETCH_ERRORS` if the document can't be fetched.
         """
         document = await self._ask(host, DocumentRequest(held_version, self._own_host))
         for holder in document.holders:
@@ -67,7 +67,7 @@
         return document
 
     def _drop(self, host: str) -> None:
-        """Close a connection that is not used again soon."""
+        """Close a connection that won't be reused soon."""
         connection = self._connections.pop(host, None)
         if connection is not None:
             connection.abort()
@@ -75,7 +75,7 @@
     async def _ask(
         self, host: str, message: DocumentRequest, limit_s: float = ANSWER_TIMEOUT_S
     ) -> Document:
-        """Make one call."""
+        """Request a document from one host."""
         connection = self._connections.pop(host, None)
         if connection is None or not connection.is_open:
             connection = await connect(Address(host, self._port), CONNECT_TIMEOUT_S)
--- a/packages/wire/src/damaskwind/wire/follow_codec.py
+++ b/packages/wire/src/damaskwind/wire/follow_codec.py
@@ -1,7 +1,8 @@
-"""Build, seal and open the messages of `Follow`.
+"""Build, authenticate and verify the messages of `Follow`.
 
-A stream's messages carry a MAC each, over the stream's own signed opening and
-the message's position in it, so that none can be played again elsewhere or later.
+Each message of a stream carries a MAC over the stream's signed opening metadata, the
+message's position in the stream and its body, so that it can't be replayed in another
+stream or at another position.
 """
 
 import hmac
@@ -24,8 +25,8 @@
     "read_update",
 ]
 
-# Estimates of what comes to a message's body: the heads of HTTP/2 and gRPC, a TCP
-# segment and its acknowledgement; the metadata of a call; the set-up of a connection.
+# Estimated overheads: per message, the HTTP/2 and gRPC headers, a TCP segment and its
+# acknowledgement; per call, its metadata; per connection, its setup.
 MESSAGE_OVERHEAD_BYTES = 14 + 52 + 52
 CALL_BYTES = 350
 CONNECTION_BYTES = 700
@@ -33,7 +34,7 @@
 
 
 class StreamSeal:
-    """Seal or check the messages of one direction of one call, in order."""
+    """Adds or checks the MACs of the messages of one direction of one call, in order."""
 
     def __init__(self, cluster_key: str, purpose: str, metadata: Mapping[str, Any]) -> None:
         self._cluster_key = cluster_key
@@ -42,12 +43,12 @@
         self._count = 0
 
     def seal(self, message: Any) -> Any:
-        """Put the MAC on the next message."""
+        """Add the MAC to the next message."""
         message.mac = self._next_mac(message)
         return message
 
     def check(self, message: Any) -> None:
-        """Check the next message; raise `MessageError` when it is not the peer's."""
+        """Check the next message; raise `MessageError` if its MAC is wrong."""
         mac = message.mac
         if not hmac.compare_digest(mac, self._next_mac(message)):
             raise MessageError(f"{self._purpose}: wrong MAC")
@@ -61,7 +62,7 @@
 
 
 def make_progress(router_id: str, failure_domain: str, applied_revision: int) -> Progress:
-    """Return what a follower says of itself."""
+    """Return a follower's report of its applied revision."""
     report = FollowerReport(
         router_id=router_id, failure_domain=failure_domain, applied_revision=applied_revision
     )
@@ -69,7 +70,7 @@
 
 
 def make_update(encoded: EncodedRevision, is_current: bool) -> Update:
-    """Return a revision as a message."""
+    """Return the message that carries a revision."""
     return Update(**encoded._asdict(), is_current=is_current)
 
 
--- a/packages/wire/src/damaskwind/wire/follow_service.py
+++ b/packages/wire/src/damaskwind/wire/follow_service.py
@@ -1,4 +1,4 @@
-"""Serve the confirmed configuration to followers, from replicas and from routers."""
+"""Serve the confirmed configuration to followers, at replicas and at routers."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,10 +31,10 @@
 class FollowService(FollowBase):
     """The grpclib service `Follow`.
 
-    `is_current` tells whether this process may say that it knows the latest
-    revision: a replica by its lease, a router never. `on_report` gets what each
-    follower enforces: its id, its failure domain and the revision it applied.
-    `on_bytes` gets the bytes that each fetch sent and received, with overheads.
+    `is_current` tells whether this process can guarantee that its revision is the
+    latest: a replica with a lease can, a router never can. `on_report` is called with
+    a follower's id, its failure domain and the revision that it enforces. `on_bytes`
+    is called with the bytes sent and received by each fetch, including overheads.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self._changed = asyncio.Event()
 
     def publish(self, whole: Configuration) -> None:
-        """Send a configuration to all followers, if it is a new one."""
+        """Send a configuration to all followers if it is new."""
         if self.history.set(whole):
             self._changed.set()
             self._changed = asyncio.Event()
@@ -88,14 +88,14 @@
         await stream.send_message(update)
 
     async def Enforced(self, stream: Any) -> None:  # noqa: N802
-        """Send what this process's own followers enforce."""
+        """Send the revisions that the followers of this process enforce."""
         await receive_call(stream, METHOD_PATH + "Enforced", self._verifier)
         await stream.send_message(EnforcedReply(reports=self._reports()))
 
     async def _send_updates(
         self, stream: Any, seal: StreamSeal, reader: asyncio.Future, sent_revision: int
     ) -> None:
-        """Send until the follower goes away."""
+        """Send updates and heartbeats until the follower's stream ends."""
         while not reader.done():
             changed = asyncio.ensure_future(self._changed.wait())
             encoded = self.history.encode_for(sent_revision)
@@ -111,7 +111,7 @@
                 changed.cancel()
 
     async def _read_progress(self, stream: Any) -> None:
-        """Take what the follower says of itself until it goes away."""
+        """Receive the follower's reports until its stream ends."""
         seal = StreamSeal(self._verifier.cluster_key, "progress", stream.metadata)
         while True:
             progress = await stream.recv_message()
@@ -125,10 +125,10 @@
             self._report_progress(progress)
 
     def _report_progress(self, progress: Any) -> None:
-        """Pass a follower's report on."""
+        """Hand a follower's report to `on_report`."""
         report = progress.report
         self._on_report(report.router_id, report.failure_domain, report.applied_revision)
 
 
 def _ignore_bytes(sent_bytes: int, received_bytes: int) -> None:
-    """Count nothing."""
+    """Ignore the counts."""
--- a/packages/wire/src/damaskwind/wire/lost_connection.py
+++ b/packages/wire/src/damaskwind/wire/lost_connection.py
@@ -1,10 +1,9 @@
-"""Give each way in which grpclib fails over a lost connection the same name.
+"""Translate grpclib's failures over lost connections into one exception.
 
-A connection that is lost as soon as it was made (a process that dies, a
-forwarded port with nothing behind it) has no transport any more when the
-stream is opened: grpclib then fails with an `AttributeError`, or with an error
-of the HTTP/2 library under it. Callers that look for failed calls would miss
-these, and a task that calls over and over would end.
+A connection that is lost right after it was established (the process dies, or a
+forwarded port has no listener) has no transport when the stream is opened: grpclib
+then raises an `AttributeError` or an error of its HTTP/2 library. Callers that catch
+failed calls would miss these, and a task that calls in a loop would end.
 """
 
 from collections.abc import Iterator
--- a/packages/wire/src/damaskwind/wire/news.py
+++ b/packages/wire/src/damaskwind/wire/news.py
@@ -1,8 +1,9 @@
-"""News from a control replica: who serves, which configuration version there is.
+"""Messages by which control replicas publish targets and configuration versions.
 
-A subscriber asks with what it has; the replica answers at once if there is
-more, or after a while with nothing new, which shows that it lives. Bodies are
-msgpack over HTTP/1.1. `decisions/0015` weighs this against grpclib.
+Updates travel by long polling: a subscriber's request states what it has. The
+replica answers at once if it has more, and otherwise after a while with an empty
+update, which serves as a heartbeat. Bodies are msgpack over HTTP/1.1.
+`decisions/0015` compares this with grpclib.
 """
 
 import zlib
@@ -50,22 +51,25 @@
 DOCUMENT_PATH = b"/document"
 TABLE_PATH = b"/targets"
 SUSPICIONS_PATH = b"/suspicions"
-# A document may be 4 MiB; nothing that grows beyond this when unpacked is one.
+# Documents are at most 4 MiB, so a body that decompresses to more than this is invalid.
 DOCUMENT_LIMIT_BYTES = 16 * 1024 * 1024
-# A table of sixty targets is 5.8 KB, and a third of that when it is compressed.
+# A table of sixty targets takes 5.8 KB, and a third of that when compressed.
 COMPRESS_MIN_BYTES = 1024
 _PACKED = (b"content-encoding", b"deflate")
 
 
 class SubscriberKind:
-    """Who asks for news."""
+    """The kinds of subscribers to updates."""
 
     ROUTER = "router"
     REPLICA = "replica"
 
 
 class LastSeen(NamedTuple):
-    """A target that a process heard itself, `age_s` ago, in the life born at `born_ms`."""
+    """A target whose report a process received itself, `age_s` ago.
+
+    `born_ms` is the start time of the incarnation that sent it.
+    """
 
     target_id: str
     age_s: float
@@ -73,18 +77,20 @@
 
 
 class NewsRequest(NamedTuple):
-    """What a subscriber has heard: of this replica's life `epoch`, up to `revision`.
-
-    `version` is the configuration that this replica last told it of. The answer
-    may be held back for `wait_s`. `table_digest` tells which targets the
-    subscriber knows, from whomever: a replica whose table says the same need
-    not tell it. `held` is what a router holds at targets now, `relay` where
-    it gives documents to others. Changes among many targets are told at once by the replica
-    that `is_first` for a router, and by others where it still lacks them later. `last_seen` are
-    the targets that reported to a router, `records` what they said that was new there.
-    `suspicions_seen` is how far this replica has told what it knows of fatal requests,
-    `evacuations_seen` the revision of the evacuations that it last told. `services` is what
-    a router saw in the last second of services that tell no load.
+    """A request for updates beyond the `revision` of this replica's `epoch`.
+
+    An epoch is one run of the replica. `version` is the configuration version that
+    this replica last reported to the subscriber. The answer may be delayed by up to
+    `wait_s`. `table_digest` identifies the targets that the subscriber knows from any
+    source; a replica whose table has the same digest needn't send it. `held` counts a
+    router's requests in progress at targets, and `relay` is the endpoint at which it
+    serves documents to other routers. Where there are many targets, changes are sent at
+    once only by the replica that `is_first` for a router; other replicas send them later
+    if the router still lacks them. `last_seen` lists the targets that reported to a
+    router, and `records` what was new there in their reports. `suspicions_seen` is the
+    revision up to which this replica has sent suspicions of fatal requests, and
+    `evacuations_seen` the revision of the evacuations that it last sent. `services` is
+    what a router observed in the last second of services that report no load.
     """
 
     node_id: str
@@ -105,9 +111,10 @@
 
 
 class OthersLastSeen(NamedTuple):
-    """All living targets were heard, by any replica, at most `age_s` ago, but the silent ones.
+    """States that all live targets but the silent ones reported at most `age_s` ago.
 
-    It holds for whoever knows the same targets: whose table has this `digest`.
+    Each reported to some replica. It applies only to a receiver that knows the same
+    targets, that is, whose table has this `digest`.
     """
 
     digest: int
@@ -116,17 +123,18 @@
 
 
 class News(NamedTuple):
-    """What a replica knows beyond what the subscriber has.
-
-    `is_current` says that `version` is the newest that a majority holds, as
-    far as the replica's lease or its leader's word tells. `hosts` are the IP
-    numbers of all replicas, `routers` how many routers ask here. `leads` says
-    that the replica leads the log. `held` is what the routers that ask here hold
-    together; an answer may come without it where the link has no room. `place` is the
-    subscriber's among these routers, by their names. Where a replica hears many targets,
-    `others_last_seen` stands in place of `last_seen`. Where its link has no room for changes,
-    `table_sources` names routers that know more of them. `phases` are changes of targets that
-    the subscriber knows. `suspicions` is what changed of fatal requests, up to
+    """An update: what a replica has beyond what the subscriber has.
+
+    `is_current` states that `version` is the newest that a majority has stored,
+    according to the replica's lease or its leader's announcement. `hosts` are the IP
+    addresses of all replicas, and `routers` is the number of routers that subscribe to
+    this replica. `leads` states that the replica is the log's leader. `held` sums the
+    requests in progress of these routers; it may be omitted where the link has no
+    bandwidth left. `place` is the subscriber's index among these routers, ordered by
+    name. Where a replica receives reports of many targets, `others_last_seen` replaces
+    `last_seen`. Where its link has no bandwidth left for changes, `table_sources` names
+    routers that have more of them. `phases` are changes of targets that the subscriber
+    knows. `suspicions` are the changed suspicions of fatal requests, up to
     `suspicions_revision`. `evacuations` are committed, and in force like `version`.
     """
 
@@ -150,24 +158,24 @@
 
 
 class SeenRevision(NamedTuple):
-    """Up to which revision a replica's life `epoch` has told a router, itself or by others."""
+    """The revision of a replica's `epoch` that a router has, directly or from another router."""
 
     epoch: str
     revision: int
 
 
 class TableCopy(NamedTuple):
-    """All targets that a router knows, with what it has seen of each replica."""
+    """All targets that a router knows, with the revision it has of each replica."""
 
     records: tuple[TargetRecord, ...]
     seen: tuple[SeenRevision, ...]
 
 
 class DocumentRequest(NamedTuple):
-    """Ask for the newest configuration, by one that holds `held_version`.
+    """A request for the newest configuration from a process that has `held_version`.
 
-    A router tells its `host`, where it passes documents on, unless it wants the document
-    and no router named in its place. Another router is asked for `version` at least.
+    A router gives its `host`, at which it relays documents, unless it wants the document
+    itself and no referral to other routers. Another router is asked for at least `version`.
     """
 
     held_version: int
@@ -176,10 +184,10 @@
 
 
 class Document(NamedTuple):
-    """A configuration document with its version, packed.
+    """A configuration document with its version, compressed.
 
-    With a `base_version` it is told by what it has in common with that one. With
-    `holders` it is not here, but to be had from these routers.
+    With a `base_version`, `packed` is the difference from that version. With `holders`,
+    the document is not included and can be fetched from these routers.
     """
 
     version: int
@@ -204,7 +212,7 @@
 
 
 def decode_request(data: bytes) -> NewsRequest:
-    """Decode a request; raise `MessageError` when it is none."""
+    """Decode a request; raise `MessageError` if it is malformed."""
     try:
         return _REQUEST_DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -212,7 +220,7 @@
 
 
 def decode_news(data: bytes) -> News:
-    """Decode news; raise `MessageError` when they are none."""
+    """Decode an update; raise `MessageError` if it is malformed."""
     try:
         return _NEWS_DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -220,7 +228,7 @@
 
 
 def decode_table(data: bytes) -> TableCopy:
-    """Decode a copy of a table; raise `MessageError` when it is none."""
+    """Decode a copy of a table; raise `MessageError` if it is malformed."""
     try:
         return _TABLE_DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -228,7 +236,7 @@
 
 
 def decode_suspicions(data: bytes) -> tuple[Suspicion, ...]:
-    """Decode what is told of fatal requests; raise `MessageError` when it is none."""
+    """Decode suspicions of fatal requests; raise `MessageError` if they are malformed."""
     try:
         return _SUSPICIONS_DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -236,7 +244,7 @@
 
 
 def pack_answer(body: bytes) -> Answer:
-    """Return an answer, compressed where that is worth it: whole tables are.
+    """Return an answer, compressed if the body is large, as those with whole tables are.
 
     >>> unpack_answer(pack_answer(b"x" * 2000)) == b"x" * 2000
     True
@@ -247,14 +255,14 @@
 
 
 def unpack_answer(answer: Answer) -> bytes:
-    """Return the body of an answer; raise `MessageError` when it is damaged or too large."""
+    """Return the body of an answer; raise `MessageError` if it is damaged or too large."""
     if header(answer.headers, _PACKED[0]) is None:
         return answer.body
     return unpack_document(answer.body)
 
 
 def decode_document_request(data: bytes) -> DocumentRequest:
-    """Decode a request for a document; raise `MessageError` when it is none."""
+    """Decode a request for a document; raise `MessageError` if it is malformed."""
     try:
         return _DOCUMENT_REQUEST_DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -262,7 +270,7 @@
 
 
 def decode_document(data: bytes) -> Document:
-    """Decode a document as it is sent; raise `MessageError` when it is none."""
+    """Decode a document message; raise `MessageError` if it is malformed."""
     try:
         return _DOCUMENT_DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -270,7 +278,7 @@
 
 
 def pack_document(document: bytes) -> bytes:
-    """Compress a published document for the log and the links.
+    """Compress a published document for storage in the log and for sending.
 
     >>> unpack_document(pack_document(b"{}"))
     b'{}'
@@ -279,7 +287,7 @@
 
 
 def unpack_document(packed: bytes) -> bytes:
-    """Return a document; raise `MessageError` when it is damaged or too large."""
+    """Decompress a document; raise `MessageError` if it is damaged or too large."""
     unpacker = zlib.decompressobj()
     try:
         document = unpacker.decompress(packed, DOCUMENT_LIMIT_BYTES)
--- a/packages/wire/src/damaskwind/wire/news_link.py
+++ b/packages/wire/src/damaskwind/wire/news_link.py
@@ -1,4 +1,4 @@
-"""Follow the news of one control replica, over and over, until told to stop."""
+"""Poll one control replica for updates until stopped."""
 
 import asyncio
 from collections.abc import Callable
@@ -39,13 +39,14 @@
 
 
 class NewsTiming(NamedTuple):
-    """Periods of a link, in seconds.
-
-    `hold_s` is how long a replica keeps a request when nothing is new: one
-    call a second shows that both ends live. `answer_margin_s` beyond it covers a
-    round trip and a busy replica. A lost link is tried again soon, since a
-    leave has to arrive within the drain bound (2 s), and routers that restart
-    with the replicas serve nothing before they hear one: each 0.1 s counts.
+    """Timeouts and backoff of a link, in seconds.
+
+    `hold_s` is how long a replica holds a request when it has nothing new: one call
+    per second serves as a heartbeat in both directions. `answer_margin_s` beyond it
+    covers a round trip and a busy replica. The backoff after a lost link is short,
+    since a leave has to arrive within the drain bound (2 s), and routers that restart
+    together with the replicas serve nothing before they reach one, so that each 0.1 s
+    counts.
     """
 
     hold_s: float = 1.0
@@ -59,45 +60,46 @@
 
 
 class Subscriber(Protocol):
-    """Who takes what a link hears."""
+    """The state that a link sends to a replica, and the receiver of its updates."""
 
     def table_digest(self) -> int:
-        """Return which targets are known, as one number."""
+        """Return a digest of the known targets."""
         ...
 
     def held_counts(self, host: str) -> tuple[HeldCount, ...]:
-        """Return what is held at targets now, to be told to a replica."""
+        """Return the requests in progress at targets, for a report to a replica."""
         ...
 
     def service_counts(self) -> tuple[ServiceReport, ...]:
-        """Return what was seen lately of services, to be told to a replica."""
+        """Return what was recently observed of services, for a report to a replica."""
         ...
 
     def is_first(self, host: str) -> bool:
-        """Tell whether a replica is the one to hear of changes from at once."""
+        """Tell whether this replica is the one that sends changes at once."""
         ...
 
     def recently_seen_targets(self) -> tuple[LastSeen, ...]:
-        """Return the targets that reported here lately, to be told to a replica."""
+        """Return the targets that recently reported here, for a report to a replica."""
         ...
 
     def new_records(self) -> tuple[TargetRecord, ...]:
-        """Return what targets reported here that replicas may not know."""
+        """Return the records received from targets that replicas may not have."""
         ...
 
     def handle_news(self, host: str, news: News) -> None:
-        """Take news from a replica."""
+        """Handle an update from a replica."""
         ...
 
     def lost(self, host: str) -> None:
-        """Note that a replica can't be reached."""
+        """Handle the loss of the link to a replica."""
         ...
 
 
 class NewsLink:
-    """One subscription. `last_received_s` is monotonic.
+    """A subscription to the updates of one replica.
 
-    `relay` is where the subscriber gives documents to others, if it does.
+    `last_received_s` is the monotonic time of the last update. `relay` is the endpoint
+    at which the subscriber serves documents to others, if it does.
     """
 
     def __init__(
@@ -129,7 +131,7 @@
         self._task: asyncio.Task | None = None
 
     def start(self, delay_s: float = 0.0) -> None:
-        """Begin to follow, after a while."""
+        """Start polling after a delay."""
         self._task = asyncio.ensure_future(self._run(delay_s))
 
     async def stop(self) -> None:
@@ -140,11 +142,11 @@
 
     @property
     def seen(self) -> SeenRevision:
-        """Return what was seen of the replica's present life."""
+        """Return the revision received of the replica's present epoch."""
         return SeenRevision(self._epoch, self._revision)
 
     def merge_seen(self, seen: SeenRevision) -> None:
-        """Take what another router had seen of the replica, with all its targets."""
+        """Advance to the revision of another router, whose whole table was merged."""
         if seen.epoch == self._epoch:
             self._revision = max(self._revision, seen.revision)
 
@@ -163,14 +165,14 @@
             backoff_s = min(2 * backoff_s, self._timing.backoff_limit_s)
 
     def _note_loss(self, error: Exception) -> None:
-        """Tell the subscriber, once for each time that the link was up."""
+        """Tell the subscriber, and log the loss if the link was up."""
         if self.is_up:
             logger.warning("replica lost", host=self.address.host, why=repr(error))
         self.is_up = False
         self._subscriber.lost(self.address.host)
 
     async def _follow(self) -> None:
-        """Ask on one connection until it fails."""
+        """Poll on one connection until it fails."""
         connection = await connect(self.address, self._timing.connect_s)
         try:
             while True:
@@ -179,7 +181,7 @@
             connection.abort()
 
     async def _ask(self, connection: ClientConnection) -> None:
-        """Make one call."""
+        """Make one poll and handle the update."""
         timing = self._timing
         request = NewsRequest(
             self._node_id,
@@ -200,9 +202,9 @@
         )
         body = await self._call(connection, encode(request), timing.hold_s)
         news = decode_news(body)
-        # Another router may have told more since this was asked.
-        is_same_life = news.epoch == self._epoch
-        self._revision = max(news.revision, self._revision) if is_same_life else news.revision
+        # Another router's table may have advanced the revision since the request was sent.
+        is_same_epoch = news.epoch == self._epoch
+        self._revision = max(news.revision, self._revision) if is_same_epoch else news.revision
         self._epoch, self._version = news.epoch, news.version
         self._suspicions_seen = news.suspicions_revision
         self._evacuations_seen = news.evacuations.revision
@@ -219,7 +221,7 @@
         """Make one call; raise `AnswerBrokenError` or `TimeoutError` when it fails."""
         request = Request(b"POST", NEWS_PATH, [(b"host", b"control")], body)
         limit_s = hold_s + self._timing.answer_margin_s
-        # Not `wait_for`, which swallows a cancellation that meets the answer.
+        # Not `wait_for`, which swallows a cancellation that coincides with the answer.
         async with asyncio.timeout(limit_s):
             answer = await fetch(connection, request, ANSWER_LIMIT_BYTES)
         if answer.status != 200 or not connection.is_open:
--- a/packages/wire/src/damaskwind/wire/tests/test_authentication.py
+++ b/packages/wire/src/damaskwind/wire/tests/test_authentication.py
@@ -26,7 +26,7 @@
         metadata = self.signer.sign(METHOD, b"body")
         self.assertEqual(self.verifier.verify(METHOD, b"body", metadata), "replica-1")
 
-    def test_wrong_cluster_key_method_and_body_are_named(self):
+    def test_wrong_cluster_key_method_and_body_are_refused_with_their_reason(self):
         outcomes = [
             self.refuse(CallSigner("hcm", "key", "r").sign(METHOD, b"body")),
             self.refuse(CallSigner("kl", "other", "r").sign(METHOD, b"body")),
--- a/packages/wire/src/damaskwind/wire/tests/test_configuration_history.py
+++ b/packages/wire/src/damaskwind/wire/tests/test_configuration_history.py
@@ -20,7 +20,7 @@
         for number in range(1, 21):
             self.history.set(revision(number))
 
-    def test_follower_of_any_revision_ends_at_the_latest(self):
+    def test_follower_at_any_revision_reaches_the_latest(self):
         for base in range(21):
             applied = revision(base) if base else None
             encoded = self.history.encode_for(base)
@@ -35,7 +35,7 @@
         self.assertLess(len(delta.body) * 3, len(whole.body))
         self.assertFalse(self.history.encode_for(-1).is_delta)
 
-    def test_object_that_was_deleted_and_put_again_is_there(self):
+    def test_object_deleted_and_put_again_is_in_the_delta(self):
         history = ConfigurationHistory()
         gone = revision(1)._replace(revision=2, services={})
         for whole in (revision(1), gone, revision(1)._replace(revision=3)):
@@ -45,16 +45,16 @@
             self.assertTrue(encoded.is_delta)
             self.assertEqual(decode_revision(encoded, applied), history.latest)
 
-    def test_revision_skipped_by_a_snapshot_is_no_base(self):
+    def test_revision_skipped_by_a_snapshot_gets_the_whole(self):
         self.history.set(revision(30))
         self.assertTrue(self.history.encode_for(20).is_delta)
         self.assertFalse(self.history.encode_for(25).is_delta)
 
-    def test_lower_revision_forgets_the_history(self):
+    def test_lower_revision_clears_the_history(self):
         self.history.set(revision(3))
         self.assertFalse(self.history.encode_for(2).is_delta)
 
-    def test_revision_without_a_difference_still_moves(self):
+    def test_revision_without_changes_still_advances(self):
         self.history.set(revision(20)._replace(revision=21))
         self.assertEqual(decode_revision(self.history.encode_for(20), revision(20)).revision, 21)
 
@@ -72,7 +72,7 @@
             with self.assertRaises(MessageError):
                 decode_revision(wrong, applied)
 
-    def test_revision_zero_is_nothing_to_follow(self):
+    def test_revision_zero_is_not_published(self):
         history = ConfigurationHistory()
         self.assertFalse(history.set(Configuration()))
         self.assertEqual(history.encode_for(0).body, b"")
--- a/packages/wire/src/damaskwind/wire/tests/test_lost_connection.py
+++ b/packages/wire/src/damaskwind/wire/tests/test_lost_connection.py
@@ -1,4 +1,4 @@
-"""Tests of calls over connections that are lost at once."""
+"""Tests of calls over connections that are reset as soon as they are accepted."""
 
 import asyncio
 import socket
@@ -33,7 +33,7 @@
 
 class LostConnectionTest(TestCase):
     @asyncio_test
-    async def test_every_failure_over_a_port_with_nothing_behind_it_has_a_name(self):
+    async def test_calls_over_reset_connections_raise_only_connection_errors(self):
         listening = socket.create_server(("127.0.0.1", 0))
         address = listening.getsockname()
         resetting = threading.Thread(target=reset_all, args=(listening,))
@@ -45,7 +45,7 @@
             try:
                 stub = ReplicationStub(channel)
                 await call_unary(stub.Hello, HelloRequest(), signer, 5.0)
-            except Exception as error:  # its kind is what is tested
+            except Exception as error:  # the test counts the types
                 outcomes[type(error)] += 1
             finally:
                 channel.close()
@@ -56,7 +56,7 @@
         named = {StreamTerminatedError, ConnectionResetError, BrokenPipeError}
         self.assertLessEqual(set(outcomes), named, outcomes)
 
-    def test_lost_transport_is_a_lost_connection_and_other_attributes_are_not(self):
+    def test_only_a_missing_transport_is_translated(self):
         class Closed:
             pass
 
