--- a/packages/runtime/src/damaskwind/runtime/bounded_log.py
+++ b/packages/runtime/src/damaskwind/runtime/bounded_log.py
@@ -1,8 +1,8 @@
-"""Write log lines to a descriptor without ever waiting for its reader.
+"""Write log lines to a descriptor without ever blocking on its reader.
 
-Lines gather in memory and go out a few times a second. When the reader does
-not keep up, the buffer is bounded: further lines are dropped and counted, and
-the count is the first line after room is back.
+Lines are buffered in memory and flushed several times a second. The buffer is
+bounded: if the reader doesn't keep up, further lines are dropped and counted, and
+the count is the first line written once there is space again.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 
 __all__ = ["BoundedWriter", "log_to_stdout"]
 
-# A burst of some 2,000 lines fits; a reader that is further behind loses lines.
+# Fits a burst of about 2,000 lines; if the reader is further behind, lines are dropped.
 BUFFER_LIMIT_BYTES = 512 * 1024
-# Often enough that a kill loses at most the lines of a twentieth of a second.
+# If the process is killed, at most the lines of this interval are lost.
 FLUSH_INTERVAL_S = 0.05
 STDOUT = 1
 
 
 class BoundedWriter:
-    """Keep lines until they are written or there are too many."""
+    """A non-blocking writer with a bounded buffer of lines."""
 
     def __init__(self, descriptor: int, limit_bytes: int = BUFFER_LIMIT_BYTES) -> None:
         self.dropped_lines = 0
@@ -33,7 +33,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Take one line, or count it as dropped."""
+        """Buffer a line, or count it as dropped if the buffer is full."""
         if len(self._buffer) + len(line) > self._limit_bytes:
             self.dropped_lines += 1
         else:
@@ -44,7 +44,7 @@
         self._schedule_flush()
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as much as the descriptor accepts now."""
         self._timer = None
         while self._buffer:
             try:
@@ -53,13 +53,13 @@
                 self._schedule_flush()
                 return
             except OSError:
-                # Nobody reads any more; there is no place left to say so.
+                # The reader is gone, and there is nowhere else to report it.
                 self._buffer.clear()
                 return
             del self._buffer[:written]
 
     def _schedule_flush(self) -> None:
-        """Have the buffer flushed soon; without a loop, at once."""
+        """Schedule a flush; without a running loop, write at once."""
         if self._timer is not None:
             return
         try:
@@ -83,7 +83,7 @@
 
 
 def log_to_stdout(level: str, node_id: str) -> BoundedWriter:
-    """Send all logs to standard output as JSON lines, bounded, never waiting.
+    """Send all logs to standard output as JSON lines, without blocking.
 
     Every line carries the wall clock's time and the node; the fields are the
     keyword arguments of the call.
--- a/packages/runtime/src/damaskwind/runtime/bridge.py
+++ b/packages/runtime/src/damaskwind/runtime/bridge.py
@@ -1,4 +1,4 @@
-"""Pass between Twisted's Deferreds and asyncio's awaitables."""
+"""Convert between Twisted's Deferreds and asyncio's awaitables."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
--- a/packages/runtime/src/damaskwind/runtime/clock.py
+++ b/packages/runtime/src/damaskwind/runtime/clock.py
@@ -1,8 +1,8 @@
-"""The clock of a process: leases, deadlines and ages go by it.
+"""The clock of a process, by which leases, deadlines and ages are measured.
 
-It goes on while the VM is suspended, which Linux's monotonic clock does not: after
-three seconds of that, a lease of one second would have looked good for the rest of it,
-and a caller's deadline three seconds away from where it is. It never goes back.
+It never goes back, and unlike Linux's monotonic clock it advances while the VM is
+suspended. With a clock that stops, a lease of one second would still look valid after
+three seconds of suspension, and a caller's deadline would be three seconds off.
 """
 
 import time
@@ -15,7 +15,7 @@
 
 
 def monotonic_clock() -> float:
-    """Return seconds that go on while the VM is suspended, where the system tells them."""
+    """Return monotonic seconds that include suspension, where the system supports it."""
     if _BOOT_CLOCK is None:
         return time.monotonic()
     return time.clock_gettime(_BOOT_CLOCK)
@@ -25,13 +25,13 @@
 
 
 def read_clock() -> float:
-    """Return the time of this process, in seconds from some moment in the past."""
+    """Return the time of this process, in seconds since an arbitrary moment."""
     return _source()
 
 
 @contextmanager
 def override_clock(source: Callable[[], float]) -> Iterator[None]:
-    """Have `read_clock` tell another time meanwhile."""
+    """Make `read_clock` read another source within the context."""
     global _source
     before, _source = _source, source
     try:
--- a/packages/runtime/src/damaskwind/runtime/clock_loop.py
+++ b/packages/runtime/src/damaskwind/runtime/clock_loop.py
@@ -1,8 +1,8 @@
-"""An event loop that goes by the process's clock, and notices when the process was away.
+"""An event loop on the process's clock that detects when the process was suspended.
 
-A timer that came due while the VM was suspended fires at the next wake. What it
-bounds may have been kept by the other side meanwhile, whose bytes are still to be read:
-`last_woken_s` tells who judges others by their silence from when on to count.
+A timer that expired while the VM was suspended fires when it resumes, although the
+peer may have answered in time and its bytes are still unread. Code that infers the
+failure of a peer from its silence should count the silence from `last_woken_s`.
 """
 
 import asyncio
@@ -15,37 +15,38 @@
 
 __all__ = ["ClockLoop", "last_woken_s", "record_wake"]
 
-# A wait that lasts so much longer than asked for was no late timer.
+# A wait that overruns its timeout by more than this means suspension, not a late timer.
 MIN_AWAY_S = 0.5
 
 _woken_s = float("-inf")
 
 
 def last_woken_s() -> float:
-    """Return when this process last went on after it was suspended or stopped."""
+    """Return when this process last resumed after it was suspended or stopped."""
     return _woken_s
 
 
 def record_wake(away_s: float) -> None:
-    """Note that this process goes on after a while of which it knows nothing."""
+    """Record that this process resumed after `away_s` seconds without running."""
     global _woken_s
     _woken_s = read_clock()
     logger.warning("process was away", away_s=round(away_s, 2))
 
 
 class _WakeSelector(selectors.DefaultSelector):
-    """Look after each wait how long it was."""
+    """A selector that compares the length of each wait with its timeout."""
 
     def __init__(self) -> None:
         super().__init__()
         self._ahead_s = read_clock() - time.monotonic()
 
     def select(self, timeout: float | None = None) -> list:
-        """Return what is ready."""
+        """Return the ready events."""
         begun_s = read_clock()
         ready = super().select(timeout)
         now_s = read_clock()
-        # Suspended at any moment since the last look; or stopped, which shows in a wait alone.
+        # A suspended VM shows in the gain of this clock on the monotonic one since the last
+        # check; a stopped process shows only as an overlong wait.
         ahead_s = now_s - time.monotonic()
         suspended_s, self._ahead_s = ahead_s - self._ahead_s, ahead_s
         stopped_s = 0.0 if timeout is None else now_s - begun_s - max(timeout, 0.0)
--- a/packages/runtime/src/damaskwind/runtime/files.py
+++ b/packages/runtime/src/damaskwind/runtime/files.py
@@ -1,4 +1,4 @@
-"""Replace files whole or not at all."""
+"""Replace files atomically."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """Sync a folder, so that a name in it outlives a crash."""
+    """Sync a folder, so that a name in it survives a crash."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -18,10 +18,10 @@
 
 
 def replace_file_synced(path: Path, data: bytes) -> None:
-    """Replace a file so that the new content outlives a crash.
+    """Replace a file atomically, so that the new content survives a crash.
 
-    Raises `OSError` when writing or syncing fails; the old file is then still
-    there, but whether the new one is on the disk is not known.
+    Raises `OSError` when writing or syncing fails. The path then still names a complete
+    file, the old or the new one, but it is unknown whether the new content is on disk.
     """
     temporary = path.with_name(path.name + ".new")
     with temporary.open("wb") as file:
@@ -33,9 +33,9 @@
 
 
 def write_ready_file(path: str, addresses: Mapping[str, object]) -> None:
-    """Tell whoever started this process its addresses, when a path is set.
+    """Write the addresses of this process for the one that started it, if a path is set.
 
-    The file appears whole; it is a signal, so it is not synced.
+    The file appears atomically. It only signals readiness, so it is not synced.
     """
     if not path:
         return
--- a/packages/runtime/src/damaskwind/runtime/http1/client.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/client.py
@@ -1,8 +1,8 @@
-"""Speak HTTP/1.1 as a client on one connection, one request at a time.
+"""An HTTP/1.1 client on one connection, with one request at a time.
 
-Whether a request may have run is told apart by what was written: a connection
-that was refused or timed out before it stood carried nothing. The transports
-are asyncio's own: see `docs/decisions/0016-deciding-under-load.md`.
+Whether a request may have run depends on what was written: a connection that was
+refused or that timed out before it was established carried nothing. The transports
+are asyncio's own; see `docs/decisions/0016-deciding-under-load.md`.
 """
 
 import asyncio
@@ -26,14 +26,14 @@
     "fetch",
 ]
 
-# An answer's head beyond this is not one that a target of ours sends.
+# No target sends an answer whose head is larger than this.
 ANSWER_HEAD_BYTES = 65_536
 
 
-# Bytes that nobody acknowledges for so long have met a cut: inside a region a
-# lost packet is sent again after some 0.2 s, and once more after 0.4 s.
+# Bytes unacknowledged for this long mean that the link is cut: within a region, a lost
+# packet is retransmitted after about 0.2 s, and again after 0.4 s.
 UNACKNOWLEDGED_MS = 800
-# A silent connection is asked after a second, and given up after one more.
+# A silent connection is probed after one second and given up after another.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 1
@@ -47,15 +47,15 @@
 
 
 class ConnectFailedError(DamaskwindError):
-    """No connection came about; nothing was sent."""
+    """No connection was established; nothing was sent."""
 
 
 class AnswerBrokenError(DamaskwindError):
-    """The answer ended early, was reset, or was no answer in the protocol."""
+    """The answer ended early, was reset, or violated the protocol."""
 
 
 class AnswerHead:
-    """The status and headers of an answer whose body follows."""
+    """The status and headers of an answer, which precede its body."""
 
     __slots__ = ("headers", "status")
 
@@ -85,11 +85,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the peer has neither closed nor written out of turn."""
+        """Tell whether the peer has neither closed nor sent unrequested bytes."""
         return not self._is_lost and not self.has_stray_bytes
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Give up a peer that acknowledges nothing."""
+        """Set the socket options that detect an unresponsive peer."""
         self._transport = transport
         handle = transport.get_extra_info("socket")
         for option, value in _LIVENESS_OPTIONS:
@@ -97,7 +97,7 @@
         handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the answer; bytes that nobody asked for end the connection."""
+        """Feed bytes of the answer to the parser; unrequested bytes end the connection."""
         if not self.is_in_use:
             self.has_stray_bytes = True
             self.abort()
@@ -107,15 +107,15 @@
         self._wake()
 
     def eof_received(self) -> bool:
-        """Note that the peer ended in order; the connection is closed then."""
+        """Record that the peer closed in an orderly way; the transport then closes itself."""
         self._has_received_eof = True
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note the end, and whether it was orderly."""
+        """Record the end of the connection and whether it was orderly or a timeout."""
         self._is_lost = True
         self._has_received_eof = self._has_received_eof and error is None
-        # The transport does not tell a timeout from a reset; their times do.
+        # The transport doesn't distinguish a timeout from a reset; the length of silence does.
         silent_s = read_clock() - self._last_active_s
         self.is_timed_out = not self._has_received_eof and silent_s > UNACKNOWLEDGED_MS / 1000
         if self._parser is not None and self._has_received_eof and self.is_in_use:
@@ -125,7 +125,7 @@
             self.on_lost(self)
 
     def abort(self) -> None:
-        """Reset the connection, which ends the peer's work on it."""
+        """Reset the connection, which makes the peer cancel its work for it."""
         if not self._is_lost and self._transport is not None:
             reset(self._transport)
 
@@ -153,7 +153,7 @@
         self._transport.write(data)
 
     async def read_head(self) -> AnswerHead:
-        """Wait for the head of the answer; raise `AnswerBrokenError` when none comes."""
+        """Wait for the head of the answer; raise `AnswerBrokenError` if none arrives."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
@@ -162,7 +162,7 @@
                 raise AnswerBrokenError("the connection ended before an answer")
 
     async def read_data(self) -> bytes | None:
-        """Return the next piece of the body, or `None` at its complete end."""
+        """Return the next piece of the body, or `None` once it is complete."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
@@ -171,7 +171,7 @@
         raise AnswerBrokenError("the answer ended early")
 
     async def read_body(self, limit_bytes: int) -> bytes:
-        """Return the rest of the body."""
+        """Return the rest of the body; raise `AnswerBrokenError` if it exceeds the limit."""
         pieces, size_bytes = [], 0
         while (piece := await self.read_data()) is not None:
             pieces.append(piece)
@@ -181,10 +181,10 @@
         return b"".join(pieces)
 
     def skip_answer(self) -> None:
-        """Expect one more answer: the one just read belongs to an earlier request.
+        """Expect another answer, since the one just read belongs to an earlier request.
 
-        What follows it in the buffer is parsed anew as the answer to the request
-        sent; of that, only the method matters to the parser.
+        The bytes that follow it in the buffer are parsed as the answer to the request
+        that was sent; only that request's method matters to the parser.
         """
         rest, _ = self._parser.trailing_data
         parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=ANSWER_HEAD_BYTES)
@@ -196,10 +196,10 @@
         self._parser = parser
 
     def release(self) -> bool:
-        """End the use for this request; tell whether another may follow.
+        """End the present request; tell whether the connection can be reused.
 
-        Only a connection whose last answer was framed, complete, and followed
-        by nothing is clean.
+        It can be reused only if the last answer was framed, complete and not followed
+        by further bytes; otherwise it is reset.
         """
         self.is_in_use = False
         parser = self._parser
@@ -234,7 +234,7 @@
 
 
 async def connect(address: Address, timeout_s: float) -> ClientConnection:
-    """Open a connection; raise `ConnectFailedError` when none stands in time."""
+    """Open a connection; raise `ConnectFailedError` if that fails or times out."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(max(timeout_s, 0.001)):
@@ -242,13 +242,13 @@
                 ClientConnection, address.host, address.port
             )
     except OSError as error:
-        # `TimeoutError` is one of them.
+        # `TimeoutError` is a subclass of `OSError`.
         raise ConnectFailedError(type(error).__name__) from error
     return connection
 
 
 async def fetch(connection: ClientConnection, request: Request, limit_bytes: int) -> Answer:
-    """Send a request and return the whole answer; for calls between own processes."""
+    """Send a request and return the whole answer, for calls between the system's processes."""
     connection.send(request)
     head = await connection.read_head()
     body = await connection.read_body(limit_bytes)
--- a/packages/runtime/src/damaskwind/runtime/http1/exchange.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/exchange.py
@@ -1,4 +1,4 @@
-"""One request and the answer that is given to it, whole, in pieces or as it comes."""
+"""One request and its answer, sent whole, in pieces or as a stream."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -8,12 +8,12 @@
 
 __all__ = ["CallerConnection", "Delivery", "Exchange", "answer_headers"]
 
-# A large answer is handed over in pieces of this size, so that it is seen how far it came.
+# A large answer is written in pieces of this size, so that its progress can be measured.
 PIECE_BYTES = 16_384
 
 
 class CallerConnection(Protocol):
-    """What an exchange needs of the connection that it came on."""
+    """The interface of the connection on which an exchange takes place."""
 
     caller: str
 
@@ -30,19 +30,19 @@
         """End the answer as complete."""
 
     async def drained(self) -> None:
-        """Wait until the caller has taken most of what was written."""
+        """Wait until the write buffer has space."""
 
     async def taken(self) -> None:
-        """Wait until the system has taken all that was written."""
+        """Wait until the operating system has accepted all that was written."""
 
     def abort(self) -> None:
         """Reset the connection."""
 
 
 class Delivery(NamedTuple):
-    """How far a large answer came: bytes that the system took, of all, and when.
+    """How much of a large answer the operating system accepted, and when.
 
-    Times are monotonic seconds; what the system has taken may still wait on the link.
+    Times are monotonic seconds; accepted bytes may still be queued on the link.
     """
 
     taken_bytes: int
@@ -52,12 +52,12 @@
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether the caller stayed until the last piece was handed over."""
+        """Tell whether the last piece was accepted before the caller left."""
         return self.taken_bytes == self.body_bytes
 
 
 def answer_headers(headers: Headers, body: bytes) -> Headers:
-    """Return headers that frame a whole body.
+    """Return the headers with the length of a whole body added.
 
     >>> answer_headers([], b"ab")
     [(b'content-length', b'2')]
@@ -66,7 +66,7 @@
 
 
 class Exchange:
-    """One request and the answer that is being given to it.
+    """One request and the answer that is being sent to it.
 
     `started_s` is the monotonic time at which the request's head was read.
     """
@@ -79,16 +79,16 @@
         self._connection = connection
 
     def respond(self, answer: Answer, close: bool = False) -> None:
-        """Send a whole answer, in one write: each is a call of the system and a packet."""
+        """Send a whole answer in one write, since each write costs a system call and a packet."""
         self.has_begun = True
         self.is_finished = True
         self._connection.send_whole(answer, close)
 
     async def deliver(self, answer: Answer, on_end: Callable[[Delivery], None]) -> None:
-        """Send a large answer as fast as the caller takes it, and tell how far it came.
+        """Send a large answer as fast as the caller accepts it, and report the delivery.
 
-        Its length stands in its head, so that a part never looks whole. `ended` is
-        called also when the caller leaves before the end.
+        Its head states its length, so that a partial answer never looks whole. `on_end`
+        is also called if the caller leaves before the end.
         """
         first_byte_s = read_clock()
         taken_bytes, body_bytes = 0, len(answer.body)
@@ -109,7 +109,7 @@
         return self._connection.caller
 
     def begin(self, status: int, headers: Headers, close: bool = False) -> None:
-        """Send the head; without a length the body goes in chunks."""
+        """Send the head; without a length, the body is sent in chunks."""
         self.has_begun = True
         self._connection.send_head(status, headers, close)
 
@@ -118,7 +118,7 @@
         self._connection.send_data(data)
 
     async def drained(self) -> None:
-        """Wait until the caller has taken most of what was written."""
+        """Wait until the write buffer has space."""
         await self._connection.drained()
 
     def finish(self) -> None:
@@ -127,5 +127,5 @@
         self._connection.finish_answer()
 
     def abort(self) -> None:
-        """Reset the connection: an answer that has begun can't be completed."""
+        """Reset the connection, since an answer that has begun can't be completed."""
         self._connection.abort()
--- a/packages/runtime/src/damaskwind/runtime/http1/messages.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the rest of the project sees them."""
+"""HTTP requests and answers, independent of the parser."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# RFC 9110, section 7.6.1: these concern one connection and are never passed on.
+# RFC 9110, section 7.6.1: these apply to one connection and are never forwarded.
 CONNECTION_HEADERS = frozenset(
     (
         b"connection",
@@ -23,7 +23,7 @@
 
 
 class Request(NamedTuple):
-    """A whole request: names of headers are in lower case."""
+    """A whole request; the names of its headers are in lower case."""
 
     method: bytes
     target: bytes
@@ -49,9 +49,9 @@
 
 
 def without(headers: Headers, dropped: frozenset[bytes]) -> Headers:
-    """Return the headers that concern both ends, less the dropped ones.
+    """Return the end-to-end headers, without the dropped ones.
 
-    A header that `Connection` names concerns one connection too.
+    The headers that `Connection` names apply to one connection and are left out too.
     """
     named = {
         item.strip().lower()
--- a/packages/runtime/src/damaskwind/runtime/http1/server.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/server.py
@@ -1,8 +1,8 @@
-"""Serve HTTP/1.1: one protocol a connection, one request at a time on it.
+"""An HTTP/1.1 server with one request at a time on each connection.
 
-A request is handed over whole, with its body. The handler answers through its
-`Exchange`; when the caller closes the connection, the handler's task is
-cancelled, so that whoever awaits a target's answer stops at once.
+The handler gets a request whole, with its body, and answers through its `Exchange`.
+When the caller closes the connection, the handler's task is cancelled, so that it
+stops waiting for a target's answer at once.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 __all__ = ["HttpServer", "ServerLimits"]
 
-# Bytes that a slow caller may leave unsent before its handler waits.
+# The handler waits while more than this many bytes are unsent to a slow caller.
 WRITE_BUFFER_BYTES = 65_536
 
 
@@ -37,7 +37,7 @@
 
 
 def _head_bytes(head: h11.Request) -> int:
-    """Return the size of a request's head as it is written."""
+    """Return the size of a request's head on the wire."""
     fields = sum(len(name) + len(value) + 4 for name, value in head.headers)
     return len(head.method) + len(head.target) + 12 + fields
 
@@ -76,7 +76,7 @@
         self._restart_timer(self._server.limits.idle_timeout_s)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; those behind the present request wait for its answer."""
+        """Parse bytes; those after the present request are buffered until it is answered."""
         self._parser.receive_data(data)
         if self._task is None:
             if self._head is None and not self._has_partial_head:
@@ -85,12 +85,12 @@
             self._read_events()
 
     def eof_received(self) -> bool:
-        """Drop what the caller, who has left, did not take."""
+        """Drop unsent data, since the caller has left."""
         self._transport.abort()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Stop whatever works for this caller."""
+        """Cancel the work for this caller."""
         self._is_lost = True
         self._stop_timer()
         self._server.connections.discard(self)
@@ -99,11 +99,11 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the transport's buffer is full."""
+        """Record that the transport's buffer is full."""
         self._is_paused = True
 
     def resume_writing(self) -> None:
-        """Note that the transport takes bytes again."""
+        """Wake the handler, since the transport accepts bytes again."""
         self._resume()
 
     def _resume(self) -> None:
@@ -112,24 +112,24 @@
             self._writable.set_result(None)
 
     async def drained(self) -> None:
-        """Wait until there is room to write."""
+        """Wait until the write buffer has space, or the caller has left."""
         if self._is_paused and not self._is_lost:
             self._writable = asyncio.get_running_loop().create_future()
             await self._writable
 
     async def taken(self) -> None:
-        """Wait until the system has taken all that was written, or the caller has left."""
+        """Wait until the operating system accepted all that was written, or the caller left."""
         self._transport.set_write_buffer_limits(high=0)
         await self.drained()
 
     @property
     def caller(self) -> str:
-        """Return the other end's address."""
+        """Return the caller's address as `host:port`."""
         host, port, *_ = self._transport.get_extra_info("peername") or ("", 0)
         return f"{host}:{port}"
 
     def close_if_idle(self) -> None:
-        """Close a kept connection that carries no request."""
+        """Close the connection if it carries no request."""
         if self.is_idle:
             self._transport.close()
 
@@ -148,14 +148,14 @@
         self._timer = None
 
     def _on_timeout(self) -> None:
-        """Close an idle connection; tell a caller that is too slow."""
+        """Close an idle connection; answer a caller that is too slow with 408."""
         if self.is_idle:
             self._transport.close()
             return
         self._refuse(408)
 
     def _read_events(self) -> None:
-        """Take events from the parser until a request is whole."""
+        """Handle the parser's events until a request is complete."""
         try:
             while self._task is None:
                 event = self._parser.next_event()
@@ -168,7 +168,7 @@
             self._refuse(error.error_status_hint)
 
     def _handle_event(self, event: Any) -> bool:
-        """Take one event; tell whether to go on reading."""
+        """Handle one event; tell whether to continue reading."""
         if isinstance(event, h11.Request):
             if _head_bytes(event) > self._server.limits.header_bytes:
                 self._refuse(431)
@@ -192,7 +192,7 @@
         return True
 
     def _start(self) -> None:
-        """Hand the whole request to the handler."""
+        """Start the handler on the complete request."""
         head = self._head
         self._stop_timer()
         request = Request(head.method, head.target, list(head.headers), b"".join(self._body))
@@ -201,7 +201,7 @@
         self._task = asyncio.ensure_future(self._run(exchange))
 
     async def _run(self, exchange: Exchange) -> None:
-        """Run the handler; an exception of its own is answered, never swallowed."""
+        """Run the handler; if it raises, log the exception and answer the request."""
         self._server.active += 1
         try:
             await self._server.handler(exchange)
@@ -221,14 +221,14 @@
             self._next_request()
 
     def _answer_failure(self, exchange: Exchange) -> None:
-        """Say that this process failed: whether the request ran is not known."""
+        """Answer with status 500: it is unknown whether the request ran."""
         if exchange.has_begun or self._is_lost:
             self.abort()
             return
         exchange.respond(Answer(500, [], b""), close=True)
 
     def _next_request(self) -> None:
-        """Get ready for the next request on this connection."""
+        """Prepare for the next request on this connection."""
         self._head = None
         self._has_partial_head = False
         if self._parser.our_state is not h11.DONE or self._parser.their_state is not h11.DONE:
@@ -260,7 +260,7 @@
         self._send(head, *body, h11.EndOfMessage())
 
     def _head_event(self, status: int, headers: Headers, close: bool) -> h11.Response:
-        """Return the head, with what it says of the connection's future."""
+        """Return the head with `Connection: close` or `Keep-Alive`."""
         if close or self._server.is_closing:
             headers = [*headers, (b"connection", b"close")]
         elif self._server.limits.idle_timeout_s >= 1:
@@ -306,27 +306,27 @@
         return listener.getsockname()[1]
 
     def notify_request_end(self) -> None:
-        """Wake whoever waits for the last request to end."""
+        """Wake the tasks that wait for the last request to end, if no request is left."""
         if not self.active:
             self._idle.set()
 
     def close_after_answers(self) -> None:
-        """Have every answer from now on end its connection."""
+        """Make every answer from now on close its connection."""
         self.is_closing = True
 
     def close_idle(self) -> None:
-        """Close the kept connections that carry no request."""
+        """Close the connections that carry no request."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     async def stop_listening(self) -> None:
-        """Take no new connections, and wait until the socket is closed."""
+        """Stop accepting connections, and wait until the socket is closed."""
         opening, self._opening = self._opening, None
         if opening is not None:
             (await opening).close()
 
     async def wait_until_idle(self, limit_s: float) -> bool:
-        """Wait until no request is being answered; tell whether that came in time."""
+        """Wait until no request is in progress; return `False` if the limit expires first."""
         deadline_s = read_clock() + limit_s
         while self.active:
             self._idle.clear()
--- a/packages/runtime/src/damaskwind/runtime/http1/tests/__init__.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this package."""
+"""Tests of the HTTP client and server."""
--- a/packages/runtime/src/damaskwind/runtime/http1/tests/test_client.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client against raw bytes: whole, cut, doubled and stray answers."""
+"""Tests of the HTTP client with raw answers: whole, truncated, duplicate and unrequested."""
 
 import asyncio
 import socket
@@ -57,7 +57,7 @@
         return connection, peer
 
     @asyncio_test
-    async def test_clean_connection_carries_a_second_request(self):
+    async def test_connection_is_reused_for_a_second_request(self):
         connection, peer = await self.answer(WHOLE)
         head = await connection.read_head()
         self.assertEqual((head.status, await connection.read_body(10)), (200, b"ok"))
@@ -68,14 +68,14 @@
         self.assertEqual((await calling).body, b"ok")
 
     @asyncio_test
-    async def test_bytes_after_the_answer_make_it_unclean(self):
+    async def test_bytes_after_the_answer_prevent_reuse(self):
         connection, _ = await self.answer(WHOLE + b"HTTP/1.1 200 OK\r\n")
         await connection.read_head()
         await connection.read_body(10)
         self.assertFalse(connection.release())
 
     @asyncio_test
-    async def test_bytes_while_idle_make_it_unclean(self):
+    async def test_bytes_on_an_idle_connection_prevent_reuse(self):
         connection, peer = await self.answer(WHOLE)
         await connection.read_head()
         await connection.read_body(10)
@@ -85,7 +85,7 @@
         self.assertFalse(connection.is_open)
 
     @asyncio_test
-    async def test_skipped_answer_makes_room_for_the_next_one(self):
+    async def test_next_answer_is_read_after_a_skipped_one(self):
         connection, _ = await self.answer(WHOLE + WHOLE.replace(b"ok", b"me"))
         await connection.read_head()
         await connection.read_body(10)
@@ -103,7 +103,7 @@
                 await connection.read_body(10)
 
     @asyncio_test
-    async def test_unframed_answer_is_whole_by_an_orderly_end_only(self):
+    async def test_unframed_answer_is_whole_only_after_an_orderly_end(self):
         data = b"HTTP/1.1 200 OK\r\n\r\nall"
         connection, _ = await self.answer(data, lambda peer: peer.close())
         await connection.read_head()
@@ -117,7 +117,7 @@
             await connection.read_data()
 
     @asyncio_test
-    async def test_refused_connection_carried_nothing(self):
+    async def test_refused_connection_raises_connect_failed(self):
         self.listener.close()
         with self.assertRaises(ConnectFailedError):
             await connect(self.address, 1.0)
--- a/packages/runtime/src/damaskwind/runtime/http1/tests/test_server.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP server against raw bytes."""
+"""Tests of the HTTP server with raw requests."""
 
 import asyncio
 
@@ -48,7 +48,7 @@
             await exchange.deliver(answer, self.deliveries.append)
             return
         if exchange.request.target == b"/fail":
-            raise ValueError("of its own")
+            raise ValueError("handler fails")
         exchange.respond(Answer(200, [], exchange.request.body or b"ok"))
 
     async def open(self):
@@ -69,7 +69,7 @@
         self.assertEqual(len(self.requests), 2)
 
     @asyncio_test
-    async def test_large_answer_is_told_as_whole_and_the_connection_is_kept(self):
+    async def test_large_answer_is_reported_as_whole_and_the_connection_is_kept(self):
         reader, writer = await self.open()
         writer.write(b"GET /large HTTP/1.1\r\nhost: h\r\n\r\n")
         head = await self.read(reader, b"\r\n\r\n")
@@ -83,7 +83,7 @@
         self.assertLessEqual(delivery.first_byte_s, delivery.last_byte_s)
 
     @asyncio_test
-    async def test_caller_that_leaves_a_large_answer_is_told(self):
+    async def test_partial_delivery_is_reported_when_the_caller_leaves(self):
         reader, writer = await self.open()
         writer.write(b"GET /large HTTP/1.1\r\nhost: h\r\n\r\n")
         await self.read(reader, b"\r\n\r\n")
@@ -96,7 +96,7 @@
         self.assertLess(delivery.taken_bytes, LARGE_BYTES)
 
     @asyncio_test
-    async def test_second_request_behind_the_first_waits_for_its_answer(self):
+    async def test_pipelined_requests_are_answered_in_order(self):
         reader, writer = await self.open()
         writer.write(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\nGET /b HTTP/1.1\r\nhost: h\r\n\r\n")
         await self.read(reader, b"\r\n\r\nok")
@@ -104,7 +104,7 @@
         self.assertEqual([request.target for request in self.requests], [b"/a", b"/b"])
 
     @asyncio_test
-    async def test_chunked_body_comes_whole_and_holds_no_second_request(self):
+    async def test_chunked_body_is_not_parsed_as_a_second_request(self):
         reader, writer = await self.open()
         inner = b"GET /x HTTP/1.1\r\n\r\n"
         writer.write(b"POST /a HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n")
@@ -146,7 +146,7 @@
         self.assertEqual(self.requests, [])
 
     @asyncio_test
-    async def test_slow_head_is_told_so_and_idle_connection_is_closed(self):
+    async def test_slow_head_gets_408_and_idle_connection_is_closed(self):
         reader, writer = await self.open()
         writer.write(b"GET /a HTTP/1.1\r\nho")
         data = await asyncio.wait_for(reader.read(), WAIT_S)
@@ -170,7 +170,7 @@
         self.assertEqual(self.cancelled, 1)
 
     @asyncio_test
-    async def test_handler_that_fails_is_answered(self):
+    async def test_failing_handler_gives_500(self):
         reader, writer = await self.open()
         writer.write(b"GET /fail HTTP/1.1\r\nhost: h\r\n\r\n")
         data = await asyncio.wait_for(reader.read(), WAIT_S)
@@ -178,7 +178,7 @@
         self.flushLoggedErrors()
 
     @asyncio_test
-    async def test_drain_finishes_what_is_in_hand_and_closes_the_rest(self):
+    async def test_drain_finishes_requests_in_progress_and_closes_idle_connections(self):
         idle_reader, _ = await self.open()
         reader, writer = await self.open()
         writer.write(b"GET /hold HTTP/1.1\r\nhost: h\r\n\r\n")
--- a/packages/runtime/src/damaskwind/runtime/http1/transports.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/transports.py
@@ -1,4 +1,4 @@
-"""What asyncio's transports lack: an end that the peer can tell from an orderly one."""
+"""Reset of a connection, which the peer can distinguish from an orderly end."""
 
 import asyncio
 import socket
@@ -6,13 +6,13 @@
 
 __all__ = ["reset"]
 
-# Linger for no time: the peer gets a reset, and an answer that is cut off can't
-# be taken for one that ends with its connection.
+# With a linger time of zero the peer gets a reset, so that it can't mistake a truncated
+# answer for one that ends with its connection.
 _NO_LINGER = struct.pack("ii", 1, 0)
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """End a connection by a reset; what was not sent yet is dropped."""
+    """End a connection with a reset and drop unsent data."""
     handle = transport.get_extra_info("socket")
     if handle is not None and handle.fileno() >= 0:
         handle.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
--- a/packages/runtime/src/damaskwind/runtime/lifecycle.py
+++ b/packages/runtime/src/damaskwind/runtime/lifecycle.py
@@ -1,4 +1,4 @@
-"""Run one role on the reactor's loop from its start to a signal."""
+"""Run one role of a process from its start until a signal stops it."""
 
 import asyncio
 import signal
@@ -24,10 +24,10 @@
 
 
 class RunningProcess(Protocol):
-    """What a role hands back: it can be asked to stop gracefully."""
+    """A started role, which can be stopped gracefully."""
 
     def stop(self) -> Awaitable[None]:
-        """Finish the work in hand, then release everything."""
+        """Finish the work in progress, then release all resources."""
 
 
 async def serve_until_signal(
@@ -35,8 +35,8 @@
 ) -> int:
     """Start a role, wait for SIGTERM or SIGINT, and stop it gracefully.
 
-    A second signal during the stop is logged and changes nothing: what is in
-    progress has its own limit. SIGHUP calls `reload`.
+    A second signal during the stop has no effect, since the work in progress has its
+    own time limit. SIGHUP calls `reload`.
     """
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
@@ -46,7 +46,7 @@
         loop.add_signal_handler(signal.SIGHUP, reload)
     try:
         process = await start()
-    except Exception as error:  # the daemon's last word: log it and exit non-zero
+    except Exception as error:  # logged, since the process then exits non-zero
         logger.opt(exception=error).error("start failed")
         return EXIT_FAILED
     failed = asyncio.ensure_future(_wait_for_failure(process))
@@ -64,7 +64,7 @@
 
 
 async def _wait_for_failure(process: Any) -> Any:
-    """Wait for a role's own fatal failure, if it can report one."""
+    """Wait for a fatal failure of a role; forever if the role reports none."""
     failed = getattr(process, "failed", None)
     if failed is None:
         await asyncio.Event().wait()
@@ -72,7 +72,7 @@
 
 
 def run_on_loop(main_task: Callable[[], Awaitable[int]]) -> int:
-    """Run a coroutine on a loop of asyncio's own and return its exit code."""
+    """Run a coroutine on an asyncio loop without a reactor and return its exit code."""
 
     async def run() -> int:
         try:
--- a/packages/runtime/src/damaskwind/runtime/load_meter.py
+++ b/packages/runtime/src/damaskwind/runtime/load_meter.py
@@ -1,8 +1,8 @@
-"""Tell how late a process's loop runs, how long its peers take to answer, and what it sent.
+"""Log how late a process's loop runs, how long its peers take to answer, and what it sent.
 
-A process that keeps a lease has to know when its own loop or link was the
-reason that it lost it. The meter looks ten times a second; once a second it
-writes one line, but only when there is something to be seen.
+The lines show when a process lost a lease because of its own loop or link. The meter
+samples ten times a second and logs at most one line a second, only if a threshold is
+exceeded.
 """
 
 import asyncio
@@ -15,16 +15,19 @@
 
 __all__ = ["LoadMeter"]
 
-# A loop that is later than this delays whatever keeps a lease of a second.
+# A loop that is later than this endangers the renewal of a lease of one second.
 MIN_LATE_S = 0.1
 SAMPLE_INTERVAL_S = 0.1
 LOG_INTERVAL_S = 1.0
-# A sixth of a link of 3 Mbit/s: below it nothing waits for long.
+# A sixth of a link of 3 Mbit/s in a second; below this, nothing queues for long.
 MIN_SENT_BYTES = 64_000
 
 
 class LoadMeter:
-    """Watch the running loop. `slowest_call_s` tells how long a peer takes to answer."""
+    """Monitors the running loop.
+
+    `slowest_call_s` returns the time that the slowest peer takes to answer.
+    """
 
     def __init__(self, tallies: Tallies, slowest_call_s: Callable[[], float]) -> None:
         self.late_s = 0.0
@@ -37,12 +40,12 @@
         self._sent: dict[str, int] = {}
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start sampling."""
         self._interval_start_s = read_clock()
         self._schedule_sample()
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop sampling."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -60,7 +63,7 @@
         self._schedule_sample()
 
     def _log_interval(self, now_s: float) -> None:
-        """Write the line of the last second, and begin the next."""
+        """Log the last interval if it exceeds a threshold, and start the next."""
         span_s = now_s - self._interval_start_s
         sent = {labels[0][1]: total for labels, total in self._tallies.totals("sent_bytes").items()}
         last = {kind: total - self._sent.get(kind, 0) for kind, total in sent.items()}
--- a/packages/runtime/src/damaskwind/runtime/logging.py
+++ b/packages/runtime/src/damaskwind/runtime/logging.py
@@ -26,7 +26,7 @@
 
 
 def configure_logging(level: str, log_format: str, node_id: str) -> None:
-    """Send logs to standard error in `json`, `text` or, for `auto`, what fits it.
+    """Send logs to standard error as `json` or `text`; `auto` is text on a terminal.
 
     Every record carries `node`. Log with keyword arguments rather than with
     formatted text: `logger.info("target ejected", target="engine-1")`.
--- a/packages/runtime/src/damaskwind/runtime/metrics.py
+++ b/packages/runtime/src/damaskwind/runtime/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics through OpenTelemetry, shown in the Prometheus text format.
+"""Metrics through OpenTelemetry, rendered in the Prometheus text format.
 
-A process makes one `Metrics`. Names follow the field: `requests` becomes
+A process makes one `Metrics`. A counter `requests` becomes
 `damaskwind_requests_total` in the text that a scraper reads.
 """
 
@@ -28,7 +28,7 @@
 
 
 def _observer(read: Callable[[], Iterable[Sample]]) -> Callable[[CallbackOptions], Any]:
-    """Turn a function that gives samples into an OpenTelemetry callback."""
+    """Turn a function that returns samples into an OpenTelemetry callback."""
 
     def observe(options: CallbackOptions) -> Iterable[Observation]:
         return [Observation(sample.value, dict(sample.labels)) for sample in read()]
@@ -72,13 +72,13 @@
     def gauge(
         self, name: str, unit: str, description: str, read: Callable[[], Iterable[Sample]]
     ) -> None:
-        """Make a gauge whose samples `read` gives whenever a scraper asks."""
+        """Make a gauge whose samples `read` returns at each scrape."""
         self._meter.create_observable_gauge(name, [_observer(read)], unit, description)
 
     def total(
         self, name: str, unit: str, description: str, read: Callable[[], Iterable[Sample]]
     ) -> None:
-        """Make a counter that is read from elsewhere whenever a scraper asks."""
+        """Make a counter whose samples `read` returns at each scrape."""
         self._meter.create_observable_counter(name, [_observer(read)], unit, description)
 
     def render(self) -> bytes:
--- a/packages/runtime/src/damaskwind/runtime/metrics_site.py
+++ b/packages/runtime/src/damaskwind/runtime/metrics_site.py
@@ -1,4 +1,4 @@
-"""Serve a process's metrics as text."""
+"""Serve a process's metrics in the Prometheus text format."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,10 @@
 
 
 class MetricsSite:
-    """The server behind the metrics address; `handlers` answer what else begins with a path."""
+    """The server at the metrics address.
+
+    `handlers` maps other path prefixes to their handlers.
+    """
 
     def __init__(self, tallies: Tallies) -> None:
         self._tallies = tallies
@@ -40,7 +43,7 @@
         if target != METRICS_PATH:
             exchange.respond(Answer(404, []))
             return
-        # The first time, this loads the library that writes the text.
+        # The first call loads the library that renders the text.
         loop = asyncio.get_running_loop()
         text = await loop.run_in_executor(None, self._tallies.render)
         exchange.respond(Answer(200, _TEXT, text))
--- a/packages/runtime/src/damaskwind/runtime/monotonic_reactor.py
+++ b/packages/runtime/src/damaskwind/runtime/monotonic_reactor.py
@@ -1,7 +1,7 @@
 """An asyncio reactor whose clock is monotonic.
 
-It is a module of its own, since it loads Twisted's reactor, which must not happen
-before `damaskwind.runtime.reactor` has left TLS out.
+It is in a separate module because importing it loads Twisted's reactor, which must not
+happen before `damaskwind.runtime.reactor` has disabled the import of TLS.
 """
 
 from twisted.internet.asyncioreactor import AsyncioSelectorReactor
@@ -12,7 +12,7 @@
 
 
 class MonotonicReactor(AsyncioSelectorReactor):
-    """An asyncio reactor whose `seconds` only go forward."""
+    """An asyncio reactor whose `seconds` never go back."""
 
     def seconds(self) -> float:
         """Return monotonic seconds; every timer of the reactor runs by them."""
--- a/packages/runtime/src/damaskwind/runtime/reactor.py
+++ b/packages/runtime/src/damaskwind/runtime/reactor.py
@@ -1,8 +1,8 @@
 """Install an asyncio reactor with a monotonic clock.
 
-Twisted and grpclib then share one loop, and no lease, deadline or timer moves
-when the VM's wall clock jumps: Twisted's own reactors read the wall clock.
-Install it before anything imports `twisted.internet.reactor`.
+Twisted and grpclib then share one loop, and jumps of the VM's wall clock don't affect
+leases, deadlines or timers; Twisted's own reactors read the wall clock. Install the
+reactor before anything imports `twisted.internet.reactor`.
 """
 
 import asyncio
@@ -13,9 +13,9 @@
 
 
 def _leave_out_tls() -> None:
-    """Have Twisted load no TLS, which nothing here speaks: 12 MB of each process.
+    """Prevent Twisted from loading TLS, which is unused and takes 12 MB per process.
 
-    `None` makes the import fail, as where pyOpenSSL is not installed.
+    `None` makes the import fail as if pyOpenSSL were not installed.
     """
     if "twisted.internet" not in sys.modules:
         sys.modules.setdefault("OpenSSL", None)
--- a/packages/runtime/src/damaskwind/runtime/settings.py
+++ b/packages/runtime/src/damaskwind/runtime/settings.py
@@ -1,7 +1,7 @@
 """Read and check the daemon's settings file.
 
-One TOML file describes one process: `[node]` says who and where it is, and
-either `[router]` or `[control]` what it does.
+One TOML file describes one process: `[node]` gives its identity and location, and
+`[router]` or `[control]` its role.
 """
 
 import tomllib
@@ -25,7 +25,10 @@
 
 
 class NodeSettings(NamedTuple):
-    """Who this process is. `cluster_key` authenticates the system's own messages."""
+    """The identity and location of a process.
+
+    `cluster_key` authenticates the messages between the processes of the cluster.
+    """
 
     node_id: str
     cluster: str
@@ -37,7 +40,7 @@
 
 
 class ReplicaSettings(NamedTuple):
-    """A control replica that this process may talk to: `address` for grpclib."""
+    """A control replica that this process may call at `address` by grpclib."""
 
     replica_id: str
     address: str
@@ -45,16 +48,15 @@
 
 
 class RouterSettings(NamedTuple):
-    """The router. Addresses are `IP:port`; port 0 takes a free one.
-
-    `datagram_address` is where other routers reach it by UDP, `peer_address`
-    by grpclib. `seeds` are the datagram addresses of some routers, `replicas`
-    the control replicas. `failure_domains` names all of the deployment, the
-    same on every router, since account limits are divided over them;
-    `near_failure_domains` those among whose engines a chat has one home.
-    `state_file`, when set, keeps the highest revision over a restart.
-    `configuration_file` serves a fixed configuration without any control
-    replica.
+    """The settings of a router. Addresses are `IP:port`; port 0 picks a free one.
+
+    Other routers reach it by UDP at `datagram_address` and by grpclib at
+    `peer_address`. `seeds` are the datagram addresses of some routers, and `replicas`
+    are the control replicas. `failure_domains` names all failure domains of the
+    deployment, the same on every router, since account limits are divided over them.
+    `near_failure_domains` are those among whose engines each chat has a single home.
+    `state_file`, when set, preserves the highest revision over a restart.
+    `configuration_file` gives a fixed configuration, without any control replica.
     """
 
     http_address: str
@@ -77,18 +79,18 @@
 
 
 class ControlSettings(NamedTuple):
-    """The control replica. `operator_address` serves the intent API over HTTP.
-
-    `bootstrap_replicas` are the first members of a new cluster; a replica with
-    an empty data folder that is not among them waits to be added.
-    `bootstrap_operator_key_hash` (SHA-256 in hex) lets the first operator in.
-    With `fixed_addresses` those replicas are reached where these settings say,
-    whatever they tell of themselves: for forwarded ports, which may differ from
-    one machine to the next. A replica that may not found a cluster only joins
-    one; one that joins unlisted asks to be added though it is not among the
-    bootstrap replicas, and again when it finds itself left out. A voter that
-    is silent for `replace_after_s` gives its place to a newcomer. At least
-    `least_voters` and at most `most_voters` replicas vote, once there are so many.
+    """The settings of a control replica. `operator_address` serves the intent API over HTTP.
+
+    `bootstrap_replicas` are the initial members of a new cluster; a replica with an
+    empty data folder that is not among them waits to be added.
+    `bootstrap_operator_key_hash` (SHA-256 in hex) authenticates the first operator.
+    With `fixed_addresses`, those replicas are reached at the addresses in these
+    settings rather than at those they announce: for forwarded ports, which may differ
+    from one machine to the next. A replica without `may_found` never founds a cluster
+    but only joins one. With `joins_unlisted` it asks to be added although it is not
+    among the bootstrap replicas, and again when it finds that it was removed. A voter
+    that is silent for `replace_after_s` is replaced by a newcomer. At least
+    `least_voters` and at most `most_voters` replicas vote, once there are that many.
     """
 
     replica_address: str
@@ -110,7 +112,7 @@
 
 
 class Settings(NamedTuple):
-    """A whole settings file."""
+    """The contents of a settings file."""
 
     node: NodeSettings
     router: RouterSettings | None = None
@@ -126,7 +128,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Split `IP:port`; raise `ValueError` when it is not one.
+    """Split `IP:port`; raise `ValueError` if the text is malformed.
 
     >>> parse_address("127.0.0.1:8080")
     Address(host='127.0.0.1', port=8080)
@@ -138,7 +140,7 @@
 
 
 def _named_addresses(table: dict[str, Any]) -> list[tuple[str, Any]]:
-    """List the addresses that a raw table holds, each with its path."""
+    """List the addresses in a raw table, each with its path."""
     named = [(name, table[name]) for name in _ADDRESS_FIELDS if name in table]
     seeds = table.get("seeds", ())
     if isinstance(seeds, list | tuple):
@@ -152,10 +154,10 @@
 
 
 def _value_mistakes(table: dict[str, Any], path: str) -> list[str]:
-    """Name the addresses that are none and the numbers that are negative.
+    """List the malformed addresses and the negative numbers.
 
-    The raw table is looked at, so that a mistake of another kind elsewhere in
-    it hides nothing.
+    This checks the raw table, so that mistakes of another kind elsewhere in it don't
+    hide these.
     """
     mistakes = []
     for name, text in _named_addresses(table):
@@ -173,7 +175,7 @@
 
 
 def check_settings(raw: dict[str, Any]) -> Settings:
-    """Turn a parsed file into settings; raise `SettingsError` with every mistake."""
+    """Convert a parsed file to settings; raise `SettingsError` with every mistake."""
     mistakes = [
         f"{name}: unknown table; expected node, router or control"
         for name in raw
--- a/packages/runtime/src/damaskwind/runtime/settings_watch.py
+++ b/packages/runtime/src/damaskwind/runtime/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notice that a settings file has changed, with a signal or without one."""
+"""Reload a settings file when it changes, or on a signal."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,12 +11,12 @@
 
 __all__ = ["SettingsWatch"]
 
-# Files change rarely, and nothing in them is needed at once.
+# Files change rarely, and no change in them is urgent.
 POLL_INTERVAL_S = 2.0
 
 
 class SettingsWatch:
-    """Read a file again when its time or size changes and hand over what it says."""
+    """Reads a file when its modification time or size changes and applies its contents."""
 
     def __init__(
         self,
@@ -30,11 +30,11 @@
         self._last_status = self._read_status()
 
     def start(self) -> None:
-        """Look at the file now and then."""
+        """Start polling the file for changes."""
         asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._check)
 
     def reload(self) -> None:
-        """Read the file now; a mistake in it leaves what is in force."""
+        """Read the file now; if it has a mistake, keep the settings in force."""
         self._last_status = self._read_status()
         try:
             raw = self._read(self._path)
--- a/packages/runtime/src/damaskwind/runtime/tallies.py
+++ b/packages/runtime/src/damaskwind/runtime/tallies.py
@@ -1,9 +1,8 @@
-"""Count from the first moment, and show it as text when somebody asks.
+"""Metrics with a small footprint, rendered in the Prometheus text format.
 
-Counts are plain numbers; the library that writes the text is loaded when it is
-first asked for, since it would be a fifth of a small process's memory and of
-its start. The format is that of Prometheus; names and units follow
-`runtime.metrics`.
+Counts are plain numbers. The library that renders the text is loaded at the first
+request for it, since it accounts for a fifth of a small process's memory and start
+time. Names and units follow `runtime.metrics`.
 """
 
 import sys
@@ -21,7 +20,7 @@
 
 
 class Gauge(NamedTuple):
-    """A value that is read whenever somebody asks."""
+    """A value that is read at each scrape."""
 
     name: str
     description: str
@@ -29,7 +28,7 @@
 
 
 class _Histogram:
-    """Counts of durations by the bounds above, and their sum."""
+    """Counts of durations by the bounds `LATENCY_BOUNDS_S`, and their sum."""
 
     __slots__ = ("counts", "sum_s")
 
@@ -78,12 +77,12 @@
         histogram.sum_s += duration_s
 
     def gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
-        """Show a value that `read` gives."""
+        """Add a gauge whose value `read` returns."""
         self.gauges.append(Gauge(name, description, read))
 
     def render(self) -> bytes:
-        """Return everything as text."""
-        # A process may have left TLS out at its start; the library doesn't load without it.
+        """Return all metrics in the Prometheus text format."""
+        # A process may have blocked the import of TLS, without which the library doesn't load.
         if sys.modules.get("ssl", sys) is None:
             del sys.modules["ssl"]
         from prometheus_client.exposition import generate_latest
@@ -91,7 +90,7 @@
         return generate_latest(self)
 
     def collect(self) -> Iterable[Any]:
-        """Yield the families of metrics, as the library asks for them."""
+        """Yield the families of metrics, as the library requires of a collector."""
         from prometheus_client.metrics_core import (
             CounterMetricFamily,
             GaugeMetricFamily,
--- a/packages/runtime/src/damaskwind/runtime/tests/test_bounded_log.py
+++ b/packages/runtime/src/damaskwind/runtime/tests/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Tests of the log writer: order, bound, and a reader that does not read."""
+"""Tests of the log writer: order, bound, and a reader that doesn't keep up."""
 
 import os
 
@@ -24,7 +24,7 @@
                 return data
 
     @asyncio_test
-    async def test_lines_come_in_order_after_a_flush(self):
+    async def test_flush_writes_lines_in_order(self):
         log = BoundedWriter(self.writer)
         log.write(b"one\n")
         log.write(b"two\n")
@@ -32,7 +32,7 @@
         self.assertEqual(self.read(), b"one\ntwo\n")
 
     @asyncio_test
-    async def test_a_reader_that_does_not_read_costs_lines_and_no_time(self):
+    async def test_stalled_reader_causes_dropped_lines_but_no_blocking(self):
         log = BoundedWriter(self.writer, limit_bytes=100_000)
         for _ in range(4000):
             log.write(b"x" * 99 + b"\n")
--- a/packages/runtime/src/damaskwind/runtime/tests/test_reactor.py
+++ b/packages/runtime/src/damaskwind/runtime/tests/test_reactor.py
@@ -1,4 +1,4 @@
-"""Test of the reactor's clock, in a process whose wall clock jumps."""
+"""Tests of the reactor's clock in a process whose wall clock jumps."""
 
 import subprocess
 import sys
--- a/packages/runtime/src/damaskwind/runtime/tests/test_settings.py
+++ b/packages/runtime/src/damaskwind/runtime/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings file's check."""
+"""Tests of the checks of a settings file."""
 
 from unittest import TestCase
 
@@ -26,12 +26,12 @@
             check_settings(raw)
         return caught.exception.mistakes
 
-    def test_good_settings_get_their_defaults(self):
+    def test_valid_settings_get_their_defaults(self):
         settings = check_settings({"node": NODE, "router": ROUTER})
         self.assertEqual(settings.router.drain_delay_s, 5.0)
         self.assertIsNone(settings.control)
 
-    def test_every_mistake_is_named_at_once(self):
+    def test_all_mistakes_are_reported_at_once(self):
         router = {**ROUTER, "http_adress": "x", "drain_delay_s": "soon"}
         del router["announce_key"]
         mistakes = self.mistakes({"node": NODE, "router": router, "rooter": {}})
@@ -48,14 +48,14 @@
         self.assertIn("router.seeds[0]: expected IP:port, got 'nowhere'", mistakes)
         self.assertTrue(any("control_bytes_per_s" in mistake for mistake in mistakes))
 
-    def test_an_address_told_to_others_is_no_wildcard(self):
+    def test_wildcard_as_an_advertised_address_is_refused(self):
         router = {**ROUTER, "datagram_address": "0.0.0.0:7000"}
         self.assertEqual(
             self.mistakes({"node": NODE, "router": router}),
             ["router.datagram_address: expected the IP number that others use, got '0.0.0.0'"],
         )
 
-    def test_one_role_is_needed(self):
+    def test_settings_without_a_role_are_refused(self):
         self.assertIn(
             "router or control: one of the two tables is needed", self.mistakes({"node": NODE})
         )
