--- a/packages/model/src/damaskwind/model/checking.py
+++ b/packages/model/src/damaskwind/model/checking.py
@@ -1,8 +1,7 @@
-"""Check untyped tables against typed ones and name every mistake at once.
+"""Check untyped tables against `NamedTuple` classes and report all mistakes at once.
 
-The types are `NamedTuple` classes. A sound table is converted by msgspec in one
-step. Any other is gone through a field at a time, so that one mistake does not
-hide the next.
+A valid table is converted by msgspec in one step. Any other is checked field by
+field, so that one mistake doesn't hide the next.
 """
 
 from difflib import get_close_matches
@@ -25,7 +24,7 @@
 
 
 def _unknown_key(path: str, key: str, known: list[str]) -> str:
-    """Say that a key is unknown and which known one is nearest."""
+    """Return the message for an unknown key, with the most similar known one."""
     nearest = get_close_matches(key, known, n=1)
     hint = f"; did you mean '{nearest[0]}'?" if nearest else ""
     return f"{path}.{key}: unknown key{hint}"
@@ -59,7 +58,10 @@
 
 
 class _Field(NamedTuple):
-    """A field of a type: `table` is the type of the table, or of each in a list."""
+    """A field of a class.
+
+    `table` is the class of a nested table, or of each table in a list, or else `None`.
+    """
 
     name: str
     default: Any
@@ -81,9 +83,9 @@
 
 
 def _in_order(raw: Any, kind: Any) -> list[Any] | None:
-    """Return a table's values in the order of the fields, as msgspec takes them.
+    """Return a table's values in the order of the fields, as msgspec expects them.
 
-    `None` says that a key is unknown or missing, here or in a nested table.
+    `None` means that a key is unknown or missing, here or in a nested table.
     """
     if not isinstance(raw, dict):
         return None
@@ -106,7 +108,7 @@
 
 
 def _convert_at_once(raw: Any, kind: Any) -> Any:
-    """Return the typed value of a sound table; `None` when it may have mistakes."""
+    """Return the typed value of a valid table; `None` if it may have mistakes."""
     values = _in_order(raw, kind)
     if values is None:
         return None
@@ -119,7 +121,7 @@
 def check_table(raw: Any, kind: Any, path: str) -> CheckedTable:
     """Build the `NamedTuple` class `kind` from the table `raw`.
 
-    Every mistake is named by its path: an unknown key (with the nearest known
+    Every mistake is reported with its path: an unknown key (with the nearest known
     one), a missing key, a value of the wrong type.
 
     >>> class Point(NamedTuple):
--- a/packages/model/src/damaskwind/model/configuration.py
+++ b/packages/model/src/damaskwind/model/configuration.py
@@ -17,7 +17,7 @@
 
 
 class ModelGrant(NamedTuple):
-    """A model version that an account may use; `adapters` names those allowed."""
+    """A model version that an account may use, with the allowed `adapters`."""
 
     model: str
     version: str
@@ -25,9 +25,9 @@
 
 
 class ClientAccount(NamedTuple):
-    """A client account. `key_hashes` are SHA-256 in hex of its API keys.
+    """A client account. `key_hashes` are the SHA-256 digests of its API keys in hex.
 
-    `max_concurrent_requests` and `max_tokens_per_s` hold across the fleet.
+    `max_concurrent_requests` and `max_tokens_per_s` are limits across the fleet.
     """
 
     name: str
@@ -40,7 +40,7 @@
 
 
 class PriorityClass(NamedTuple):
-    """A priority class. Rank 0 is served first; `weight` keeps it from starving."""
+    """A priority class. Rank 0 is served first; `weight` prevents starvation."""
 
     name: str
     rank: int
@@ -50,7 +50,7 @@
 
 
 class ModelVersion(NamedTuple):
-    """A version of a model with the adapters that exist for it."""
+    """A version of a model with its available adapters."""
 
     version: str
     adapters: tuple[str, ...] = ()
@@ -59,7 +59,7 @@
 class Model(NamedTuple):
     """A model and its versions; `service` names the pool of engines that run it.
 
-    Callers name it `model`, `model@version` or `model@version+adapter`; without
+    Callers refer to it as `model`, `model@version` or `model@version+adapter`; without
     a version they get `default_version`.
     """
 
@@ -71,7 +71,7 @@
 
 
 class ServiceRoute(NamedTuple):
-    """How calls below a path of a plain service behave.
+    """How calls below a path of a plain service are handled.
 
     The longest matching prefix wins. A call that is not idempotent is sent at
     most once.
@@ -86,7 +86,7 @@
 class Service(NamedTuple):
     """A pool of targets: `kind` is `engine` or `service`.
 
-    `max_concurrent_requests` bounds what each target is given at once.
+    `max_concurrent_requests` bounds the requests in progress at each target.
     """
 
     name: str
@@ -98,9 +98,9 @@
 class Policy(NamedTuple):
     """The fleet's policy values.
 
-    `load_factor` is the multiple of the mean load that no engine may exceed;
+    `load_factor` bounds the load of each engine as a multiple of the mean load;
     `retry_share` is the largest share of requests that may be retries;
-    `ejection_share` the largest share of a pool that may be ejected.
+    `ejection_share` is the largest share of a pool that may be ejected.
     """
 
     load_factor: float = 1.25
@@ -117,7 +117,7 @@
 
 
 class OperatorKey(NamedTuple):
-    """An operator's key by its SHA-256 in hex; roles: viewer, planner, confirmer."""
+    """An operator's key, as its SHA-256 in hex; roles: viewer, planner, confirmer."""
 
     name: str
     key_hash: str
--- a/packages/model/src/damaskwind/model/configuration_change.py
+++ b/packages/model/src/damaskwind/model/configuration_change.py
@@ -1,7 +1,7 @@
-"""A change of a configuration: whole objects to put and names to delete.
+"""A change of a configuration: complete objects to put and names to delete.
 
-An intent in a file or a request is a table of kinds like a configuration, with
-`delete` beside them:
+An intent in a file or a request is a table of kinds like a configuration, with an
+additional table `delete`:
 
     [accounts.field-technicians]
     priority_class = "interactive"
@@ -35,7 +35,7 @@
 
 
 class ConfigurationChange(NamedTuple):
-    """Objects to put and names to delete, each by kind; `policy` when it is replaced."""
+    """Objects to put and names to delete, each by kind, and the new `policy` if it changes."""
 
     put: dict[str, dict[str, Any]] = {}
     delete: dict[str, tuple[str, ...]] = {}
@@ -43,7 +43,7 @@
 
 
 def _names_to_delete(raw: Any, mistakes: list[str]) -> dict[str, tuple[str, ...]]:
-    """Read the table `delete`; append the mistakes."""
+    """Read the table `delete`; append its mistakes to `mistakes`."""
     if not isinstance(raw, dict):
         mistakes.append("delete: expected a table of lists of names by kind")
         return {}
@@ -59,7 +59,7 @@
 
 
 def change_from_table(raw: Any) -> ConfigurationChange:
-    """Read a change; raise `ConfigurationError` with every mistake of form.
+    """Read a change; raise `ConfigurationError` with every mistake of its form.
 
     >>> change_from_table({"delete": {"accounts": ["clerks"]}}).delete
     {'accounts': ('clerks',)}
@@ -114,9 +114,9 @@
 
 
 def change_between(before: Configuration, after: Configuration) -> ConfigurationChange:
-    """Return the change that leads from one configuration to another.
+    """Return the change from one configuration to another.
 
-    It always states something: the policy, when nothing differs.
+    It is never empty: if nothing differs, it contains the policy.
 
     >>> change_between(Configuration(), Configuration(revision=2)).put
     {}
@@ -139,12 +139,12 @@
 
 
 def encode_change(change: ConfigurationChange) -> bytes:
-    """Return a change as JSON, for a peer that holds its base."""
+    """Return a change as JSON, for a peer that has its base."""
     return msgspec.json.encode(change_to_table(change))
 
 
 def decode_change(payload: bytes) -> ConfigurationChange:
-    """Read a change back; raise `ConfigurationError` when it is none."""
+    """Decode a change; raise `ConfigurationError` if it is malformed."""
     try:
         raw = msgspec.json.decode(payload)
     except msgspec.DecodeError as error:
@@ -153,7 +153,7 @@
 
 
 def check_change(before: Configuration, change: ConfigurationChange) -> list[str]:
-    """Return every mistake that a change would bring or that it has itself."""
+    """Return every mistake of a change and of the configuration that it leads to."""
     mistakes = []
     for kind, names in change.delete.items():
         missing = [name for name in names if name not in getattr(before, kind)]
@@ -165,7 +165,7 @@
 
 
 def touched_objects(change: ConfigurationChange) -> tuple[str, ...]:
-    """Name the objects that a change touches, as `kind.name`, in order."""
+    """Return the sorted names of the objects that a change affects, as `kind.name`."""
     put = [f"{kind}.{name}" for kind, objects in change.put.items() for name in objects]
     gone = [f"{kind}.{name}" for kind, names in change.delete.items() for name in names]
     return tuple(sorted(put + gone + (["policy"] if change.policy is not None else [])))
--- a/packages/model/src/damaskwind/model/configuration_checks.py
+++ b/packages/model/src/damaskwind/model/configuration_checks.py
@@ -1,8 +1,8 @@
-"""Check configuration objects: ranges, names, references; every mistake is named.
+"""Check the ranges, names and references of configuration objects.
 
-Each kind of object has one check of its own fields and one of what it refers
-to. A message names the object and the field and never repeats a value, since
-the value may be a key that was pasted into the wrong place.
+Every mistake is reported. Each kind of object has one check of its own fields and one
+of its references. A message names the object and the field and never repeats a value,
+since the value may be a key that was pasted into the wrong place.
 """
 
 import re
@@ -47,7 +47,7 @@
 
 
 class _Range(NamedTuple):
-    """The least and the greatest value that a field may have."""
+    """The smallest and the largest allowed value of a field."""
 
     low: float
     high: float
@@ -83,7 +83,7 @@
 
 
 def is_name(text: str) -> bool:
-    """Tell whether a text may name an object.
+    """Tell whether a text is a valid name of an object.
 
     >>> is_name("damaskwind-pool"), is_name("a b"), is_name("")
     (True, False, False)
@@ -97,14 +97,14 @@
 
 
 def _range_mistakes(value: Any, path: str) -> Iterator[str]:
-    """Name the numbers of one object that are out of range; NaN always is."""
+    """Report the numbers of one object that are out of range; NaN always is."""
     for field, allowed in _RANGES.get(type(value), {}).items():
         if not allowed.low <= getattr(value, field) <= allowed.high:
             yield f"{path}.{field}: expected {allowed.low:g} to {allowed.high:g}"
 
 
 def _list_mistakes(names: tuple[str, ...], path: str) -> Iterator[str]:
-    """Name the places of a list where a name is malformed or stands twice."""
+    """Report the indexes of a list whose names are malformed or duplicates."""
     for index, name in enumerate(names):
         if not is_name(name):
             yield f"{path}[{index}]: not a name (letters, digits and ._:/-, at most 128)"
@@ -117,7 +117,7 @@
 
 
 def _field_check(kind: type) -> Callable[[FieldCheck], FieldCheck]:
-    """Register the check of the fields of one kind."""
+    """Register the check of the fields of one kind of object."""
 
     def register(check: FieldCheck) -> FieldCheck:
         _FIELD_CHECKS[kind] = check
@@ -154,7 +154,7 @@
 
 
 def _route_mistakes(route: ServiceRoute, path: str) -> Iterator[str]:
-    """Name the mistakes of one route of a plain service."""
+    """Report the mistakes of one route of a plain service."""
     yield from _range_mistakes(route, path)
     if not route.path_prefix.startswith("/"):
         yield f"{path}.path_prefix: expected a path that starts with '/'"
@@ -200,7 +200,7 @@
 
 
 def _object_mistakes(kind: str, name: str, value: Any) -> Iterator[str]:
-    """Name the mistakes that one object has by itself."""
+    """Report the mistakes of one object, apart from its references."""
     path = f"{kind}.{name}"
     if not is_name(name):
         yield f"{kind}: a name is malformed (letters, digits and ._:/-, at most 128)"
@@ -212,7 +212,7 @@
 
 
 def _unknown_reference(path: str, what: str, name: str) -> str:
-    """Say that a reference points nowhere."""
+    """Return the message for a reference to an object that doesn't exist."""
     return f"{path}: no {what} '{name}'" if is_name(name) else f"{path}: not a name of a {what}"
 
 
@@ -223,7 +223,7 @@
 
 
 def _account_references(configuration: Configuration, account: ClientAccount) -> Iterator[str]:
-    """Name what an account refers to that does not exist."""
+    """Report an account's references to objects that don't exist."""
     path = f"accounts.{account.name}"
     if account.priority_class not in configuration.priority_classes:
         yield _unknown_reference(f"{path}.priority_class", "priority class", account.priority_class)
@@ -249,7 +249,7 @@
 
 
 def _model_references(configuration: Configuration, model: Model) -> Iterator[str]:
-    """Name what a model refers to that does not exist or does not fit."""
+    """Report a model's reference to a service that doesn't exist or isn't of engines."""
     path = f"models.{model.name}.service"
     service = configuration.services.get(model.service)
     if service is None:
@@ -259,7 +259,7 @@
 
 
 def _shared_hashes(configuration: Configuration) -> Iterator[str]:
-    """Name the owners of a key hash that another owner has too."""
+    """Report the owners of a key hash that belongs to an earlier owner too."""
     owners: dict[str, str] = {}
     owned_hashes = [(f"operators.{o.name}", o.key_hash) for o in configuration.operators.values()]
     for account in configuration.accounts.values():
@@ -271,7 +271,7 @@
 
 
 def _operator_references(configuration: Configuration) -> Iterator[str]:
-    """Say so when operators exist but no one could ever change anything again."""
+    """Report missing operator roles, without which no further change would be possible."""
     roles = {role for operator in configuration.operators.values() for role in operator.roles}
     for role in ("planner", "confirmer"):
         if configuration.operators and role not in roles:
@@ -279,7 +279,7 @@
 
 
 def _reference_mistakes(configuration: Configuration) -> Iterator[str]:
-    """Name every reference that does not hold."""
+    """Report all broken references and conflicts between objects."""
     for account in configuration.accounts.values():
         yield from _account_references(configuration, account)
     for model in configuration.models.values():
@@ -294,7 +294,7 @@
 
 
 def check_configuration(configuration: Configuration) -> list[str]:
-    """Return every mistake of a configuration; none means that it is sound.
+    """Return every mistake of a configuration; an empty list means that it is valid.
 
     >>> check_configuration(Configuration())
     []
--- a/packages/model/src/damaskwind/model/configuration_codec.py
+++ b/packages/model/src/damaskwind/model/configuration_codec.py
@@ -1,7 +1,8 @@
 """Encode, decode and check a whole configuration; read one from a TOML file.
 
-On the wire and in files a configuration is a table of tables: kind, name,
-fields by name. Unknown fields are refused and every mistake is named at once.
+On the wire and in files, a configuration is nested tables: objects by kind and name,
+and their fields by name. Unknown fields are refused, and all mistakes are reported at
+once.
 """
 
 import tomllib
@@ -42,9 +43,9 @@
 
 
 def check_objects(kind: str, raw: Any, mistakes: list[str]) -> dict[str, Any]:
-    """Build the objects of one kind from a table by name; append the mistakes.
+    """Build the objects of one kind from a table by name; append their mistakes.
 
-    The field `name` may be left out, since the object stands under it.
+    The field `name` may be omitted, since it is the object's key in the table.
     """
     if not isinstance(raw, dict):
         mistakes.append(f"{kind}: expected a table of objects by name")
@@ -60,7 +61,7 @@
 
 
 def _check_policy(raw: Any, mistakes: list[str]) -> Policy:
-    """Build the policy from its table; append the mistakes."""
+    """Build the policy from its table; append its mistakes."""
     checked = check_table(raw, Policy, "policy")
     mistakes += checked.mistakes
     return checked.value if checked.value is not None else Policy()
@@ -81,7 +82,7 @@
         mistakes.append("revision: expected a whole number")
         revision = 0
     configuration = Configuration(revision=revision, policy=policy, **objects)
-    # References of objects that could not be built would be named as missing.
+    # References to objects that couldn't be built would be reported as missing.
     mistakes += [] if mistakes else check_configuration(configuration)
     if mistakes:
         raise ConfigurationError(mistakes)
@@ -94,7 +95,7 @@
 
 
 def decode_configuration(payload: bytes) -> Configuration:
-    """Read a configuration back; raise `ConfigurationError` with every mistake.
+    """Decode a configuration; raise `ConfigurationError` with every mistake.
 
     >>> decode_configuration(encode_configuration(Configuration(revision=3))).revision
     3
@@ -107,7 +108,7 @@
 
 
 def read_table_file(path: Path) -> dict[str, Any]:
-    """Read a TOML file; raise `ConfigurationError` when it can't be."""
+    """Read a TOML file; raise `ConfigurationError` if it can't be read or parsed."""
     try:
         with path.open("rb") as file:
             return tomllib.load(file)
--- a/packages/model/src/damaskwind/model/configuration_digest.py
+++ b/packages/model/src/damaskwind/model/configuration_digest.py
@@ -1,7 +1,7 @@
-"""A digest of a whole configuration whose cost is that of what changed.
+"""An incremental digest of a whole configuration.
 
-The digest of each object is remembered, so that after a change of one object
-only that one is coded anew.
+The digests of objects are cached, so that after a change of one object only that
+object is encoded again.
 """
 
 import hashlib
@@ -22,7 +22,7 @@
 
 @lru_cache(maxsize=_CACHED_OBJECTS)
 def _object_digest(kind: str, value: Any) -> bytes:
-    """Return the digest of one object; it names its kind and, in itself, its name."""
+    """Return the digest of one object; it covers the kind and, as a field, the name."""
     coded = msgspec.json.encode([kind, to_table(value)], order="deterministic")
     return hashlib.blake2b(coded, digest_size=DIGEST_BYTES).digest()
 
--- a/packages/model/src/damaskwind/model/evacuations.py
+++ b/packages/model/src/damaskwind/model/evacuations.py
@@ -1,4 +1,4 @@
-"""Which failure domains operators have emptied."""
+"""The failure domains that operators have evacuated."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Evacuations(NamedTuple):
-    """The failure domains whose targets get no work; `revision` grows with each change.
+    """The failure domains whose targets get no requests; `revision` grows with each change.
 
     >>> Evacuations(2, ("a", "b")) > Evacuations(1, ("a",))
     True
--- a/packages/model/src/damaskwind/model/exception.py
+++ b/packages/model/src/damaskwind/model/exception.py
@@ -14,11 +14,11 @@
 
 
 class DamaskwindError(Exception):
-    """The base of every error that this project raises on purpose."""
+    """The base class of the errors that these packages raise."""
 
 
 class RefusedError(DamaskwindError):
-    """A request is refused; `refusal` says why and with which verdict."""
+    """A request is refused; `refusal` gives the reason and the verdict."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(f"{refusal.reason}: {refusal.detail}")
@@ -26,7 +26,7 @@
 
 
 class SettingsError(DamaskwindError):
-    """A settings file has mistakes; `mistakes` holds a line for each."""
+    """A settings file has mistakes; `mistakes` has one line for each."""
 
     def __init__(self, mistakes: list[str]) -> None:
         super().__init__("\n".join(mistakes))
@@ -42,7 +42,7 @@
 
 
 class MessageError(DamaskwindError):
-    """A message between processes is malformed, oversized, old or not ours."""
+    """A message between processes is malformed, oversized, stale or not of this cluster."""
 
 
 class StorageError(DamaskwindError):
--- a/packages/model/src/damaskwind/model/header_names.py
+++ b/packages/model/src/damaskwind/model/header_names.py
@@ -1,7 +1,7 @@
-"""The names of the headers by which callers, routers and targets speak of a request.
+"""The names of the request and answer headers that callers, routers and targets exchange.
 
-The project has names of its own; a deployment whose callers and targets use
-others gives its own set. Names are in lower case.
+The defaults are the project's own; a deployment whose callers and targets use other
+names configures its own set. Names are in lower case.
 """
 
 from typing import NamedTuple
@@ -10,16 +10,16 @@
 
 
 class HeaderNames(NamedTuple):
-    """Header names by what they hold.
+    """Header names by their contents.
 
-    `request_id` is the caller's id of one attempt of its own; `deadline_ms`
-    how long the caller still waits; `prompt_parts` the parts of a prompt in
-    order, each with its tokens; `resume_after` the last event that the caller
-    has. `expect_target` makes any other target refuse. `not_run` in an answer
-    says that the target did not run the request; `target_load` tells running,
-    waiting and slots, `leaving` that the target takes no new work any more. `fetch_from`
-    names the address of another engine, from which the engine first copies the parts of the
-    prompt that it lacks. `reserved` are the headers that only the system sets.
+    `request_id` is the id that the caller gives to one of its attempts. `deadline_ms` is
+    how long the caller will still wait. `prompt_parts` are the parts of a prompt in order,
+    each with its number of tokens. `resume_after` is the last event that the caller has.
+    `expect_target` makes any other target refuse the request. In an answer, `not_run`
+    states that the target did not run the request, `target_load` gives the running and
+    waiting requests and the slots, and `leaving` states that the target accepts no new
+    work. `fetch_from` is the address of another engine from which the engine first copies
+    the parts of the prompt that it lacks. `reserved` are headers that only the system sets.
     """
 
     request_id: bytes = b"x-request-id"
--- a/packages/model/src/damaskwind/model/prefix.py
+++ b/packages/model/src/damaskwind/model/prefix.py
@@ -1,7 +1,7 @@
 """Digests of a chat's prefixes, the same in every process.
 
-The digest after message `n` depends on the model, version, adapter and all
-messages up to `n`, so equal digests mean an equal prompt prefix.
+The digest after message `n` covers the model, the version, the adapter and all
+messages up to `n`, so equal digests mean equal prompt prefixes.
 """
 
 from collections.abc import Iterable
@@ -23,7 +23,7 @@
 
 
 class ModelName(NamedTuple):
-    """A model as a caller names it; empty version means the default one."""
+    """A model as named by a caller; an empty version means the default one."""
 
     model: str
     version: str = ""
@@ -62,12 +62,12 @@
 
 
 def chat_digest(account: str, name: ModelName, messages: list[Message], cache_key: str) -> str:
-    """Return the digest that names a chat for as long as it lives.
+    """Return the digest that identifies a chat throughout its lifetime.
 
-    With a `cache_key` from the caller that key names it. Otherwise the prefix
-    up to and with the first message that is not a system message does: it
-    never changes as the chat grows, and it differs between chats that share a
-    system prompt. The account is mixed in, so accounts never share a chat.
+    It is derived from the `cache_key`, if the caller gives one. Otherwise it is derived
+    from the prefix up to and including the first message that is not a system message,
+    which never changes as the chat grows and differs between chats that share a system
+    prompt. The digest covers the account, so accounts never share a chat.
 
     >>> first = [Message("system", "s"), Message("user", "a")]
     >>> later = [*first, Message("assistant", "b"), Message("user", "c")]
--- a/packages/model/src/damaskwind/model/reason.py
+++ b/packages/model/src/damaskwind/model/reason.py
@@ -1,4 +1,4 @@
-"""The reasons for which a request is refused, with their HTTP faces."""
+"""The reasons for which a request is refused, with their HTTP statuses."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Reason(StrEnum):
-    """Name why a request was refused; the value is the `code` callers see."""
+    """The reason for which a request was refused; the value is the `code` sent to callers."""
 
     BAD_REQUEST = "bad_request"
     BAD_KEY = "invalid_api_key"
@@ -30,7 +30,7 @@
 
 
 class ReasonStatus(NamedTuple):
-    """How a reason looks to a caller: HTTP status and OpenAI error type."""
+    """The HTTP status and OpenAI error type that a caller gets for a reason."""
 
     http_status: int
     error_type: str
--- a/packages/model/src/damaskwind/model/statechart.py
+++ b/packages/model/src/damaskwind/model/statechart.py
@@ -33,7 +33,7 @@
 
 
 class Transition(NamedTuple):
-    """One row of a chart: in `source`, `input_name` leads to `target`."""
+    """One transition of a chart: in state `source`, `input_name` leads to state `target`."""
 
     source: str
     input_name: str
@@ -42,7 +42,7 @@
 
 
 class Chart(NamedTuple):
-    """A state chart as it stands in its file."""
+    """A state chart as defined in its file."""
 
     name: str
     states: tuple[str, ...]
@@ -52,7 +52,7 @@
 
 
 class _MachineContext:
-    """Keep the owner and the present state of one machine."""
+    """The owner and the current state of one machine."""
 
     def __init__(self, owner: Any, state: str) -> None:
         self.owner = owner
@@ -60,7 +60,7 @@
 
 
 class Machine:
-    """One running chart. Inputs are methods; `state` names where it stands."""
+    """A running instance of a chart."""
 
     def __init__(self, context: _MachineContext, inner: Any) -> None:
         self._context = context
@@ -68,17 +68,17 @@
 
     @property
     def state(self) -> str:
-        """Name the present state."""
+        """Return the name of the current state."""
         return self._context.state
 
     def feed(self, input_name: str, *arguments: Any) -> str:
-        """Feed an input, run its actions, and return the state that follows."""
+        """Feed an input, run its actions, and return the resulting state."""
         getattr(self._inner, input_name)(*arguments)
         return self._context.state
 
 
 def _parse(raw: dict[str, Any], path: Path) -> Chart:
-    """Turn the file's tables into a chart and check its names."""
+    """Convert a file's tables to a chart and check its names."""
     head = raw["chart"]
     rows = tuple(
         Transition(row["from"], row["input"], row["to"], tuple(row.get("actions", ())))
@@ -110,7 +110,7 @@
 
 
 def _make_transition(target: str, actions: tuple[str, ...]) -> Callable[..., None]:
-    """Make the behaviour of one transition."""
+    """Return the function that performs one transition."""
 
     def run(protocol: Any, context: _MachineContext, *arguments: Any) -> None:
         context.state = target
@@ -121,12 +121,12 @@
 
 
 def _ignore_input(protocol: Any, context: _MachineContext, *arguments: Any) -> None:
-    """Do nothing: the state does not list this input."""
+    """Ignore an input that the state doesn't list."""
 
 
 @cache
 def _machine_factory(chart: Chart) -> Any:
-    """Build the automat machine of a chart once."""
+    """Build the automat machine of a chart; cached per chart."""
 
     def make_input(name: str) -> Callable[..., None]:
         def method(self: Any, *arguments: Any) -> None: ...
@@ -152,6 +152,6 @@
 
 
 def start_machine(chart: Chart, owner: Any) -> Machine:
-    """Start a chart whose actions are methods of `owner`."""
+    """Start an instance of a chart whose actions are methods of `owner`."""
     context = _MachineContext(owner, chart.states[0])
     return Machine(context, _machine_factory(chart)(context))
--- a/packages/model/src/damaskwind/model/targets.py
+++ b/packages/model/src/damaskwind/model/targets.py
@@ -1,4 +1,4 @@
-"""What a target says of itself and what a router knows of it."""
+"""The announcements of targets and a router's view of them."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -16,14 +16,14 @@
 
 
 class TargetKind(StrEnum):
-    """Tell an engine, which runs models, from a plain service."""
+    """The kinds of targets: engines, which run models, and plain services."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class TargetState(StrEnum):
-    """Where a target is in its life, by its own word or by its lease."""
+    """The state of a target, as it announces it or as its lease implies."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -31,14 +31,14 @@
 
 
 class FencingMode(StrEnum):
-    """Whether a target refuses an order with an old fencing number."""
+    """Whether a target refuses orders with an old fencing number."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
 
 
 class Address(NamedTuple):
-    """An IP number and a port.
+    """An IP address and a port.
 
     >>> str(Address("127.0.0.1", 80))
     '127.0.0.1:80'
@@ -60,12 +60,12 @@
 
 
 class LoadReport(NamedTuple):
-    """The load that a target measured at itself, some time ago.
+    """The load that a target measured at itself.
 
-    `load_tokens` counts the work in hand: prompt tokens still to be computed
-    plus tokens still to be generated, over running and waiting requests.
-    `age_s` is how old the measurement was when the report was sent. A plain
-    service reports requests in hand as `load_tokens`.
+    `load_tokens` counts the outstanding work: prompt tokens still to be computed plus
+    tokens still to be generated, over running and waiting requests. A plain service
+    reports its requests in progress as `load_tokens`. `age_s` is the age of the
+    measurement when the report was sent.
     """
 
     load_tokens: int
@@ -76,11 +76,11 @@
 
 
 class TargetAnnouncement(NamedTuple):
-    """What a target posts to any router, over and over while it lives.
+    """The announcement that a target posts to any router periodically while it runs.
 
-    `incarnation` grows with every start of the target, `sequence` with every
-    announcement of one incarnation; a pair that is not greater than the one
-    known is stale. `lease_s` says how long the announcement holds.
+    `incarnation` grows with every start of the target, and `sequence` with every
+    announcement of one incarnation; a pair that is not greater than the known one is
+    stale. The announcement is valid for `lease_s`.
     """
 
     target_id: str
@@ -98,11 +98,11 @@
 
 
 class TargetView(NamedTuple):
-    """A target as one router knows it now; the placement's input.
+    """One router's current view of a target, which is the input of placement.
 
-    `load_tokens` is the router's best estimate of the work in hand at the
-    target, `report_age_s` the age of the report under it. `ejected` is set
-    while the target's own failures keep it out.
+    `load_tokens` is the router's best estimate of the outstanding work at the target,
+    and `report_age_s` the age of the report that the estimate is based on. `ejected` is
+    set while the target is excluded because of its own failures.
     """
 
     target_id: str
--- a/packages/model/src/damaskwind/model/tests/test_configuration_codec.py
+++ b/packages/model/src/damaskwind/model/tests/test_configuration_codec.py
@@ -1,4 +1,4 @@
-"""Tests of coding, checking and changing configurations."""
+"""Tests of encoding, checking and changing configurations."""
 
 import math
 from pathlib import Path
@@ -112,13 +112,13 @@
 )
 
 
-def written(path, value):
-    """Return the sound table with one place overwritten."""
+def table_with(path, value):
+    """Return the valid table with the value at one path overwritten."""
     table = to_table(SOUND)
-    place = table
+    parent = table
     for step in path[:-1]:
-        place = place[step]
-    place[path[-1]] = value
+        parent = parent[step]
+    parent[path[-1]] = value
     return table
 
 
@@ -128,30 +128,30 @@
             configuration_from_table(table)
         return caught.exception.mistakes
 
-    def test_a_sound_configuration_comes_back_equal(self):
+    def test_a_valid_configuration_round_trips(self):
         self.assertEqual(check_configuration(SOUND), [])
         payload = encode_configuration(SOUND)
         self.assertEqual(decode_configuration(payload), SOUND)
         self.assertEqual(encode_configuration(decode_configuration(payload)), payload)
 
-    def test_each_mistake_is_named(self):
+    def test_each_mistake_is_reported(self):
         for path, value, part in MISTAKES:
             with self.subTest(path=path, value=value):
-                mistakes = self.mistakes_of(written(path, value))
+                mistakes = self.mistakes_of(table_with(path, value))
                 self.assertTrue(any(part in mistake for mistake in mistakes), mistakes)
 
-    def test_all_mistakes_are_named_at_once(self):
-        table = written(("policy", "load_factor"), 99)
+    def test_all_mistakes_are_reported_at_once(self):
+        table = table_with(("policy", "load_factor"), 99)
         table["models"]["chat"]["default_version"] = "v9"
         table["accounts"]["clerks"]["max_concurrent_requests"] = 0
         self.assertEqual(len(self.mistakes_of(table)), 3)
 
     def test_values_are_not_repeated(self):
-        table = written(("accounts", "clerks", "key_hashes"), ["dw-secret key"])
+        table = table_with(("accounts", "clerks", "key_hashes"), ["dw-secret key"])
         table["accounts"]["clerks"]["priority_class"] = "dw-secret key"
         self.assertNotIn("secret", str(self.mistakes_of(table)))
 
-    def test_bytes_that_are_no_configuration_are_refused(self):
+    def test_malformed_bytes_are_refused(self):
         for payload in (b"", b"{", b"[]", b"\xff", b'{"accounts":{"a":1}}'):
             with self.assertRaises(ConfigurationError):
                 decode_configuration(payload)
@@ -172,7 +172,7 @@
         except ConfigurationError as error:
             self.assertTrue(error.mistakes)
 
-    def test_a_file_is_read_and_its_mistakes_named(self):
+    def test_a_file_is_read_and_its_mistakes_are_reported(self):
         with TemporaryDirectory() as folder:
             path = Path(folder) / "fixed.toml"
             path.write_text('[services.pool]\nkind = "engine"\n', encoding="utf-8")
@@ -186,7 +186,7 @@
 
 
 class ConfigurationChangeTest(TestCase):
-    def test_a_change_comes_back_equal_and_leaves_the_old_configuration_alone(self):
+    def test_a_change_round_trips_and_leaves_the_old_configuration_unchanged(self):
         change = ConfigurationChange(
             {"services": {"edge": Service("edge", "service")}}, {"accounts": ("clerks",)}, Policy()
         )
@@ -207,7 +207,7 @@
             reached = apply_change(before, change)._replace(revision=after.revision)
             self.assertEqual(encode_configuration(reached), encode_configuration(after))
 
-    def test_deleting_what_is_referred_to_or_unknown_is_a_mistake(self):
+    def test_deleting_a_referenced_or_unknown_object_is_a_mistake(self):
         for kind, name, part in (
             ("priority_classes", "interactive", "no priority class"),
             ("services", "pool", "models.chat.service"),
--- a/packages/model/src/damaskwind/model/tests/test_statechart.py
+++ b/packages/model/src/damaskwind/model/tests/test_statechart.py
@@ -1,4 +1,4 @@
-"""Tests of charts read from files."""
+"""Tests of state charts read from files."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
--- a/packages/model/src/damaskwind/model/traffic_configuration.py
+++ b/packages/model/src/damaskwind/model/traffic_configuration.py
@@ -1,8 +1,8 @@
-"""Routes, services, callers' limits and accounts that an operator publishes whole.
+"""Routes, services, caller limits and accounts that an operator publishes as one document.
 
-Unlike `Configuration`, whose objects are confirmed one plan at a time, a
-traffic configuration is one document with a version; the highest version that
-was acknowledged is in force.
+Unlike `Configuration`, whose objects are confirmed one plan at a time, a traffic
+configuration is a single versioned document; the highest acknowledged version is in
+force.
 """
 
 from enum import StrEnum
@@ -20,7 +20,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated on a route."""
+    """The kind of a route's requests, which decides whether they may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -28,7 +28,7 @@
 
 
 class ServiceShare(NamedTuple):
-    """One of the services that share a route, with its part of the traffic."""
+    """One of the services that share a route, with the weight of its traffic."""
 
     service: str
     weight: float
@@ -37,11 +37,11 @@
 class TrafficRoute(NamedTuple):
     """How requests below a path of a host are treated.
 
-    `timeout_s` is the longest time that a request may be kept waiting,
-    `objective_s` the time to the answer (streams: the first event) that users
-    expect, `gap_objective_s` the longest pause between events. Priority 0 is
-    served first. With `needs_key` a request must carry an account's key. With `regions` it
-    stays in one of them.
+    `timeout_s` is the longest time that a request may be kept waiting. `objective_s` is
+    the time to the answer (streams: the first event) that users expect, and
+    `gap_objective_s` the longest expected pause between events. Priority 0 is served
+    first. With `needs_key`, a request must carry an account's key. With `regions`, it is
+    served in one of them.
     """
 
     name: str
@@ -63,7 +63,7 @@
     def may_repeat(self) -> bool:
         """Tell whether a request may run more than once.
 
-        A stream may only when it can be resumed.
+        A stream may only if it can be resumed.
         """
         if self.kind is RouteKind.STREAMING:
             return self.is_resumable
@@ -71,10 +71,10 @@
 
 
 class TrafficService(NamedTuple):
-    """A pool of targets; `max_connections` bounds what one of them accepts.
+    """A pool of targets; `max_connections` bounds the connections that each accepts.
 
-    A target is cold for `cold_start_s` after its start and bears `cold_per_s` requests a second
-    then, from all routers together; 0 where there is no bound.
+    A target is cold for `cold_start_s` after its start. A cold target handles `cold_per_s`
+    requests per second from all routers together; 0 means no bound.
     """
 
     name: str
@@ -94,9 +94,9 @@
 
 
 class KeyedAccount(NamedTuple):
-    """A client account with its API keys; its priority goes before the route's.
+    """A client account with its API keys; its priority overrides the route's.
 
-    With `regions` its requests stay in one of them.
+    With `regions`, its requests are served in one of them.
     """
 
     name: str
@@ -106,7 +106,7 @@
 
 
 class TrafficConfiguration(NamedTuple):
-    """One published document; version 0 is none."""
+    """One published document; version 0 means that none was published."""
 
     version: int = 0
     routes: tuple[TrafficRoute, ...] = ()
--- a/packages/model/src/damaskwind/model/verdict.py
+++ b/packages/model/src/damaskwind/model/verdict.py
@@ -9,11 +9,11 @@
 
 
 class Verdict(StrEnum):
-    """Say whether a request may have run.
+    """Whether a request may have run.
 
-    `NOT_RUN` is only ever used when it is certain: the connection was refused,
-    nothing was sent, or the target itself said so. `RAN` means that the whole
-    answer arrived. All else is `MAY_HAVE_RUN`.
+    `NOT_RUN` is used only when it is certain: the connection was refused, nothing was
+    sent, or the target itself reported it. `RAN` means that the whole answer arrived.
+    All other cases are `MAY_HAVE_RUN`.
     """
 
     NOT_RUN = "not-run"
@@ -25,9 +25,9 @@
 
 
 def worst_verdict(verdicts: list[Verdict]) -> Verdict:
-    """Return the verdict on a request from the verdicts of its attempts.
+    """Return the verdict on a request from the verdicts on its attempts.
 
-    A request with no attempt has not run.
+    A request without attempts has not run.
 
     >>> worst_verdict([Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN])
     <Verdict.MAY_HAVE_RUN: 'may-have-run'>
@@ -38,10 +38,10 @@
 
 
 class Refusal(NamedTuple):
-    """A final answer that is not the target's: why, and what it means.
+    """A final answer that the system gives in place of a target: its reason and verdict.
 
-    `retry_after_s` tells the caller when to come back; `None` means that the
-    same request will never be taken.
+    `retry_after_s` tells the caller when to retry; `None` means that the same request
+    will never be accepted.
     """
 
     reason: Reason
--- a/packages/wire/src/damaskwind/wire/tests/test_document_difference.py
+++ b/packages/wire/src/damaskwind/wire/tests/test_document_difference.py
@@ -21,11 +21,11 @@
 
 class DocumentDifferenceTest(TestCase):
     @given(DOCUMENTS, DOCUMENTS)
-    def test_new_document_is_restored_from_any_old_one(self, old, new):
+    def test_new_document_comes_out_whatever_the_old_one_was(self, old, new):
         self.assertEqual(apply_difference(old, difference(old, new)), new)
 
     @given(DOCUMENTS, DOCUMENTS, DOCUMENTS)
-    def test_wrong_base_gives_an_error_or_the_same_document(self, old, new, other):
+    def test_another_base_never_gives_another_document(self, old, new, other):
         packed = difference(old, new)
         try:
             self.assertEqual(apply_difference(other, packed), new)
@@ -33,7 +33,7 @@
             pass
 
     @given(st.binary())
-    def test_malformed_differences_are_refused(self, packed):
+    def test_bytes_that_are_no_difference_are_refused(self, packed):
         self.assertRaises(MessageError, apply_difference, b"old", packed)
         self.assertRaises(MessageError, apply_difference, b"old", zlib.compress(packed))
 
