--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -334,7 +334,7 @@
         self.board.merge(news.records, news.last_seen)
         self.board.suspect(news.suspicions)
 
-    def lost(self, host: str) -> None:
+    def handle_loss(self, host: str) -> None:
         """Do nothing: the link tries again."""
 
     def _spawn(self, coroutine: Any) -> None:
--- a/packages/model/src/damaskwind/model/checking.py
+++ b/packages/model/src/damaskwind/model/checking.py
@@ -82,7 +82,7 @@
     return tuple(fields)
 
 
-def _in_order(raw: Any, kind: Any) -> list[Any] | None:
+def _ordered_values(raw: Any, kind: Any) -> list[Any] | None:
     """Return a table's values in the order of the fields, as msgspec expects them.
 
     `None` means that a key is unknown or missing, here or in a nested table.
@@ -98,18 +98,18 @@
         else:
             used += 1
             if is_list and isinstance(value, list | tuple):
-                value = [_in_order(item, table) for item in value]
+                value = [_ordered_values(item, table) for item in value]
             elif table is not None:
-                value = _in_order(value, table)
+                value = _ordered_values(value, table)
         if value is _NO_DEFAULT or (value is None and table is not None):
             return None
         values.append(value)
     return values if used == len(raw) else None
 
 
-def _convert_at_once(raw: Any, kind: Any) -> Any:
+def _convert_valid(raw: Any, kind: Any) -> Any:
     """Return the typed value of a valid table; `None` if it may have mistakes."""
-    values = _in_order(raw, kind)
+    values = _ordered_values(raw, kind)
     if values is None:
         return None
     try:
@@ -134,7 +134,7 @@
     """
     if not isinstance(raw, dict):
         return CheckedTable(None, [f"{path}: expected a table"])
-    sound = _convert_at_once(raw, kind)
+    sound = _convert_valid(raw, kind)
     if sound is not None:
         return CheckedTable(sound, [])
     hints = _field_types(kind)
--- a/packages/model/src/damaskwind/model/configuration_change.py
+++ b/packages/model/src/damaskwind/model/configuration_change.py
@@ -99,7 +99,7 @@
 
 
 def apply_change(before: Configuration, change: ConfigurationChange) -> Configuration:
-    """Return the configuration after a change, one revision on; check nothing.
+    """Return the configuration after a change, with the next revision, without checking it.
 
     >>> apply_change(Configuration(), ConfigurationChange(policy=Policy())).revision
     1
@@ -107,8 +107,8 @@
     objects = {}
     for kind in OBJECT_KINDS:
         merged = {**getattr(before, kind), **change.put.get(kind, {})}
-        gone = change.delete.get(kind, ())
-        objects[kind] = {name: value for name, value in merged.items() if name not in gone}
+        deleted = change.delete.get(kind, ())
+        objects[kind] = {name: value for name, value in merged.items() if name not in deleted}
     policy = before.policy if change.policy is None else change.policy
     return Configuration(revision=before.revision + 1, policy=policy, **objects)
 
@@ -130,9 +130,9 @@
             for name, value in new.items()
             if old.get(name) is not value and old.get(name) != value
         }
-        gone = tuple(name for name in old if name not in new)
+        deleted = tuple(name for name in old if name not in new)
         put |= {kind: changed} if changed else {}
-        delete |= {kind: gone} if gone else {}
+        delete |= {kind: deleted} if deleted else {}
     is_empty = not put and not delete
     policy = after.policy if is_empty or before.policy != after.policy else None
     return ConfigurationChange(put, delete, policy)
@@ -167,5 +167,5 @@
 def touched_objects(change: ConfigurationChange) -> tuple[str, ...]:
     """Return the sorted names of the objects that a change affects, as `kind.name`."""
     put = [f"{kind}.{name}" for kind, objects in change.put.items() for name in objects]
-    gone = [f"{kind}.{name}" for kind, names in change.delete.items() for name in names]
-    return tuple(sorted(put + gone + (["policy"] if change.policy is not None else [])))
+    deleted = [f"{kind}.{name}" for kind, names in change.delete.items() for name in names]
+    return tuple(sorted(put + deleted + (["policy"] if change.policy is not None else [])))
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -406,7 +406,7 @@
             fetch_s=round(took_s, 3),
         )
 
-    def lost(self, host: str) -> None:
+    def handle_loss(self, host: str) -> None:
         """Drop a lost replica as a document source; the targets learned from it stay known."""
         self.sources.remove(host)
         self._has_update.set()
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_fleet_view.py
@@ -51,7 +51,7 @@
 
     def test_version_of_a_lost_replica_is_not_waited_for(self):
         self.assertFalse(self.receive("a", 9))
-        self.view.lost("a")
+        self.view.handle_loss("a")
         self.now_s += INITIAL_WAIT_S + 0.01
         self.assertTrue(self.receive("b", 7))
 
--- a/packages/runtime/src/damaskwind/runtime/clock_loop.py
+++ b/packages/runtime/src/damaskwind/runtime/clock_loop.py
@@ -38,18 +38,18 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._ahead_s = read_clock() - time.monotonic()
+        self._clock_offset_s = read_clock() - time.monotonic()
 
     def select(self, timeout: float | None = None) -> list:
         """Return the ready events."""
-        begun_s = read_clock()
+        started_s = read_clock()
         ready = super().select(timeout)
         now_s = read_clock()
         # A suspended VM shows in the gain of this clock on the monotonic one since the last
         # check; a stopped process shows only as an overlong wait.
-        ahead_s = now_s - time.monotonic()
-        suspended_s, self._ahead_s = ahead_s - self._ahead_s, ahead_s
-        stopped_s = 0.0 if timeout is None else now_s - begun_s - max(timeout, 0.0)
+        offset_s = now_s - time.monotonic()
+        suspended_s, self._clock_offset_s = offset_s - self._clock_offset_s, offset_s
+        stopped_s = 0.0 if timeout is None else now_s - started_s - max(timeout, 0.0)
         away_s = max(suspended_s, stopped_s)
         if away_s > MIN_AWAY_S:
             record_wake(away_s)
--- a/packages/runtime/src/damaskwind/runtime/lifecycle.py
+++ b/packages/runtime/src/damaskwind/runtime/lifecycle.py
@@ -40,8 +40,8 @@
     """
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     if reload is not None:
         loop.add_signal_handler(signal.SIGHUP, reload)
     try:
--- a/packages/runtime/src/damaskwind/runtime/reactor.py
+++ b/packages/runtime/src/damaskwind/runtime/reactor.py
@@ -12,7 +12,7 @@
 __all__ = ["install_reactor"]
 
 
-def _leave_out_tls() -> None:
+def _disable_tls() -> None:
     """Prevent Twisted from loading TLS, which is unused and takes 12 MB per process.
 
     `None` makes the import fail as if pyOpenSSL were not installed.
@@ -24,7 +24,7 @@
 def install_reactor() -> Any:
     """Install the reactor once and return the one that is installed."""
     if "twisted.internet.reactor" not in sys.modules:
-        _leave_out_tls()
+        _disable_tls()
         from twisted.internet.main import installReactor
 
         from damaskwind.runtime.clock_loop import ClockLoop
--- a/packages/wire/src/damaskwind/wire/configuration_history.py
+++ b/packages/wire/src/damaskwind/wire/configuration_history.py
@@ -53,8 +53,8 @@
 def _step_of(old: Configuration, change: ConfigurationChange) -> _Step:
     """Return the step made by a change."""
     put = {(kind, name) for kind, objects in change.put.items() for name in objects}
-    gone = {(kind, name) for kind, names in change.delete.items() for name in names}
-    return _Step(old.revision, frozenset(put | gone), change.policy is not None)
+    deleted = {(kind, name) for kind, names in change.delete.items() for name in names}
+    return _Step(old.revision, frozenset(put | deleted), change.policy is not None)
 
 
 class ConfigurationHistory:
@@ -125,8 +125,8 @@
                     put.setdefault(kind, {})[name] = objects[name]
                 else:
                     delete.setdefault(kind, {})[name] = None
-        gone = {kind: tuple(names) for kind, names in delete.items()}
-        return ConfigurationChange(put, gone, self.latest.policy if has_policy else None)
+        deleted = {kind: tuple(names) for kind, names in delete.items()}
+        return ConfigurationChange(put, deleted, self.latest.policy if has_policy else None)
 
 
 def _decompress(body: bytes) -> bytes:
--- a/packages/wire/src/damaskwind/wire/news_link.py
+++ b/packages/wire/src/damaskwind/wire/news_link.py
@@ -90,7 +90,7 @@
         """Handle an update from a replica."""
         ...
 
-    def lost(self, host: str) -> None:
+    def handle_loss(self, host: str) -> None:
         """Handle the loss of the link to a replica."""
         ...
 
@@ -169,7 +169,7 @@
         if self.is_up:
             logger.warning("replica lost", host=self.address.host, why=repr(error))
         self.is_up = False
-        self._subscriber.lost(self.address.host)
+        self._subscriber.handle_loss(self.address.host)
 
     async def _follow(self) -> None:
         """Poll on one connection until it fails."""
