--- a/packages/control/src/damaskwind/control/fleet/heard_targets.py
+++ b/packages/control/src/damaskwind/control/fleet/heard_targets.py
@@ -2,7 +2,7 @@
 
 from damaskwind.decisions.membership.target_table import SilentTargets, TargetTable
 from damaskwind.runtime.clock import read_clock
-from damaskwind.wire.news import Heard, HeardOthers
+from damaskwind.wire.news import LastSeen, OthersLastSeen
 
 __all__ = ["HEARTBEAT_WINDOW_S", "TargetHeartbeats"]
 
@@ -52,14 +52,14 @@
         """Return whether the list of silent targets is short enough to be sent."""
         return len(self._silent_targets(read_clock()).target_ids) <= MAX_SILENT_LISTED
 
-    def summarize(self) -> HeardOthers:
+    def summarize(self) -> OthersLastSeen:
         """Return the age within which all targets were last seen, except the listed silent ones."""
         now_s = read_clock()
         silent_targets = self._silent_targets(now_s)
         age_s = round(now_s - silent_targets.others_seen_s, 2)
-        return HeardOthers(self._table.digest, age_s, silent_targets.target_ids)
+        return OthersLastSeen(self._table.digest, age_s, silent_targets.target_ids)
 
-    def list_recent(self, is_router: bool) -> tuple[Heard, ...]:
+    def list_recent(self, is_router: bool) -> tuple[LastSeen, ...]:
         """Return the recent heartbeats, one by one.
 
         Heartbeats received by routers are left out for other replicas: routers report those
@@ -69,7 +69,7 @@
         self._drop_expired(now_s)
         heard = self._seen_at_routers | self._seen_here if is_router else self._seen_here
         return tuple(
-            Heard(key, round(now_s - at, 2), (self._table.incarnation_of(key) or (0, 0))[1])
+            LastSeen(key, round(now_s - at, 2), (self._table.incarnation_of(key) or (0, 0))[1])
             for key, at in heard.items()
         )
 
--- a/packages/control/src/damaskwind/control/fleet/news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/news_feed.py
@@ -17,7 +17,7 @@
 from damaskwind.decisions.membership.target_table import Changes, TargetTable
 from damaskwind.model.evacuations import Evacuations
 from damaskwind.runtime.clock import read_clock
-from damaskwind.wire.news import Heard, News, NewsRequest, SubscriberKind
+from damaskwind.wire.news import LastSeen, News, NewsRequest, SubscriberKind
 
 __all__ = ["NewsFeed"]
 
@@ -127,7 +127,7 @@
             self._schedule_wake()
         return changed
 
-    def merge(self, records: Iterable[TargetRecord], heard: Iterable[Heard]) -> None:
+    def merge(self, records: Iterable[TargetRecord], heard: Iterable[LastSeen]) -> None:
         """Merge records and heartbeats from another replica or a router."""
         now_s = read_clock()
         changed = [self.table.merge(record, now_s) for record in records]
@@ -283,15 +283,15 @@
         if before is None and request.kind == SubscriberKind.ROUTER:
             insort(self._routers, request.node_id)
         self._subscriptions[request.node_id] = self._subscription(request, revision, before, now_s)
-        if request.passes_on.host:
-            self._link_rates[request.passes_on.host] = request.passes_on.link_bytes_per_s
+        if request.relay.host:
+            self._link_rates[request.relay.host] = request.relay.link_bytes_per_s
         self._drop_expired(now_s)
         if request.kind == SubscriberKind.REPLICA:
             self.wake()
         else:
             self.load_sums.report(request.node_id, request.held, now_s, request.services)
-            self.merge(request.records, request.heard)
-            for target_id, age_s, _ in request.heard:
+            self.merge(request.records, request.last_seen)
+            for target_id, age_s, _ in request.last_seen:
                 self._heartbeats.record_at_router(target_id, now_s - age_s)
 
     def _subscription(
@@ -312,7 +312,7 @@
             revision,
             now_s,
             heartbeats_sent_s,
-            request.passes_on,
+            request.relay,
             sent_digest,
             last_match_s,
             request.table_digest != self.table.digest and is_overdue,
@@ -407,7 +407,7 @@
             and self._heartbeats.has_few_silent()
         )
 
-    def _heartbeats_for(self, request: NewsRequest, now_s: float) -> tuple[Heard, ...]:
+    def _heartbeats_for(self, request: NewsRequest, now_s: float) -> tuple[LastSeen, ...]:
         """Return the recent heartbeats, unless the subscriber received a list just before."""
         subscription = self._subscriptions.get(request.node_id)
         if subscription is None or now_s - subscription.heartbeats_sent_s < HEARTBEAT_INTERVAL_S:
--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -43,7 +43,7 @@
 from damaskwind.runtime.load_meter import LoadMeter
 from damaskwind.runtime.metrics_site import MetricsSite
 from damaskwind.runtime.tallies import Tallies
-from damaskwind.wire.news import Heard, News, SubscriberKind, unpack_document
+from damaskwind.wire.news import LastSeen, News, SubscriberKind, unpack_document
 from damaskwind.wire.news_link import NewsLink
 
 if TYPE_CHECKING:
@@ -160,7 +160,7 @@
         self._control.close_after_answers()
         await self._control.stop_listening()
         self._control.close_idle()
-        await self._control.wait_until_quiet(1.5)
+        await self._control.wait_until_idle(1.5)
         self._load.stop()
         for task in self._tasks:
             task.cancel()
@@ -328,7 +328,7 @@
         """Return true: every replica is asked for all changes, since each one serves routers."""
         return True
 
-    def heard_targets(self) -> tuple[Heard, ...]:
+    def recently_seen_targets(self) -> tuple[LastSeen, ...]:
         """Return nothing: subscribers get the heartbeats received here from the update feed."""
         return ()
 
@@ -336,12 +336,12 @@
         """Return nothing: subscribers get new records from the update feed."""
         return ()
 
-    def take_news(self, host: str, news: News) -> None:
+    def handle_news(self, host: str, news: News) -> None:
         """Merge updates from another replica."""
-        self.feed.merge(news.records, news.heard)
+        self.feed.merge(news.records, news.last_seen)
         self.feed.merge_suspicions(news.suspicions)
 
-    def lost(self, host: str) -> None:
+    def handle_loss(self, host: str) -> None:
         """Do nothing: the link reconnects by itself."""
 
     def _spawn(self, coroutine: Any) -> None:
--- a/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
@@ -116,20 +116,20 @@
     async def test_read_of_a_large_document_is_redirected_to_a_router_with_a_faster_link(self):
         for node, rate in (("narrow", 50.0), ("wide", 1000.0)):
             relay = RelayEndpoint(f"{node}.example", rate)
-            request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, passes_on=relay)
+            request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, relay=relay)
             await self.feed.wait_for_updates(request)
         await self.calls.publish(b"1")
-        self.assertEqual((await self.calls.read("o")).sent_on_to, "")
+        self.assertEqual((await self.calls.read("o")).redirect_url, "")
         await self.calls.publish(b"123456789")
         read = await self.calls.read("o")
         self.assertEqual(
-            read.sent_on_to, "http://wide.example:8101/configuration?version=123456789"
+            read.redirect_url, "http://wide.example:8101/configuration?version=123456789"
         )
 
     @asyncio_test
     async def test_large_document_is_read_locally_while_no_router_is_subscribed(self):
         await self.calls.publish(b"123456789")
-        self.assertEqual((await self.calls.read("o")).sent_on_to, "")
+        self.assertEqual((await self.calls.read("o")).redirect_url, "")
 
     @asyncio_test
     async def test_drain_that_is_not_applied_is_not_acknowledged(self):
--- a/packages/model/src/damaskwind/model/configuration_checks.py
+++ b/packages/model/src/damaskwind/model/configuration_checks.py
@@ -1,8 +1,8 @@
-"""Check configuration objects: ranges, names, references; every mistake is named.
+"""Check the ranges, names and references of configuration objects.
 
-Each kind of object has one check of its own fields and one of what it refers
-to. A message names the object and the field and never repeats a value, since
-the value may be a key that was pasted into the wrong place.
+Every mistake is reported. Each kind of object has one check of its own fields and one
+of its references. A message names the object and the field and never repeats a value,
+since the value may be a key that was pasted into the wrong place.
 """
 
 import re
@@ -47,7 +47,7 @@
 
 
 class _Range(NamedTuple):
-    """The least and the greatest value that a field may have."""
+    """The smallest and the largest allowed value of a field."""
 
     low: float
     high: float
@@ -83,7 +83,7 @@
 
 
 def is_name(text: str) -> bool:
-    """Tell whether a text may name an object.
+    """Tell whether a text is a valid name of an object.
 
     >>> is_name("damaskwind-pool"), is_name("a b"), is_name("")
     (True, False, False)
@@ -97,14 +97,14 @@
 
 
 def _range_mistakes(value: Any, path: str) -> Iterator[str]:
-    """Name the numbers of one object that are out of range; NaN always is."""
+    """Report the numbers of one object that are out of range; NaN always is."""
     for field, allowed in _RANGES.get(type(value), {}).items():
         if not allowed.low <= getattr(value, field) <= allowed.high:
             yield f"{path}.{field}: expected {allowed.low:g} to {allowed.high:g}"
 
 
 def _list_mistakes(names: tuple[str, ...], path: str) -> Iterator[str]:
-    """Name the places of a list where a name is malformed or stands twice."""
+    """Report the indexes of a list whose names are malformed or duplicates."""
     for index, name in enumerate(names):
         if not is_name(name):
             yield f"{path}[{index}]: not a name (letters, digits and ._:/-, at most 128)"
@@ -117,7 +117,7 @@
 
 
 def _field_check(kind: type) -> Callable[[FieldCheck], FieldCheck]:
-    """Register the check of the fields of one kind."""
+    """Register the check of the fields of one kind of object."""
 
     def register(check: FieldCheck) -> FieldCheck:
         _FIELD_CHECKS[kind] = check
@@ -154,7 +154,7 @@
 
 
 def _route_mistakes(route: ServiceRoute, path: str) -> Iterator[str]:
-    """Name the mistakes of one route of a plain service."""
+    """Report the mistakes of one route of a plain service."""
     yield from _range_mistakes(route, path)
     if not route.path_prefix.startswith("/"):
         yield f"{path}.path_prefix: expected a path that starts with '/'"
@@ -200,7 +200,7 @@
 
 
 def _object_mistakes(kind: str, name: str, value: Any) -> Iterator[str]:
-    """Name the mistakes that one object has by itself."""
+    """Report the mistakes of one object, apart from its references."""
     path = f"{kind}.{name}"
     if not is_name(name):
         yield f"{kind}: a name is malformed (letters, digits and ._:/-, at most 128)"
@@ -211,8 +211,8 @@
     yield from _FIELD_CHECKS.get(type(value), lambda value, path: iter(()))(value, path)
 
 
-def _unknown(path: str, what: str, name: str) -> str:
-    """Say that a reference points nowhere."""
+def _unknown_reference(path: str, what: str, name: str) -> str:
+    """Return the message for a reference to an object that doesn't exist."""
     return f"{path}: no {what} '{name}'" if is_name(name) else f"{path}: not a name of a {what}"
 
 
@@ -222,75 +222,79 @@
     return next((item for item in versions if item.version == version), None)
 
 
-def _account_references(whole: Configuration, account: ClientAccount) -> Iterator[str]:
-    """Name what an account refers to that does not exist."""
+def _account_references(configuration: Configuration, account: ClientAccount) -> Iterator[str]:
+    """Report an account's references to objects that don't exist."""
     path = f"accounts.{account.name}"
-    if account.priority_class not in whole.priority_classes:
-        yield _unknown(f"{path}.priority_class", "priority class", account.priority_class)
+    if account.priority_class not in configuration.priority_classes:
+        yield _unknown_reference(f"{path}.priority_class", "priority class", account.priority_class)
     for index, service in enumerate(account.services):
-        if service not in whole.services:
-            yield _unknown(f"{path}.services[{index}]", "service", service)
+        if service not in configuration.services:
+            yield _unknown_reference(f"{path}.services[{index}]", "service", service)
     for index, grant in enumerate(account.models):
-        place = f"{path}.models[{index}]"
-        if grant.model not in whole.models:
-            yield _unknown(f"{place}.model", "model", grant.model)
+        grant_path = f"{path}.models[{index}]"
+        if grant.model not in configuration.models:
+            yield _unknown_reference(f"{grant_path}.model", "model", grant.model)
             continue
-        version = _version_of(whole.models[grant.model], grant.version)
+        version = _version_of(configuration.models[grant.model], grant.version)
         if version is None:
-            yield _unknown(f"{place}.version", f"version of '{grant.model}'", grant.version)
+            yield _unknown_reference(
+                f"{grant_path}.version", f"version of '{grant.model}'", grant.version
+            )
             continue
         for adapter in grant.adapters:
             if adapter not in version.adapters:
-                yield _unknown(f"{place}.adapters", f"adapter of '{grant.model}'", adapter)
+                yield _unknown_reference(
+                    f"{grant_path}.adapters", f"adapter of '{grant.model}'", adapter
+                )
 
 
-def _model_references(whole: Configuration, model: Model) -> Iterator[str]:
-    """Name what a model refers to that does not exist or does not fit."""
+def _model_references(configuration: Configuration, model: Model) -> Iterator[str]:
+    """Report a model's reference to a service that doesn't exist or isn't of engines."""
     path = f"models.{model.name}.service"
-    service = whole.services.get(model.service)
+    service = configuration.services.get(model.service)
     if service is None:
-        yield _unknown(path, "service", model.service)
+        yield _unknown_reference(path, "service", model.service)
     elif service.kind != "engine":
         yield f"{path}: '{model.service}' is not a pool of engines"
 
 
-def _shared_hashes(whole: Configuration) -> Iterator[str]:
-    """Name the owners of a key hash that another owner has too."""
+def _shared_hashes(configuration: Configuration) -> Iterator[str]:
+    """Report the owners of a key hash that belongs to an earlier owner too."""
     owners: dict[str, str] = {}
-    held = [(f"operators.{o.name}", o.key_hash) for o in whole.operators.values()]
-    for account in whole.accounts.values():
-        held += [(f"accounts.{account.name}", key_hash) for key_hash in account.key_hashes]
-    for owner, key_hash in held:
+    owned_hashes = [(f"operators.{o.name}", o.key_hash) for o in configuration.operators.values()]
+    for account in configuration.accounts.values():
+        owned_hashes += [(f"accounts.{account.name}", key_hash) for key_hash in account.key_hashes]
+    for owner, key_hash in owned_hashes:
         first = owners.setdefault(key_hash, owner)
         if first != owner:
             yield f"{owner}: has the same key as {first}"
 
 
-def _operator_references(whole: Configuration) -> Iterator[str]:
-    """Say so when operators exist but no one could ever change anything again."""
-    roles = {role for operator in whole.operators.values() for role in operator.roles}
+def _operator_references(configuration: Configuration) -> Iterator[str]:
+    """Report missing operator roles, without which no further change would be possible."""
+    roles = {role for operator in configuration.operators.values() for role in operator.roles}
     for role in ("planner", "confirmer"):
-        if whole.operators and role not in roles:
+        if configuration.operators and role not in roles:
             yield f"operators: at least one must have the role '{role}'"
 
 
-def _reference_mistakes(whole: Configuration) -> Iterator[str]:
-    """Name every reference that does not hold."""
-    for account in whole.accounts.values():
-        yield from _account_references(whole, account)
-    for model in whole.models.values():
-        yield from _model_references(whole, model)
+def _reference_mistakes(configuration: Configuration) -> Iterator[str]:
+    """Report all broken references and conflicts between objects."""
+    for account in configuration.accounts.values():
+        yield from _account_references(configuration, account)
+    for model in configuration.models.values():
+        yield from _model_references(configuration, model)
     ranks: dict[int, str] = {}
-    for item in whole.priority_classes.values():
+    for item in configuration.priority_classes.values():
         first = ranks.setdefault(item.rank, item.name)
         if first != item.name:
             yield f"priority_classes.{item.name}.rank: same rank as '{first}'"
-    yield from _shared_hashes(whole)
-    yield from _operator_references(whole)
+    yield from _shared_hashes(configuration)
+    yield from _operator_references(configuration)
 
 
-def check_configuration(whole: Configuration) -> list[str]:
-    """Return every mistake of a configuration; none means that it is sound.
+def check_configuration(configuration: Configuration) -> list[str]:
+    """Return every mistake of a configuration; an empty list means that it is valid.
 
     >>> check_configuration(Configuration())
     []
@@ -298,11 +302,11 @@
     >>> check_configuration(Configuration(models={"m": lone}))
     ["models.m.service: no service 'pool'"]
     """
-    mistakes = [] if whole.revision >= 0 else ["revision: expected at least 0"]
+    mistakes = [] if configuration.revision >= 0 else ["revision: expected at least 0"]
     for kind in OBJECT_KINDS:
-        for name, value in getattr(whole, kind).items():
+        for name, value in getattr(configuration, kind).items():
             mistakes += _object_mistakes(kind, name, value)
-    mistakes += _range_mistakes(whole.policy, "policy")
-    mistakes += _policy_fields(whole.policy, "policy")
-    mistakes += _reference_mistakes(whole)
+    mistakes += _range_mistakes(configuration.policy, "policy")
+    mistakes += _policy_fields(configuration.policy, "policy")
+    mistakes += _reference_mistakes(configuration)
     return mistakes
--- a/packages/model/src/damaskwind/model/statechart.py
+++ b/packages/model/src/damaskwind/model/statechart.py
@@ -33,7 +33,7 @@
 
 
 class Transition(NamedTuple):
-    """One row of a chart: in `source`, `input_name` leads to `target`."""
+    """One transition of a chart: in state `source`, `input_name` leads to state `target`."""
 
     source: str
     input_name: str
@@ -42,7 +42,7 @@
 
 
 class Chart(NamedTuple):
-    """A state chart as it stands in its file."""
+    """A state chart as defined in its file."""
 
     name: str
     states: tuple[str, ...]
@@ -51,8 +51,8 @@
     strict: bool = False
 
 
-class _Holder:
-    """Keep the owner and the present state of one machine."""
+class _MachineContext:
+    """The owner and the current state of one machine."""
 
     def __init__(self, owner: Any, state: str) -> None:
         self.owner = owner
@@ -60,25 +60,25 @@
 
 
 class Machine:
-    """One running chart. Inputs are methods; `state` names where it stands."""
+    """A running instance of a chart."""
 
-    def __init__(self, holder: _Holder, inner: Any) -> None:
-        self._holder = holder
+    def __init__(self, context: _MachineContext, inner: Any) -> None:
+        self._context = context
         self._inner = inner
 
     @property
     def state(self) -> str:
-        """Name the present state."""
-        return self._holder.state
+        """Return the name of the current state."""
+        return self._context.state
 
     def feed(self, input_name: str, *arguments: Any) -> str:
-        """Feed an input, run its actions, and return the state that follows."""
+        """Feed an input, run its actions, and return the resulting state."""
         getattr(self._inner, input_name)(*arguments)
-        return self._holder.state
+        return self._context.state
 
 
 def _parse(raw: dict[str, Any], path: Path) -> Chart:
-    """Turn the file's tables into a chart and check its names."""
+    """Convert a file's tables to a chart and check its names."""
     head = raw["chart"]
     rows = tuple(
         Transition(row["from"], row["input"], row["to"], tuple(row.get("actions", ())))
@@ -109,24 +109,24 @@
         return _parse(tomllib.load(file), path)
 
 
-def _step(target: str, actions: tuple[str, ...]) -> Callable[..., None]:
-    """Make the behaviour of one transition."""
+def _make_transition(target: str, actions: tuple[str, ...]) -> Callable[..., None]:
+    """Return the function that performs one transition."""
 
-    def run(protocol: Any, holder: _Holder, *arguments: Any) -> None:
-        holder.state = target
+    def run(protocol: Any, context: _MachineContext, *arguments: Any) -> None:
+        context.state = target
         for action in actions:
-            getattr(holder.owner, action)(*arguments)
+            getattr(context.owner, action)(*arguments)
 
     return run
 
 
-def _ignore(protocol: Any, holder: _Holder, *arguments: Any) -> None:
-    """Do nothing: the state does not list this input."""
+def _ignore_input(protocol: Any, context: _MachineContext, *arguments: Any) -> None:
+    """Ignore an input that the state doesn't list."""
 
 
 @cache
-def _factory(chart: Chart) -> Any:
-    """Build the automat machine of a chart once."""
+def _machine_factory(chart: Chart) -> Any:
+    """Build the automat machine of a chart; cached per chart."""
 
     def make_input(name: str) -> Callable[..., None]:
         def method(self: Any, *arguments: Any) -> None: ...
@@ -136,22 +136,22 @@
 
     namespace: dict[str, Any] = {name: make_input(name) for name in chart.inputs}
     protocol = type(chart.name, (Protocol,), namespace)
-    builder = TypeMachineBuilder(protocol, _Holder)
+    builder = TypeMachineBuilder(protocol, _MachineContext)
     states = {name: builder.state(name) for name in chart.states}
     listed = set()
     for row in chart.transitions:
         listed.add((row.source, row.input_name))
         upon = states[row.source].upon(getattr(protocol, row.input_name))
-        upon.to(states[row.target])(_step(row.target, row.actions))
+        upon.to(states[row.target])(_make_transition(row.target, row.actions))
     if not chart.strict:
         for state in chart.states:
             for name in chart.inputs:
                 if (state, name) not in listed:
-                    states[state].upon(getattr(protocol, name)).loop()(_ignore)
+                    states[state].upon(getattr(protocol, name)).loop()(_ignore_input)
     return builder.build()
 
 
 def start_machine(chart: Chart, owner: Any) -> Machine:
-    """Start a chart whose actions are methods of `owner`."""
-    holder = _Holder(owner, chart.states[0])
-    return Machine(holder, _factory(chart)(holder))
+    """Start an instance of a chart whose actions are methods of `owner`."""
+    context = _MachineContext(owner, chart.states[0])
+    return Machine(context, _machine_factory(chart)(context))
--- a/packages/runtime/src/damaskwind/runtime/lifecycle.py
+++ b/packages/runtime/src/damaskwind/runtime/lifecycle.py
@@ -1,4 +1,4 @@
-"""Run one role on the reactor's loop from its start to a signal."""
+"""Run one role of a process from its start until a signal stops it."""
 
 import asyncio
 import signal
@@ -12,22 +12,22 @@
 
 __all__ = [
     "EXIT_FAILED",
-    "EXIT_FINE",
+    "EXIT_OK",
     "RunningProcess",
     "run_on_loop",
     "run_on_reactor",
     "serve_until_signal",
 ]
 
-EXIT_FINE = 0
+EXIT_OK = 0
 EXIT_FAILED = 1
 
 
 class RunningProcess(Protocol):
-    """What a role hands back: it can be asked to stop gracefully."""
+    """A started role, which can be stopped gracefully."""
 
     def stop(self) -> Awaitable[None]:
-        """Finish the work in hand, then release everything."""
+        """Finish the work in progress, then release all resources."""
 
 
 async def serve_until_signal(
@@ -35,36 +35,36 @@
 ) -> int:
     """Start a role, wait for SIGTERM or SIGINT, and stop it gracefully.
 
-    A second signal during the stop is logged and changes nothing: what is in
-    progress has its own limit. SIGHUP calls `reload`.
+    A second signal during the stop has no effect, since the work in progress has its
+    own time limit. SIGHUP calls `reload`.
     """
     loop = asyncio.get_running_loop()
-    asked = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     if reload is not None:
         loop.add_signal_handler(signal.SIGHUP, reload)
     try:
         process = await start()
-    except Exception as error:  # the daemon's last word: log it and exit non-zero
+    except Exception as error:  # logged, since the process then exits non-zero
         logger.opt(exception=error).error("start failed")
         return EXIT_FAILED
-    stopped = asyncio.ensure_future(_watch(process))
+    failed = asyncio.ensure_future(_wait_for_failure(process))
     await asyncio.wait(
-        {asyncio.ensure_future(asked.wait()), stopped}, return_when="FIRST_COMPLETED"
+        {asyncio.ensure_future(stop_requested.wait()), failed}, return_when="FIRST_COMPLETED"
     )
-    if not asked.is_set():
-        logger.error("process failed", reason=str(stopped.result()))
+    if not stop_requested.is_set():
+        logger.error("process failed", reason=str(failed.result()))
         return EXIT_FAILED
-    stopped.cancel()
+    failed.cancel()
     logger.info("stopping")
     await process.stop()
     logger.info("stopped")
-    return EXIT_FINE
+    return EXIT_OK
 
 
-async def _watch(process: Any) -> Any:
-    """Wait for a role's own fatal failure, if it can report one."""
+async def _wait_for_failure(process: Any) -> Any:
+    """Wait for a fatal failure of a role; forever if the role reports none."""
     failed = getattr(process, "failed", None)
     if failed is None:
         await asyncio.Event().wait()
@@ -72,7 +72,7 @@
 
 
 def run_on_loop(main_task: Callable[[], Awaitable[int]]) -> int:
-    """Run a coroutine on a loop of asyncio's own and return its exit code."""
+    """Run a coroutine on an asyncio loop without a reactor and return its exit code."""
 
     async def run() -> int:
         try:
--- a/packages/wire/src/damaskwind/wire/tests/test_document_difference.py
+++ b/packages/wire/src/damaskwind/wire/tests/test_document_difference.py
@@ -1,4 +1,4 @@
-"""Tests of documents told by their difference."""
+"""Tests of documents encoded as differences."""
 
 import json
 import zlib
@@ -37,7 +37,7 @@
         self.assertRaises(MessageError, apply_difference, b"old", packed)
         self.assertRaises(MessageError, apply_difference, b"old", zlib.compress(packed))
 
-    def test_size_follows_the_change_and_not_the_document(self):
+    def test_size_grows_with_the_change_and_not_with_the_document(self):
         old = routes(range(2_000))
         changes = {
             "one more": routes(range(2_001)),
