--- a/packages/commands/src/damaskwind/commands/demonstration.py
+++ b/packages/commands/src/damaskwind/commands/demonstration.py
@@ -24,7 +24,7 @@
     "List them by age, oldest first.",
 )
 _END_MARKER = "[DONE]"
-_EXIT_FINE = 0
+_EXIT_OK = 0
 _EXIT_FAILED = 1
 
 
@@ -59,7 +59,7 @@
     return Turn(request_id, "".join(words), usage["prompt_tokens"], cached_tokens)
 
 
-async def _ask(fleet: DemonstrationFleet, messages: list[dict[str, str]]) -> Turn:
+async def _stream_turn(fleet: DemonstrationFleet, messages: list[dict[str, str]]) -> Turn:
     """Stream one turn of the chat through the router."""
     body = {
         "model": "damask",
@@ -81,7 +81,7 @@
     return _read_turn(request_id, answer)
 
 
-def _shown(turn: Turn, record: dict[str, Any]) -> str:
+def _turn_summary(turn: Turn, record: dict[str, Any]) -> str:
     """Say which engine answered, how much was cached, and why it was chosen."""
     choice = record["choices"][-1]
     return (
@@ -96,13 +96,13 @@
     messages = [{"role": "system", "content": _SYSTEM_PROMPT}]
     for question in _QUESTIONS:
         messages.append({"role": "user", "content": question})
-        turn = await _ask(fleet, messages)
+        turn = await _stream_turn(fleet, messages)
         messages.append({"role": "assistant", "content": turn.text})
-        record = await fleet.ask(f"/operator/v1/requests/{turn.request_id}")
-        print(f"-- {question}\n   {turn.text.strip()}\n{_shown(turn, record)}", flush=True)
+        record = await fleet.request_router(f"/operator/v1/requests/{turn.request_id}")
+        print(f"-- {question}\n   {turn.text.strip()}\n{_turn_summary(turn, record)}", flush=True)
 
 
-def _introduce(fleet: DemonstrationFleet) -> None:
+def _print_connection_info(fleet: DemonstrationFleet) -> None:
     """Print where the fleet is and a line to copy."""
     body = json.dumps({"model": "damask", "messages": [{"role": "user", "content": "Hello"}]})
     print(f"confirmed plan {fleet.plan['id']}: {len(fleet.plan['difference'])} changes in force")
@@ -117,12 +117,12 @@
 
 async def _wait_for_interrupt() -> None:
     """Wait until the user presses Ctrl-C."""
-    asked = asyncio.Event()
+    interrupted = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, asked.set)
+        loop.add_signal_handler(number, interrupted.set)
     print("serving until Ctrl-C", flush=True)
-    await asked.wait()
+    await interrupted.wait()
 
 
 async def run_demonstration(once: bool) -> int:
@@ -133,7 +133,7 @@
     fleet = DemonstrationFleet()
     try:
         await fleet.start()
-        _introduce(fleet)
+        _print_connection_info(fleet)
         await _chat(fleet)
         if not once:
             await _wait_for_interrupt()
@@ -142,4 +142,4 @@
         return _EXIT_FAILED
     finally:
         await fleet.stop()
-    return _EXIT_FINE
+    return _EXIT_OK
--- a/packages/commands/src/damaskwind/commands/demonstration_fleet.py
+++ b/packages/commands/src/damaskwind/commands/demonstration_fleet.py
@@ -29,10 +29,10 @@
 _ANNOUNCE_KEY = "demo-announce-key"
 _CLUSTER_KEY = "demo-cluster-key"
 _FAILURE_DOMAIN = "loopback"
-_ENGINES = 3
+_ENGINE_COUNT = 3
 _ANY_PORT = "127.0.0.1:0"
 _READY_TIMEOUT_S = 20.0
-_POLL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 _CONFIGURATION = Path(__file__).with_name("demonstration.toml")
 
 
@@ -98,23 +98,23 @@
         self.control = await start_control(_control_settings(self._folder))
         self.router = await start_router(_router_settings(str(self.control.replica_address)))
         await self._wait_until("a leader", self._has_leader)
-        await self._confirm_configuration()
+        await self._publish_configuration()
         await self._wait_until("the configuration in force", self._is_ready)
         await self._start_targets()
-        await self._wait_until("all targets", self._knows_targets)
+        await self._wait_until("all targets", self._has_all_targets)
 
-    async def _confirm_configuration(self) -> None:
+    async def _publish_configuration(self) -> None:
         """Plan what the file wants and confirm the plan, as an operator would."""
         with _CONFIGURATION.open("rb") as file:
             intent = tomllib.load(file)
-        planned = await self.ask_control("POST", "/operator/v1/intents", intent)
+        planned = await self.request_control("POST", "/operator/v1/intents", intent)
         self.plan = planned["plan"]
-        await self.ask_control("POST", f"/operator/v1/plans/{self.plan['id']}/confirm")
+        await self.request_control("POST", f"/operator/v1/plans/{self.plan['id']}/confirm")
 
     async def _start_targets(self) -> None:
         """Start the stand-ins; they announce themselves to the router."""
         announce = AnnounceSettings((str(self.router.http_address),), _ANNOUNCE_KEY)
-        for number in range(1, _ENGINES + 1):
+        for number in range(1, _ENGINE_COUNT + 1):
             settings = EngineSettings(
                 f"engine-{number}", failure_domain=_FAILURE_DOMAIN, announce=announce
             )
@@ -134,9 +134,11 @@
         await to_future(treq.content(response))
         return response.code == HTTPStatus.OK
 
-    async def _knows_targets(self) -> bool:
+    async def _has_all_targets(self) -> bool:
         """Tell whether the router lists every target."""
-        return len((await self.ask("/operator/v1/targets"))["targets"]) == len(self._targets)
+        return len((await self.request_router("/operator/v1/targets"))["targets"]) == len(
+            self._targets
+        )
 
     async def _wait_until(self, what: str, holds: Callable[[], Awaitable[bool]]) -> None:
         """Wait until a condition holds, or fail after a while."""
@@ -145,17 +147,17 @@
         while not await holds():
             if loop.time() > deadline_s:
                 raise DamaskwindError(f"{what} did not show up in time")
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def ask(self, path: str) -> dict[str, Any]:
+    async def request_router(self, path: str) -> dict[str, Any]:
         """Ask the router something as an operator."""
-        return await self._ask("GET", f"{self.url}{path}", None)
+        return await self._request("GET", f"{self.url}{path}", None)
 
-    async def ask_control(self, method: str, path: str, body: Any = None) -> dict[str, Any]:
+    async def request_control(self, method: str, path: str, body: Any = None) -> dict[str, Any]:
         """Ask the control replica something as an operator."""
-        return await self._ask(method, f"http://{self.control.operator_address}{path}", body)
+        return await self._request(method, f"http://{self.control.operator_address}{path}", body)
 
-    async def _ask(self, method: str, url: str, body: Any) -> dict[str, Any]:
+    async def _request(self, method: str, url: str, body: Any) -> dict[str, Any]:
         """Send one call with the operator's key and return its JSON answer."""
         headers = {"authorization": f"Bearer {OPERATOR_KEY}"}
         call = treq.request(method, url, headers=headers, **({"json": body} if body else {}))
--- a/packages/commands/src/damaskwind/commands/operator.py
+++ b/packages/commands/src/damaskwind/commands/operator.py
@@ -53,13 +53,13 @@
     """
     intent = read_table_file(file)
     change_from_table(intent)
-    answer = context.client.ask("POST", _path("intents"), intent)
+    answer = context.client.request_first("POST", _path("intents"), intent)
     if answer.get("plan") is None:
         text = f"nothing to change: already in force at revision {answer.get('revision')}"
         context.show(answer, text)
-        return ExitCode.FINE
+        return ExitCode.OK
     context.show(answer, _plan_text(answer["plan"]))
-    return ExitCode.FINE
+    return ExitCode.OK
 
 
 @control_command
@@ -68,12 +68,12 @@
 
     :param plan_id: the plan's id
     """
-    answer = context.client.ask("POST", _path("plans", plan_id, "confirm"), {})
+    answer = context.client.request_first("POST", _path("plans", plan_id, "confirm"), {})
     outcome = answer["outcome"]
     repeated = " (by an earlier request)" if answer.get("repeated") else ""
     text = f"confirmed{repeated}: revision {outcome['revision']} by {outcome['operator']}"
     context.show(answer, text)
-    return ExitCode.FINE
+    return ExitCode.OK
 
 
 @control_command
@@ -84,16 +84,16 @@
     :param name: the object's name or the plan's id
     """
     if kind == "plan":
-        answer = context.client.ask("GET", _path("plans", name))
+        answer = context.client.request_first("GET", _path("plans", name))
         shown = answer.get("plan")
         context.show(answer, _plan_text(shown) if shown else nested(answer))
-        return ExitCode.FINE
-    answer = context.client.ask("GET", _path("configuration", kind=kind, name=name))
+        return ExitCode.OK
+    answer = context.client.request_first("GET", _path("configuration", kind=kind, name=name))
     if name and not answer.get(kind):
         print(f"no {kind} named '{name}'", file=sys.stderr)
         return ExitCode.REFUSED
     context.show(answer, _objects_text(answer))
-    return ExitCode.FINE
+    return ExitCode.OK
 
 
 def _objects_text(answer: dict[str, Any]) -> str:
@@ -113,7 +113,7 @@
     """Show every replica, the latest changes, and the revision in force per router."""
     gathered = gather_status(context.client)
     context.show(gathered._asdict(), status_text(gathered))
-    return ExitCode.FINE if gathered.replicas or gathered.routers else ExitCode.REFUSED
+    return ExitCode.OK if gathered.replicas or gathered.routers else ExitCode.REFUSED
 
 
 @control_command
@@ -127,16 +127,16 @@
     if verify:
         return _verify(context, known_head)
     if after < 0:
-        head = context.client.ask("GET", _path("audit", after=0, limit=1))
+        head = context.client.request_first("GET", _path("audit", after=0, limit=1))
         after = max(head["last_sequence"] - 50, 0)
-    answer = context.client.ask("GET", _path("audit", after=after))
+    answer = context.client.request_first("GET", _path("audit", after=after))
     titles = ("sequence", "time", "operator", "origin", "action", "subject", "result", "revision")
     rows = [
         [time_text(item["at_s"]) if title == "time" else item[title] for title in titles]
         for item in answer["entries"]
     ]
     context.show(answer, columns(titles, rows))
-    return ExitCode.FINE
+    return ExitCode.OK
 
 
 def _verify(context: Context, known_head: str) -> int:
@@ -159,7 +159,7 @@
     context.show(
         [report._asdict() | {"holds": report.holds} for report in reports], "\n".join(lines)
     )
-    return ExitCode.FINE if all(report.holds for report in reports) else ExitCode.REFUSED
+    return ExitCode.OK if all(report.holds for report in reports) else ExitCode.REFUSED
 
 
 @control_command
@@ -178,14 +178,16 @@
     :param failure_domain: the new replica's failure domain
     """
     if action == "list":
-        context.show(context.client.ask("GET", _path("replicas")))
-        return ExitCode.FINE
+        context.show(context.client.request_first("GET", _path("replicas")))
+        return ExitCode.OK
     if not replica_id or (action == "add" and not (address and failure_domain)):
         raise UsageError("replicas: add REPLICA_ID ADDRESS FAILURE_DOMAIN, or remove REPLICA_ID")
     body = {"action": action, "replica_id": replica_id}
     body |= {"address": address, "failure_domain": failure_domain}
-    context.show(context.client.ask("POST", _path("replicas"), body, safe_to_resend=False))
-    return ExitCode.FINE
+    context.show(
+        context.client.request_first("POST", _path("replicas"), body, safe_to_resend=False)
+    )
+    return ExitCode.OK
 
 
 @control_command
@@ -197,14 +199,14 @@
     :param lift: the digest of a request that may be sent again
     """
     if lift:
-        answer = context.client.ask("DELETE", _path("fatal-requests", lift))
+        answer = context.client.request_first("DELETE", _path("fatal-requests", lift))
         context.show(answer, f"lifted: {answer['lifted']}; routers know in a moment")
-        return ExitCode.FINE
-    answer = context.client.ask("GET", _path("fatal-requests"))
+        return ExitCode.OK
+    answer = context.client.request_first("GET", _path("fatal-requests"))
     titles = ("digest", "standing", "targets_ended", "age_s")
     rows = [[str(item[title]) for title in titles] for item in answer["requests"]]
     context.show(answer, columns(titles, rows) if rows else "no request is suspected")
-    return ExitCode.FINE
+    return ExitCode.OK
 
 
 @control_command
@@ -220,21 +222,21 @@
         raise UsageError("one order at a time: --empty or --take-back")
     if empty or take_back:
         method = "PUT" if empty else "DELETE"
-        answer = context.client.ask(method, _path("evacuations", empty or take_back))
-        did = "emptied" if empty else "taken back"
-        context.show(answer, f"{did}: {answer['failure_domain']} ({answer['message']})")
-        return ExitCode.FINE
-    answer = context.client.ask("GET", _path("evacuations"))
+        answer = context.client.request_first(method, _path("evacuations", empty or take_back))
+        result = "emptied" if empty else "taken back"
+        context.show(answer, f"{result}: {answer['failure_domain']} ({answer['message']})")
+        return ExitCode.OK
+    answer = context.client.request_first("GET", _path("evacuations"))
     emptied = ", ".join(answer["failure_domains"]) or "no failure domain is emptied"
     context.show(answer, f"{emptied} (revision {answer['revision']})")
-    return ExitCode.FINE
+    return ExitCode.OK
 
 
 @router_command
 def targets(context: Context) -> int:
     """Show the targets that a router knows."""
-    context.show(context.client.ask("GET", _path("targets"), search=True))
-    return ExitCode.FINE
+    context.show(context.client.request_first("GET", _path("targets"), search=True))
+    return ExitCode.OK
 
 
 @router_command
@@ -244,8 +246,8 @@
     :param target_id: the target's id
     """
     path = _path("targets", target_id, "drain")
-    context.show(context.client.ask("POST", path, {}, search=True))
-    return ExitCode.FINE
+    context.show(context.client.request_first("POST", path, {}, search=True))
+    return ExitCode.OK
 
 
 @router_command
@@ -254,8 +256,8 @@
 
     :param request_id: the `x-request-id` of the answer
     """
-    context.show(context.client.ask("GET", _path("requests", request_id), search=True))
-    return ExitCode.FINE
+    context.show(context.client.request_first("GET", _path("requests", request_id), search=True))
+    return ExitCode.OK
 
 
 def key(*, json: bool = False) -> int:
@@ -263,10 +265,10 @@
 
     :param json: print JSON for scripts
     """
-    fresh = make_key()
-    answer = {"key": fresh, "key_hash": hash_key(fresh)}
+    new_key = make_key()
+    answer = {"key": new_key, "key_hash": hash_key(new_key)}
     print(as_json(answer) if json else nested(answer))
-    return ExitCode.FINE
+    return ExitCode.OK
 
 
 COMMANDS = [
@@ -292,7 +294,7 @@
     >>> _join_endpoints(["status", "--endpoint", "a:1", "--endpoint=b:2"])
     ['status', '--endpoint', 'a:1,b:2']
     """
-    kept: list[str] = []
+    others: list[str] = []
     endpoints: list[str] = []
     rest = iter(arguments)
     for argument in rest:
@@ -301,11 +303,11 @@
         elif argument.startswith(f"{_ENDPOINT_FLAG}="):
             endpoints.append(argument.partition("=")[2])
         else:
-            kept.append(argument)
-    return kept + ([_ENDPOINT_FLAG, ",".join(endpoints)] if endpoints else [])
+            others.append(argument)
+    return others + ([_ENDPOINT_FLAG, ",".join(endpoints)] if endpoints else [])
 
 
 def main() -> None:
     """Parse the command line and exit with the command's code."""
     arguments = _join_endpoints(sys.argv[1:])
-    sys.exit(int(defopt.run(COMMANDS, argv=arguments) or ExitCode.FINE))
+    sys.exit(int(defopt.run(COMMANDS, argv=arguments) or ExitCode.OK))
--- a/packages/commands/src/damaskwind/commands/operator_audit.py
+++ b/packages/commands/src/damaskwind/commands/operator_audit.py
@@ -21,7 +21,7 @@
 
 __all__ = ["TrailReport", "fetch_entries", "parse_head", "verify_endpoints"]
 
-_PAGE = 500
+_PAGE_SIZE = 500
 
 
 class TrailReport(NamedTuple):
@@ -57,9 +57,9 @@
     `MessageError` when an entry is none.
     """
     while True:
-        path = f"/operator/v1/audit?after={after}&limit={_PAGE}"
-        answer = client.ask_one(endpoint, "GET", path)
-        if not answer.is_good:
+        path = f"/operator/v1/audit?after={after}&limit={_PAGE_SIZE}"
+        answer = client.request_one(endpoint, "GET", path)
+        if not answer.is_success:
             error: Any = answer.body.get("error", {})
             message = error.get("message", f"status {answer.status}")
             raise RequestFailedError(ExitCode.REFUSED, message, answer.body)
@@ -72,7 +72,7 @@
         after = entries[-1].sequence
 
 
-class _Reading(NamedTuple):
+class _FetchedTrail(NamedTuple):
     """One replica's entries as they were read: runs without a gap."""
 
     endpoint: str
@@ -80,7 +80,7 @@
     error: str
 
 
-def _read(client: OperatorClient, endpoint: Endpoint) -> _Reading:
+def _fetch_trail(client: OperatorClient, endpoint: Endpoint) -> _FetchedTrail:
     """Read a replica's entries and part them where numbers are left out."""
     runs: list[list[AuditEntry]] = []
     try:
@@ -89,45 +89,45 @@
                 runs.append([])
             runs[-1].append(entry)
     except (RequestFailedError, MessageError) as error:
-        return _Reading(str(endpoint), [], str(error))
-    return _Reading(str(endpoint), runs, "")
+        return _FetchedTrail(str(endpoint), [], str(error))
+    return _FetchedTrail(str(endpoint), runs, "")
 
 
-def _differences(reading: _Reading, seen: dict[int, str]) -> Iterator[str]:
+def _differences(trail: _FetchedTrail, hashes: dict[int, str]) -> Iterator[str]:
     """Name the entries that differ from what another replica showed first."""
-    for run in reading.runs:
+    for run in trail.runs:
         for entry in run:
-            if seen.setdefault(entry.sequence, entry.entry_hash) != entry.entry_hash:
+            if hashes.setdefault(entry.sequence, entry.entry_hash) != entry.entry_hash:
                 yield f"entry {entry.sequence}: differs from another replica's"
 
 
-def _gap_faults(reading: _Reading, seen: dict[int, str]) -> Iterator[str]:
+def _gap_faults(trail: _FetchedTrail, hashes: dict[int, str]) -> Iterator[str]:
     """Name the gaps that no other replica fills or that it fills with another chain."""
-    for before, after in pairwise(reading.runs):
+    for before, after in pairwise(trail.runs):
         first, last = before[-1].sequence + 1, after[0].sequence - 1
-        if any(number not in seen for number in range(first, last + 1)):
+        if any(number not in hashes for number in range(first, last + 1)):
             yield f"entries {first} to {last}: held by no replica that was asked"
-        elif after[0].previous_hash != seen[last]:
+        elif after[0].previous_hash != hashes[last]:
             yield f"entry {last + 1}: not chained to the entry before it"
 
 
 def _report(
-    reading: _Reading, known: ChainHead | None, differing: list[str], seen: dict[int, str]
+    trail: _FetchedTrail, known: ChainHead | None, differing: list[str], hashes: dict[int, str]
 ) -> TrailReport:
     """Verify the runs of one replica and sum up."""
-    if reading.error:
-        return TrailReport(reading.endpoint, ChainVerdict(0, None, ()), 0, reading.error)
+    if trail.error:
+        return TrailReport(trail.endpoint, ChainVerdict(0, None, ()), 0, trail.error)
     faults = list(differing)
-    for run in reading.runs:
+    for run in trail.runs:
         faults += verify_chain(run).faults
     # The runs are sound or named above; the known head is looked for over all of them.
-    entries = [entry for run in reading.runs for entry in run]
+    entries = [entry for run in trail.runs for entry in run]
     faults += head_faults(entries, known)
-    faults += _gap_faults(reading, seen)
+    faults += _gap_faults(trail, hashes)
     head = ChainHead(entries[-1].sequence, entries[-1].entry_hash) if entries else None
     first_sequence = entries[0].sequence if entries else 0
     verdict = ChainVerdict(len(entries), head, tuple(faults))
-    return TrailReport(reading.endpoint, verdict, first_sequence)
+    return TrailReport(trail.endpoint, verdict, first_sequence)
 
 
 def verify_endpoints(client: OperatorClient, known: ChainHead | None) -> list[TrailReport]:
@@ -136,10 +136,10 @@
     A replica that was away for long, or that joined late, may lack entries that
     others have; that is a fault only when none of those asked has them.
     """
-    seen: dict[int, str] = {}
-    readings = [_read(client, endpoint) for endpoint in client.endpoints]
-    differing = [list(_differences(reading, seen)) for reading in readings]
+    hashes: dict[int, str] = {}
+    trails = [_fetch_trail(client, endpoint) for endpoint in client.endpoints]
+    differing = [list(_differences(trail, hashes)) for trail in trails]
     return [
-        _report(reading, known, faults, seen)
-        for reading, faults in zip(readings, differing, strict=True)
+        _report(trail, known, faults, hashes)
+        for trail, faults in zip(trails, differing, strict=True)
     ]
--- a/packages/commands/src/damaskwind/commands/operator_client.py
+++ b/packages/commands/src/damaskwind/commands/operator_client.py
@@ -34,7 +34,7 @@
 class ExitCode(IntEnum):
     """What the process ends with."""
 
-    FINE = 0
+    OK = 0
     REFUSED = 1
     BAD_USAGE = 2
     OUTCOME_UNKNOWN = 3
@@ -71,10 +71,10 @@
     endpoint: Endpoint
     status: int
     body: dict[str, Any]
-    may_have_been_taken: bool = False
+    may_have_been_accepted: bool = False
 
     @property
-    def is_good(self) -> bool:
+    def is_success(self) -> bool:
         """Tell whether the request was done."""
         return 200 <= self.status < 300
 
@@ -106,7 +106,7 @@
         self._key = key
         self._timeout_s = timeout_s
 
-    def ask(
+    def request_first(
         self,
         method: str,
         path: str,
@@ -121,30 +121,30 @@
         """
         answers: list[Answer] = []
         for endpoint in self.endpoints:
-            answer = self.ask_one(endpoint, method, path, body)
-            if answer.is_good:
+            answer = self.request_one(endpoint, method, path, body)
+            if answer.is_success:
                 return answer.body
             answers.append(answer)
-            if not _tries_next(answer, safe_to_resend, search):
+            if not _should_try_next(answer, safe_to_resend, search):
                 break
-        raise _failure(answers)
+        raise _make_failure(answers)
 
-    def ask_one(self, endpoint: Endpoint, method: str, path: str, body: Any = None) -> Answer:
+    def request_one(self, endpoint: Endpoint, method: str, path: str, body: Any = None) -> Answer:
         """Ask one endpoint once; never raise for what the network does."""
         kind = HTTPSConnection if endpoint.scheme == "https" else HTTPConnection
         connection = kind(endpoint.host, endpoint.port, timeout=self._timeout_s)
-        may_have_been_taken = False
+        may_have_been_accepted = False
         try:
             connection.connect()
-            may_have_been_taken = method != "GET"
+            may_have_been_accepted = method != "GET"
             connection.request(method, path, _encoded(body), self._headers(body))
             response = connection.getresponse()
             content = response.read(_ANSWER_LIMIT_BYTES)
         except (OSError, HTTPException) as error:
-            return Answer(endpoint, 0, _network_error(endpoint, error), may_have_been_taken)
+            return Answer(endpoint, 0, _network_error(endpoint, error), may_have_been_accepted)
         finally:
             connection.close()
-        is_unknown = may_have_been_taken and response.status == _GATEWAY_TIMEOUT
+        is_unknown = may_have_been_accepted and response.status == _GATEWAY_TIMEOUT
         return Answer(endpoint, response.status, _decoded(content), is_unknown)
 
     def _headers(self, body: Any) -> dict[str, str]:
@@ -173,20 +173,20 @@
     return {"error": {"code": "no_answer", "message": f"{endpoint}: {reason or repr(error)}"}}
 
 
-def _tries_next(answer: Answer, safe_to_resend: bool, search: bool) -> bool:
+def _should_try_next(answer: Answer, safe_to_resend: bool, search: bool) -> bool:
     """Tell whether another endpoint should be asked after this answer."""
-    if answer.may_have_been_taken:
+    if answer.may_have_been_accepted:
         return safe_to_resend
     if answer.status == _NOT_FOUND:
         return search
     return answer.status in (0, _SERVICE_UNAVAILABLE)
 
 
-def _failure(answers: list[Answer]) -> RequestFailedError:
+def _make_failure(answers: list[Answer]) -> RequestFailedError:
     """Sum up the answers: unknown if any may have been taken, unless one settled it."""
     last = answers[-1]
-    settled = not last.may_have_been_taken and last.status not in (0, _SERVICE_UNAVAILABLE)
-    unknown = [answer for answer in answers if answer.may_have_been_taken]
+    settled = not last.may_have_been_accepted and last.status not in (0, _SERVICE_UNAVAILABLE)
+    unknown = [answer for answer in answers if answer.may_have_been_accepted]
     shown = last if settled or not unknown else unknown[-1]
     code = ExitCode.REFUSED if settled or not unknown else ExitCode.OUTCOME_UNKNOWN
     error = shown.body.get("error", {})
--- a/packages/commands/src/damaskwind/commands/operator_context.py
+++ b/packages/commands/src/damaskwind/commands/operator_context.py
@@ -98,10 +98,10 @@
     return "\n".join([*lines, nested(extra)] if extra else lines)
 
 
-def _run(act: Callable[[], int | None], for_scripts: bool) -> int:
+def _run_command(command: Callable[[], int | None], for_scripts: bool) -> int:
     """Run a command and return its exit code."""
     try:
-        return int(act() or ExitCode.FINE)
+        return int(command() or ExitCode.OK)
     except UsageError as error:
         print(error, file=sys.stderr)
         return ExitCode.BAD_USAGE
@@ -122,7 +122,9 @@
     @wraps(command)
     def run(*arguments: Any, **options: Any) -> int:
         given = _SharedOptions(**{name: options.pop(name) for name in shared._fields})
-        return _run(lambda: command(_context(given, variables), *arguments, **options), given.json)
+        return _run_command(
+            lambda: command(_context(given, variables), *arguments, **options), given.json
+        )
 
     own = list(signature(command).parameters.values())[1:]
     hints = {**_SharedOptions.__annotations__}
--- a/packages/commands/src/damaskwind/commands/operator_status.py
+++ b/packages/commands/src/damaskwind/commands/operator_status.py
@@ -25,15 +25,15 @@
     silent: dict[str, str]
 
 
-def _ask(client: OperatorClient, endpoint: Endpoint) -> tuple[str, Answer]:
+def _request_status(client: OperatorClient, endpoint: Endpoint) -> tuple[str, Answer]:
     """Ask an endpoint as a replica, then as a router."""
-    answer = client.ask_one(endpoint, "GET", _REPLICA_PATH)
+    answer = client.request_one(endpoint, "GET", _REPLICA_PATH)
     if answer.status != _NOT_FOUND:
         return "replica", answer
-    return "router", client.ask_one(endpoint, "GET", _ROUTER_PATH)
+    return "router", client.request_one(endpoint, "GET", _ROUTER_PATH)
 
 
-def _heard_of(replicas: dict[str, dict[str, Any]]) -> dict[str, dict[str, Any]]:
+def _latest_reports(replicas: dict[str, dict[str, Any]]) -> dict[str, dict[str, Any]]:
     """Return the newest report that any replica has of each router."""
     newest: dict[str, dict[str, Any]] = {}
     for body in replicas.values():
@@ -50,21 +50,21 @@
 def gather_status(client: OperatorClient) -> FleetStatus:
     """Ask every endpoint and put the answers together."""
     replicas: dict[str, dict[str, Any]] = {}
-    asked: dict[str, dict[str, Any]] = {}
+    direct: dict[str, dict[str, Any]] = {}
     silent: dict[str, str] = {}
     for endpoint in client.endpoints:
-        kind, answer = _ask(client, endpoint)
-        if not answer.is_good:
+        kind, answer = _request_status(client, endpoint)
+        if not answer.is_success:
             error = answer.body.get("error")
-            told = error.get("message") if isinstance(error, dict) else None
-            silent[str(endpoint)] = told or f"status {answer.status}"
+            details = error.get("message") if isinstance(error, dict) else None
+            silent[str(endpoint)] = details or f"status {answer.status}"
         elif kind == "replica":
             replicas[str(endpoint)] = answer.body
         else:
             router_id = str(answer.body.get("router_id", endpoint))
             revision = answer.body.get("revision_in_force", 0)
-            asked[router_id] = {"revision": revision, "age_s": 0.0}
-    routers = _heard_of(replicas) | asked
+            direct[router_id] = {"revision": revision, "age_s": 0.0}
+    routers = _latest_reports(replicas) | direct
     seen = [body.get("revision", 0) for body in replicas.values()]
     revision = max(seen + [item["revision"] for item in routers.values()], default=0)
     for item in routers.values():
@@ -75,8 +75,8 @@
 def _replica_row(endpoint: str, body: dict[str, Any]) -> list[Any]:
     """Return the row of one replica."""
     replica = body.get("replica", {})
-    told = [replica.get(name) for name in ("replica_id", "role", "term", "leader", "is_current")]
-    return [endpoint, *told, body.get("revision"), body.get("audit_head", {}).get("sequence")]
+    details = [replica.get(name) for name in ("replica_id", "role", "term", "leader", "is_current")]
+    return [endpoint, *details, body.get("revision"), body.get("audit_head", {}).get("sequence")]
 
 
 def status_text(status: FleetStatus) -> str:
--- a/packages/commands/src/damaskwind/commands/operator_trace.py
+++ b/packages/commands/src/damaskwind/commands/operator_trace.py
@@ -22,18 +22,18 @@
         print("trace: name at least one log", file=sys.stderr)
         return ExitCode.BAD_USAGE
     try:
-        found = trace_request(request_id, _lines_of(files))
+        result = trace_request(request_id, _read_files(files))
     except OSError as error:
         print(f"{error.filename}: {error.strerror}", file=sys.stderr)
         return ExitCode.BAD_USAGE
-    if not found.request:
+    if not result.request:
         print(f"no line of request '{request_id}' in {len(files)} files", file=sys.stderr)
         return ExitCode.REFUSED
-    print(as_json(found._asdict()) if json else trace_text(found))
-    return ExitCode.FINE
+    print(as_json(result._asdict()) if json else trace_text(result))
+    return ExitCode.OK
 
 
-def _lines_of(files: Iterable[Path]) -> Iterator[LogLine | None]:
+def _read_files(files: Iterable[Path]) -> Iterator[LogLine | None]:
     """Read files one after the other, line by line."""
     for file in files:
         with file.open("rb") as lines:
--- a/packages/commands/src/damaskwind/commands/request_trace.py
+++ b/packages/commands/src/damaskwind/commands/request_trace.py
@@ -14,11 +14,11 @@
 
 # A target or replica that is lost is noticed within some seconds at the latest:
 # heartbeats are 1.2 s apart, and four missed ones make a target silent.
-BEFORE_S = 5.0
-AFTER_S = 1.0
+LEAD_S = 5.0
+LAG_S = 1.0
 _REQUEST_EVENTS = ("request ended", "request refused")
 # What a router says of itself and of all its requests alike.
-_OWN_EVENTS = (
+_NODE_EVENTS = (
     "replica heard",
     "replica lost",
     "configuration in force",
@@ -86,50 +86,52 @@
 
 def trace_request(request_id: str, lines: Iterable[LogLine | None]) -> RequestTrace:
     """Gather the lines of a request and those that bear on it."""
-    known = list(lines)
-    unreadable = known.count(None)
-    logged = sorted((line for line in known if line is not None), key=lambda line: line.time_s)
-    own = [
+    parsed = list(lines)
+    unreadable = parsed.count(None)
+    logged = sorted((line for line in parsed if line is not None), key=lambda line: line.time_s)
+    request_lines = [
         line
         for line in logged
         if line.event in _REQUEST_EVENTS and line.fields.get("request") == request_id
     ]
-    around = [line for line in logged if any(_bears_on(line, request) for request in own)]
-    return RequestTrace(own, around, unreadable)
+    around = [
+        line for line in logged if any(_is_related(line, request) for request in request_lines)
+    ]
+    return RequestTrace(request_lines, around, unreadable)
 
 
-def _bears_on(line: LogLine, request: LogLine) -> bool:
+def _is_related(line: LogLine, request: LogLine) -> bool:
     """Tell whether a line is near a request in time and speaks of what it met."""
-    began_s = _began_s(request)
-    if not began_s - BEFORE_S <= line.time_s <= request.time_s + AFTER_S:
+    started_s = _started_s(request)
+    if not started_s - LEAD_S <= line.time_s <= request.time_s + LAG_S:
         return False
     if line.event in _REQUEST_EVENTS:
         return False
-    met = {attempt[0] for attempt in request.fields.get("attempts", [])}
-    if line.fields.get("target") in met:
+    attempted = {attempt[0] for attempt in request.fields.get("attempts", [])}
+    if line.fields.get("target") in attempted:
         return True
-    return line.node == request.node and line.event in _OWN_EVENTS
+    return line.node == request.node and line.event in _NODE_EVENTS
 
 
-def _began_s(request: LogLine) -> float:
+def _started_s(request: LogLine) -> float:
     """Return when a request began, by its last line."""
     return request.time_s - request.fields.get("took_ms", 0) / 1000
 
 
 def trace_text(trace: RequestTrace) -> str:
     """Return a trace for people, with times in ms from the request's start."""
-    began_s = _began_s(trace.request[0])
+    started_s = _started_s(trace.request[0])
     parts = []
     for request in trace.request:
         summary = {key: value for key, value in request.fields.items() if key != "attempts"}
         parts.append(f"{request.node}: {request.event}")
         parts += [f"  {key}: {_value(value)}" for key, value in summary.items()]
-        parts += [_attempt_text(note) for note in request.fields.get("attempts", [])]
+        parts += [_attempt_text(attempt) for attempt in request.fields.get("attempts", [])]
     parts.append("around it, in ms from its start:")
     for line in trace.around:
-        said = " ".join(f"{key}={_value(value)}" for key, value in line.fields.items())
-        at_ms = round((line.time_s - began_s) * 1000)
-        parts.append(f"{at_ms:>8}  {line.node}  {line.event}  {said}".rstrip())
+        fields_text = " ".join(f"{key}={_value(value)}" for key, value in line.fields.items())
+        at_ms = round((line.time_s - started_s) * 1000)
+        parts.append(f"{at_ms:>8}  {line.node}  {line.event}  {fields_text}".rstrip())
     if not trace.around:
         parts.append("       -  nothing was logged")
     if trace.unreadable:
@@ -137,9 +139,9 @@
     return "\n".join(parts)
 
 
-def _attempt_text(note: list[Any]) -> str:
+def _attempt_text(attempt: list[Any]) -> str:
     """Return one send with its fields named."""
-    named = zip(_ATTEMPT_FIELDS, note, strict=False)
+    named = zip(_ATTEMPT_FIELDS, attempt, strict=False)
     return "  sent: " + " ".join(f"{name}={_value(value)}" for name, value in named)
 
 
--- a/packages/commands/src/damaskwind/commands/tests/test_operator.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator.py
@@ -75,7 +75,7 @@
 
     async def planned(self, text):
         done = await self.run_command("plan", self.file(text), "--json")
-        self.assertEqual(done.returncode, ExitCode.FINE, done.stderr)
+        self.assertEqual(done.returncode, ExitCode.OK, done.stderr)
         return json.loads(done.stdout)["plan"]["id"]
 
     async def first_operator(self):
@@ -83,7 +83,7 @@
         fresh = json.loads(done.stdout)
         plan_id = await self.planned(OPERATORS.format(fresh["key_hash"]))
         done = await self.run_command("confirm", plan_id)
-        self.assertEqual((done.returncode, done.stderr), (ExitCode.FINE, ""))
+        self.assertEqual((done.returncode, done.stderr), (ExitCode.OK, ""))
         self.key = fresh["key"]
         for replica in self.fleet.replicas:
             replica.catch_up()
@@ -106,7 +106,7 @@
         self.assertEqual(done.stdout.count("confirmed"), 2)
         self.fleet.replicas[1].catch_up()
         done = await self.run_command("audit", "--verify")
-        self.assertEqual((done.returncode, done.stdout.count("holds")), (ExitCode.FINE, 2))
+        self.assertEqual((done.returncode, done.stdout.count("holds")), (ExitCode.OK, 2))
         head = done.stdout.splitlines()[0].split("head ")[1]
         lines = self.fleet.replicas[1].machine.trail._lines
         lines[1] = lines[1].replace(b"bootstrap", b"b00tstrap")
--- a/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
@@ -22,7 +22,7 @@
         self.endpoints = parse_endpoints(",".join(f"10.0.0.{i}:1" for i in range(len(trails))))
         self.trails = dict(zip(self.endpoints, trails, strict=True))
 
-    def ask_one(self, endpoint, method, path, body=None):
+    def request_one(self, endpoint, method, path, body=None):
         trail = self.trails[endpoint]
         if trail is None:
             return Answer(endpoint, 0, {"error": {"message": "refused"}})
--- a/packages/commands/src/damaskwind/commands/tests/test_operator_with_replicas.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator_with_replicas.py
@@ -76,18 +76,18 @@
         path = self.folder / "intent.toml"
         path.write_text(text, encoding="utf-8")
         code, told = await self.tell("plan", str(path), "--json", at=at)
-        self.assertEqual(code, ExitCode.FINE, told)
+        self.assertEqual(code, ExitCode.OK, told)
         return told["plan"]["id"]
 
     async def confirm(self, plan_id, at=(0, 1, 2)):
         code, told = await self.tell("confirm", plan_id, "--json", at=at)
-        self.assertEqual(code, ExitCode.FINE, told)
+        self.assertEqual(code, ExitCode.OK, told)
         return told["outcome"]["revision"], told["repeated"]
 
     async def confirm_somewhere(self, plan_id):
         """Confirm as an operator would who resends until the outcome is known."""
         done = await self.run_command("confirm", plan_id)
-        return done.returncode == ExitCode.FINE
+        return done.returncode == ExitCode.OK
 
     async def leader(self):
         _code, told = await self.tell("status", "--json")
@@ -141,4 +141,4 @@
     async def all_verified(self):
         code, told = await self.tell("audit", "--verify", "--json")
         heads = {report["verdict"]["head"]["sequence"] for report in told if report["holds"]}
-        return code == ExitCode.FINE and len(told) == 3 and len(heads) == 1
+        return code == ExitCode.OK and len(told) == 3 and len(heads) == 1
--- a/packages/commands/src/damaskwind/commands/tests/test_request_trace.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_request_trace.py
@@ -84,7 +84,7 @@
             Path(files[0]).write_bytes(ENDED)
             Path(files[1]).write_bytes(b"".join(LOGS[:5]))
             done = self.run_trace("abc", *files)
-            self.assertEqual(done.returncode, ExitCode.FINE, done.stderr)
+            self.assertEqual(done.returncode, ExitCode.OK, done.stderr)
             self.assertIn("replica lost", done.stdout)
             found = json.loads(self.run_trace("abc", *files, "--json").stdout)
             self.assertEqual(found["request"][0]["node"], "r1")
