--- a/tools/soak.py
+++ b/tools/soak.py
@@ -65,7 +65,7 @@
             kept,
             prelude,
             has_fatal_request=True,
-            has_wishes=True,
+            has_target_signals=True,
         )
         took_s = time.monotonic() - begun_s
         word = "BROKEN" if verdict.broken else "held"
