--- a/packages/commands/src/damaskwind/commands/daemon.py
+++ b/packages/commands/src/damaskwind/commands/daemon.py
@@ -17,7 +17,7 @@
 
 
 def _read_or_exit(file: Path) -> Settings:
-    """Read settings, or print every mistake and exit with 2."""
+    """Read the settings; on errors print every mistake and exit with code 2."""
     try:
         return read_settings(file)
     except SettingsError as error:
@@ -27,7 +27,7 @@
 
 
 def _need_table(file: Path, settings: Settings, name: str) -> None:
-    """Exit with 2 unless the settings hold the table of the role."""
+    """Exit with code 2 if the settings lack the table of the role."""
     if getattr(settings, name) is None:
         print(f"{file}: {name}: missing table", file=sys.stderr)
         sys.exit(EXIT_BAD_USAGE)
@@ -58,10 +58,10 @@
 
 
 def demo(*, once: bool = False) -> int:
-    """Run a whole small fleet in this process and stream a chat through it.
+    """Run a small but complete fleet in this process and stream a chat through it.
 
-    With `--once` it ends after the chat, non-zero if anything failed;
-    otherwise it serves until SIGINT.
+    With `--once` the command exits after the chat, with a non-zero code if anything
+    failed; otherwise it serves until SIGINT.
     """
     configure_logging("WARNING", "text", "demo")
     install_reactor()
@@ -71,7 +71,7 @@
 
 
 def check(file: Path) -> int:
-    """Check the settings in FILE and name every mistake at once."""
+    """Check the settings in FILE and print every mistake."""
     settings = _read_or_exit(file)
     roles = [name for name in ("router", "control") if getattr(settings, name) is not None]
     print(f"{file}: fine ({', '.join(roles)})")
@@ -79,5 +79,5 @@
 
 
 def main() -> None:
-    """Parse the command line and exit with the command's code."""
+    """Parse the command line, run the command and exit with its exit code."""
     sys.exit(defopt.run([router, control, demo, check]))
--- a/packages/commands/src/damaskwind/commands/demonstration.py
+++ b/packages/commands/src/damaskwind/commands/demonstration.py
@@ -1,4 +1,4 @@
-"""Run the demonstration: a small fleet in one process and a chat through it."""
+"""Run the demonstration: a small fleet in one process, and a chat sent through it."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 
 
 class Turn(NamedTuple):
-    """What came back for one turn of the chat."""
+    """The answer to one turn of the chat, with its token counts."""
 
     request_id: str
     text: str
@@ -44,7 +44,7 @@
 
 
 def _read_turn(request_id: str, body: bytes) -> Turn:
-    """Put the chunks of a streamed answer together; it must be whole."""
+    """Join the chunks of a streamed answer; raise `DamaskwindError` if it is incomplete."""
     events = _events(body)
     if not events or events[-1] != _END_MARKER:
         raise DamaskwindError(f"the answer to {request_id} was cut short")
@@ -82,7 +82,7 @@
 
 
 def _turn_summary(turn: Turn, record: dict[str, Any]) -> str:
-    """Say which engine answered, how much was cached, and why it was chosen."""
+    """Describe which engine answered, why it was chosen and how many tokens were cached."""
     choice = record["choices"][-1]
     return (
         f"   {choice['target_id']} answered; {turn.cached_tokens} of {turn.prompt_tokens} prompt"
@@ -92,7 +92,7 @@
 
 
 async def _chat(fleet: DemonstrationFleet) -> None:
-    """Hold the chat, a turn after the other, and show what happened to each."""
+    """Send the turns of the chat one by one and print how each was routed."""
     messages = [{"role": "system", "content": _SYSTEM_PROMPT}]
     for question in _QUESTIONS:
         messages.append({"role": "user", "content": question})
@@ -103,7 +103,7 @@
 
 
 def _print_connection_info(fleet: DemonstrationFleet) -> None:
-    """Print where the fleet is and a line to copy."""
+    """Print the fleet's addresses and keys, and a curl command to try."""
     body = json.dumps({"model": "damask", "messages": [{"role": "user", "content": "Hello"}]})
     print(f"confirmed plan {fleet.plan['id']}: {len(fleet.plan['difference'])} changes in force")
     print(f"router: {fleet.url}   caller key: {CALLER_KEY}   operator key: {OPERATOR_KEY}")
@@ -116,7 +116,7 @@
 
 
 async def _wait_for_interrupt() -> None:
-    """Wait until the user presses Ctrl-C."""
+    """Wait for SIGINT or SIGTERM."""
     interrupted = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -126,9 +126,9 @@
 
 
 async def run_demonstration(once: bool) -> int:
-    """Start the fleet, hold the chat, and serve on unless `once`.
+    """Start the fleet and run the chat; unless `once`, keep serving until interrupted.
 
-    Returns the exit code: non-zero if anything failed.
+    Return the exit code, which is non-zero if anything failed.
     """
     fleet = DemonstrationFleet()
     try:
--- a/packages/commands/src/damaskwind/commands/demonstration_fleet.py
+++ b/packages/commands/src/damaskwind/commands/demonstration_fleet.py
@@ -37,7 +37,7 @@
 
 
 def _node(name: str) -> dict[str, Any]:
-    """Return the `[node]` table of one process of the fleet."""
+    """Return the `[node]` table of one process."""
     return {
         "node_id": name,
         "cluster": "demo",
@@ -48,7 +48,7 @@
 
 
 def _control_settings(folder: Path) -> Settings:
-    """Return the settings of the only control replica."""
+    """Return the settings of the single control replica."""
     control = {
         "replica_address": _ANY_PORT,
         "operator_address": _ANY_PORT,
@@ -74,12 +74,12 @@
 
 
 def _replica(replica_id: str, address: str) -> dict[str, Any]:
-    """Return a row that names a replica."""
+    """Return the settings entry of a replica."""
     return {"replica_id": replica_id, "address": address, "failure_domain": _FAILURE_DOMAIN}
 
 
 class DemonstrationFleet:
-    """The parts of the demonstration, started and stopped together."""
+    """The processes of the demonstration, started and stopped together."""
 
     def __init__(self) -> None:
         self._folder = Path(tempfile.mkdtemp(prefix="damaskwind-demo-"))
@@ -90,11 +90,11 @@
 
     @property
     def url(self) -> str:
-        """Return where callers and operators reach the router."""
+        """The base URL of the router, for callers and operators."""
         return f"http://{self.router.http_address}"
 
     async def start(self) -> None:
-        """Start every part, confirm the configuration, and wait until all is in force."""
+        """Start all processes, publish the configuration and wait until the router serves it."""
         self.control = await start_control(_control_settings(self._folder))
         self.router = await start_router(_router_settings(str(self.control.replica_address)))
         await self._wait_until("a leader", self._has_leader)
@@ -104,7 +104,7 @@
         await self._wait_until("all targets", self._has_all_targets)
 
     async def _publish_configuration(self) -> None:
-        """Plan what the file wants and confirm the plan, as an operator would."""
+        """Plan the configuration file and confirm the plan, as an operator would."""
         with _CONFIGURATION.open("rb") as file:
             intent = tomllib.load(file)
         planned = await self.request_control("POST", "/operator/v1/intents", intent)
@@ -112,7 +112,7 @@
         await self.request_control("POST", f"/operator/v1/plans/{self.plan['id']}/confirm")
 
     async def _start_targets(self) -> None:
-        """Start the stand-ins; they announce themselves to the router."""
+        """Start the stand-ins, which announce themselves to the router."""
         announce = AnnounceSettings((str(self.router.http_address),), _ANNOUNCE_KEY)
         for number in range(1, _ENGINE_COUNT + 1):
             settings = EngineSettings(
@@ -125,40 +125,40 @@
             await target.start()
 
     async def _has_leader(self) -> bool:
-        """Tell whether the replica leads and answers as current."""
+        """Return whether the replica is a current leader."""
         return self.control.replica.is_current
 
     async def _is_ready(self) -> bool:
-        """Tell whether the router would take requests."""
+        """Return whether the router is ready for requests."""
         response = await to_future(treq.get(f"{self.url}/readyz"))
         await to_future(treq.content(response))
         return response.code == HTTPStatus.OK
 
     async def _has_all_targets(self) -> bool:
-        """Tell whether the router lists every target."""
+        """Return whether the router lists every target."""
         return len((await self.request_router("/operator/v1/targets"))["targets"]) == len(
             self._targets
         )
 
     async def _wait_until(self, what: str, holds: Callable[[], Awaitable[bool]]) -> None:
-        """Wait until a condition holds, or fail after a while."""
+        """Wait until a condition holds; raise `DamaskwindError` after `_READY_TIMEOUT_S`."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + _READY_TIMEOUT_S
         while not await holds():
             if loop.time() > deadline_s:
-                raise DamaskwindError(f"{what} did not show up in time")
+                raise DamaskwindError(f"timed out waiting for {what}")
             await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def request_router(self, path: str) -> dict[str, Any]:
-        """Ask the router something as an operator."""
+        """Send a GET request to the router as an operator."""
         return await self._request("GET", f"{self.url}{path}", None)
 
     async def request_control(self, method: str, path: str, body: Any = None) -> dict[str, Any]:
-        """Ask the control replica something as an operator."""
+        """Send a request to the control replica as an operator."""
         return await self._request(method, f"http://{self.control.operator_address}{path}", body)
 
     async def _request(self, method: str, url: str, body: Any) -> dict[str, Any]:
-        """Send one call with the operator's key and return its JSON answer."""
+        """Send one request with the operator's key and return the JSON answer."""
         headers = {"authorization": f"Bearer {OPERATOR_KEY}"}
         call = treq.request(method, url, headers=headers, **({"json": body} if body else {}))
         response = await to_future(call)
@@ -168,7 +168,7 @@
         return json.loads(answer)
 
     async def stop(self) -> None:
-        """Stop every part and remove the folder."""
+        """Stop all processes and remove the data folder."""
         if self.router is not None:
             await self.router.stop()
         for target in self._targets:
--- a/packages/commands/src/damaskwind/commands/operator.py
+++ b/packages/commands/src/damaskwind/commands/operator.py
@@ -25,14 +25,14 @@
 
 
 def _path(*parts: str, **query: Any) -> str:
-    """Return a path of the API with its query."""
+    """Return a path of the operators' API, with its non-empty query parameters."""
     path = "/".join([_ROOT, *(quote(part, safe="") for part in parts)])
     chosen = {name: value for name, value in query.items() if value not in ("", None)}
     return f"{path}?{urlencode(chosen)}" if chosen else path
 
 
 def _plan_text(plan: dict[str, Any]) -> str:
-    """Return a plan for people."""
+    """Format a plan as text."""
     parts = [
         f"plan {plan['id']} on revision {plan['base_revision']},"
         f" by {plan['planned_by']}, expires in {plan['expires_in_s']:.0f} s",
@@ -47,9 +47,9 @@
 
 @control_command
 def plan(context: Context, file: Path) -> int:
-    """Plan what FILE (TOML) wants; nothing changes until the plan is confirmed.
+    """Plan the changes in FILE (TOML); nothing changes until the plan is confirmed.
 
-    :param file: whole objects by kind and name, and names to delete
+    :param file: complete objects by kind and name, and names to delete
     """
     intent = read_table_file(file)
     change_from_table(intent)
@@ -64,7 +64,7 @@
 
 @control_command
 def confirm(context: Context, plan_id: str) -> int:
-    """Confirm a plan; safe to repeat, the first outcome counts.
+    """Confirm a plan; repeating it is safe and returns the first outcome.
 
     :param plan_id: the plan's id
     """
@@ -97,7 +97,7 @@
 
 
 def _objects_text(answer: dict[str, Any]) -> str:
-    """Return a configuration for people: a table for each kind, keys by fingerprint."""
+    """Format a configuration as text: a table for each kind, keys as fingerprints."""
     parts = [f"revision {answer.get('revision', 0)}"]
     for kind, objects in redacted(answer).items():
         if not isinstance(objects, dict) or not objects:
@@ -110,7 +110,7 @@
 
 @control_command
 def status(context: Context) -> int:
-    """Show every replica, the latest changes, and the revision in force per router."""
+    """Show every replica, the latest changes, and each router's revision in force."""
     gathered = gather_status(context.client)
     context.show(gathered._asdict(), status_text(gathered))
     return ExitCode.OK if gathered.replicas or gathered.routers else ExitCode.REFUSED
@@ -118,11 +118,11 @@
 
 @control_command
 def audit(context: Context, *, verify: bool = False, known_head: str = "", after: int = -1) -> int:
-    """Show the audit trail's latest entries, or verify the whole of it.
+    """Show the audit trail's latest entries, or verify the complete trail.
 
     :param verify: verify the chain of every endpoint
-    :param known_head: SEQUENCE:HASH that an earlier check printed
-    :param after: show the entries after this number rather than the latest
+    :param known_head: SEQUENCE:HASH printed by an earlier verification
+    :param after: show the entries after this sequence number instead of the latest
     """
     if verify:
         return _verify(context, known_head)
@@ -140,7 +140,7 @@
 
 
 def _verify(context: Context, known_head: str) -> int:
-    """Verify the trails and print what was found."""
+    """Verify the trail of every endpoint and print the results."""
     reports = verify_endpoints(context.client, parse_head(known_head))
     lines = []
     for report in reports:
@@ -173,8 +173,8 @@
     """List the control replicas, or add or remove one.
 
     :param action: list, add or remove
-    :param replica_id: whom to add or remove
-    :param address: where the new replica listens for the others, IP:port
+    :param replica_id: the replica to add or remove
+    :param address: the address at which the new replica listens for its peers, IP:port
     :param failure_domain: the new replica's failure domain
     """
     if action == "list":
@@ -192,11 +192,11 @@
 
 @control_command
 def fatal_requests(context: Context, lift: str = "") -> int:
-    """Show the requests that are suspected or held fatal on the operator platform, or lift one.
+    """Show the requests that are suspected or fatal on the operator platform, or lift one.
 
-    Ask a replica's metrics address.
+    Uses a replica's metrics address as the endpoint.
 
-    :param lift: the digest of a request that may be sent again
+    :param lift: the digest of a request to allow again
     """
     if lift:
         answer = context.client.request_first("DELETE", _path("fatal-requests", lift))
@@ -211,12 +211,12 @@
 
 @control_command
 def evacuations(context: Context, empty: str = "", take_back: str = "") -> int:
-    """Show which failure domains are emptied on the operator platform, empty one or take it back.
+    """Show the evacuated failure domains of the operator platform, or evacuate or restore one.
 
-    Ask a replica's metrics address.
+    Uses a replica's metrics address as the endpoint.
 
-    :param empty: a failure domain whose targets get no work from now on
-    :param take_back: a failure domain whose targets get work again
+    :param empty: a failure domain whose targets get no more requests
+    :param take_back: a failure domain whose targets get requests again
     """
     if empty and take_back:
         raise UsageError("one order at a time: --empty or --take-back")
@@ -241,7 +241,7 @@
 
 @router_command
 def drain(context: Context, target_id: str) -> int:
-    """Give a target no new work; what is in progress finishes.
+    """Stop sending new requests to a target; requests in progress finish.
 
     :param target_id: the target's id
     """
@@ -252,7 +252,7 @@
 
 @router_command
 def explain(context: Context, request_id: str) -> int:
-    """Tell what was done with a request, and why.
+    """Show how a request was handled, and why.
 
     :param request_id: the `x-request-id` of the answer
     """
@@ -261,7 +261,7 @@
 
 
 def key(*, json: bool = False) -> int:
-    """Make a fresh key and print it with the hash that the configuration holds.
+    """Generate a key and print it with the hash to store in the configuration.
 
     :param json: print JSON for scripts
     """
@@ -289,7 +289,7 @@
 
 
 def _join_endpoints(arguments: list[str]) -> list[str]:
-    """Join repeated `--endpoint` options into one comma list.
+    """Join repeated `--endpoint` options into one comma-separated list.
 
     >>> _join_endpoints(["status", "--endpoint", "a:1", "--endpoint=b:2"])
     ['status', '--endpoint', 'a:1,b:2']
@@ -308,6 +308,6 @@
 
 
 def main() -> None:
-    """Parse the command line and exit with the command's code."""
+    """Parse the command line, run the command and exit with its exit code."""
     arguments = _join_endpoints(sys.argv[1:])
     sys.exit(int(defopt.run(COMMANDS, argv=arguments) or ExitCode.OK))
--- a/packages/commands/src/damaskwind/commands/operator_audit.py
+++ b/packages/commands/src/damaskwind/commands/operator_audit.py
@@ -1,7 +1,7 @@
 """Fetch the audit trail and verify its chain on the operator's own machine.
 
-Each replica is asked for its whole trail. Each chain is verified by itself, and
-entries of the same number must be the same on all replicas.
+The complete trail of each replica is fetched. Each hash chain is verified by itself, and
+entries with the same sequence number must be identical on all replicas.
 """
 
 from collections.abc import Iterator
@@ -25,7 +25,7 @@
 
 
 class TrailReport(NamedTuple):
-    """What verifying one replica's trail gave."""
+    """The result of verifying one replica's trail."""
 
     endpoint: str
     verdict: ChainVerdict
@@ -34,12 +34,12 @@
 
     @property
     def holds(self) -> bool:
-        """Tell whether the trail was read and holds."""
+        """Whether the trail was fetched and is free of faults."""
         return not self.error and not self.verdict.faults
 
 
 def parse_head(text: str) -> ChainHead | None:
-    """Read `SEQUENCE:HASH`, the head that an earlier check printed."""
+    """Parse `SEQUENCE:HASH`, a head printed by an earlier verification; `None` for an empty text."""
     if not text:
         return None
     sequence, _, entry_hash = text.partition(":")
@@ -51,10 +51,10 @@
 def fetch_entries(
     client: OperatorClient, endpoint: Endpoint, after: int = 0
 ) -> Iterator[AuditEntry]:
-    """Yield a replica's entries after a number, a page at a time.
+    """Yield a replica's entries after a sequence number, fetching them page by page.
 
-    Raise `RequestFailedError` when the replica does not answer, and
-    `MessageError` when an entry is none.
+    Raise `RequestFailedError` if the replica does not answer, and
+    `MessageError` if an entry is malformed.
     """
     while True:
         path = f"/operator/v1/audit?after={after}&limit={_PAGE_SIZE}"
@@ -73,7 +73,7 @@
 
 
 class _FetchedTrail(NamedTuple):
-    """One replica's entries as they were read: runs without a gap."""
+    """One replica's entries, as runs of consecutive sequence numbers."""
 
     endpoint: str
     runs: list[list[AuditEntry]]
@@ -81,7 +81,7 @@
 
 
 def _fetch_trail(client: OperatorClient, endpoint: Endpoint) -> _FetchedTrail:
-    """Read a replica's entries and part them where numbers are left out."""
+    """Fetch a replica's entries and split them at gaps in the sequence numbers."""
     runs: list[list[AuditEntry]] = []
     try:
         for entry in fetch_entries(client, endpoint):
@@ -94,7 +94,7 @@
 
 
 def _differences(trail: _FetchedTrail, hashes: dict[int, str]) -> Iterator[str]:
-    """Name the entries that differ from what another replica showed first."""
+    """Yield the entries whose hash differs from that of a replica read earlier."""
     for run in trail.runs:
         for entry in run:
             if hashes.setdefault(entry.sequence, entry.entry_hash) != entry.entry_hash:
@@ -102,7 +102,7 @@
 
 
 def _gap_faults(trail: _FetchedTrail, hashes: dict[int, str]) -> Iterator[str]:
-    """Name the gaps that no other replica fills or that it fills with another chain."""
+    """Yield the gaps that no replica fills, or that one fills with a different chain."""
     for before, after in pairwise(trail.runs):
         first, last = before[-1].sequence + 1, after[0].sequence - 1
         if any(number not in hashes for number in range(first, last + 1)):
@@ -114,13 +114,13 @@
 def _report(
     trail: _FetchedTrail, known: ChainHead | None, differing: list[str], hashes: dict[int, str]
 ) -> TrailReport:
-    """Verify the runs of one replica and sum up."""
+    """Verify the runs of one replica and return its report."""
     if trail.error:
         return TrailReport(trail.endpoint, ChainVerdict(0, None, ()), 0, trail.error)
     faults = list(differing)
     for run in trail.runs:
         faults += verify_chain(run).faults
-    # The runs are sound or named above; the known head is looked for over all of them.
+    # Faults within runs are reported above; the known head may be in any run.
     entries = [entry for run in trail.runs for entry in run]
     faults += head_faults(entries, known)
     faults += _gap_faults(trail, hashes)
@@ -133,8 +133,8 @@
 def verify_endpoints(client: OperatorClient, known: ChainHead | None) -> list[TrailReport]:
     """Verify the trail of every endpoint.
 
-    A replica that was away for long, or that joined late, may lack entries that
-    others have; that is a fault only when none of those asked has them.
+    A replica that was down for long, or that joined late, may lack entries that others have;
+    a gap is a fault only if no queried replica fills it.
     """
     hashes: dict[int, str] = {}
     trails = [_fetch_trail(client, endpoint) for endpoint in client.endpoints]
--- a/packages/commands/src/damaskwind/commands/operator_client.py
+++ b/packages/commands/src/damaskwind/commands/operator_client.py
@@ -1,8 +1,8 @@
-"""Ask control replicas or routers over HTTP, one endpoint after the other.
+"""HTTP client for control replicas and routers, with failover between endpoints.
 
-An endpoint that can't be reached, or that can't commit now, is passed over for
-the next one. A request that may already have been taken is only sent again
-when resending is safe; what is then left unknown is said to be unknown.
+If an endpoint is unreachable or can't commit at the moment, the next one is tried. A request
+that may have been accepted is resent only if resending is safe; otherwise its outcome is
+reported as unknown.
 """
 
 import socket
@@ -32,7 +32,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the process ends with."""
+    """Exit codes of the command line."""
 
     OK = 0
     REFUSED = 1
@@ -45,7 +45,7 @@
 
 
 class RequestFailedError(DamaskwindError):
-    """No endpoint gave a good answer; `exit_code` tells a refusal from an unknown outcome."""
+    """No endpoint succeeded; `exit_code` distinguishes a refusal from an unknown outcome."""
 
     def __init__(self, exit_code: ExitCode, message: str, body: dict[str, Any]) -> None:
         super().__init__(message)
@@ -55,7 +55,7 @@
 
 
 class Endpoint(NamedTuple):
-    """Where a process listens."""
+    """The scheme, host and port at which a process listens."""
 
     scheme: str
     host: str
@@ -66,7 +66,7 @@
 
 
 class Answer(NamedTuple):
-    """An answer's status and its body read as JSON; 0 when there was none."""
+    """The status and the decoded JSON body of an answer; status 0 means no answer."""
 
     endpoint: Endpoint
     status: int
@@ -75,12 +75,12 @@
 
     @property
     def is_success(self) -> bool:
-        """Tell whether the request was done."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
 def parse_endpoints(text: str) -> list[Endpoint]:
-    """Read a comma list of endpoints; raise `UsageError` when one is malformed.
+    """Parse a comma-separated list of endpoints; raise `UsageError` if one is malformed.
 
     >>> [str(endpoint) for endpoint in parse_endpoints("10.0.0.1:80,https://10.0.0.2:443")]
     ['http://10.0.0.1:80', 'https://10.0.0.2:443']
@@ -114,10 +114,9 @@
         safe_to_resend: bool = True,
         search: bool = False,
     ) -> dict[str, Any]:
-        """Return the body of the first good answer; raise `RequestFailedError` otherwise.
+        """Return the body of the first successful answer; raise `RequestFailedError` otherwise.
 
-        With `search`, an endpoint that knows nothing of what is asked for is
-        passed over too.
+        With `search`, the next endpoint is also tried after a 404.
         """
         answers: list[Answer] = []
         for endpoint in self.endpoints:
@@ -130,7 +129,7 @@
         raise _make_failure(answers)
 
     def request_one(self, endpoint: Endpoint, method: str, path: str, body: Any = None) -> Answer:
-        """Ask one endpoint once; never raise for what the network does."""
+        """Send one request to one endpoint; network errors become an answer with status 0."""
         kind = HTTPSConnection if endpoint.scheme == "https" else HTTPConnection
         connection = kind(endpoint.host, endpoint.port, timeout=self._timeout_s)
         may_have_been_accepted = False
@@ -148,18 +147,18 @@
         return Answer(endpoint, response.status, _decoded(content), is_unknown)
 
     def _headers(self, body: Any) -> dict[str, str]:
-        """Return the headers of a request."""
+        """Return the authorization and content headers of a request."""
         headers = {"authorization": f"Bearer {self._key}", "accept": "application/json"}
         return headers if body is None else {**headers, "content-type": "application/json"}
 
 
 def _encoded(body: Any) -> bytes | None:
-    """Return a body as JSON."""
+    """Encode a body as JSON."""
     return None if body is None else msgspec.json.encode(body)
 
 
 def _decoded(content: bytes) -> dict[str, Any]:
-    """Return an answer's body; an empty table when it is not one."""
+    """Decode an answer's body; return an empty table if it is not valid JSON."""
     try:
         body = msgspec.json.decode(content)
     except msgspec.DecodeError:
@@ -168,13 +167,13 @@
 
 
 def _network_error(endpoint: Endpoint, error: Exception) -> dict[str, Any]:
-    """Return the body that stands for no answer."""
+    """Return the error body that represents a missing answer."""
     reason = "timed out" if isinstance(error, TimeoutError | socket.timeout) else str(error)
     return {"error": {"code": "no_answer", "message": f"{endpoint}: {reason or repr(error)}"}}
 
 
 def _should_try_next(answer: Answer, safe_to_resend: bool, search: bool) -> bool:
-    """Tell whether another endpoint should be asked after this answer."""
+    """Return whether to try the next endpoint after this answer."""
     if answer.may_have_been_accepted:
         return safe_to_resend
     if answer.status == _NOT_FOUND:
@@ -183,7 +182,11 @@
 
 
 def _make_failure(answers: list[Answer]) -> RequestFailedError:
-    """Sum up the answers: unknown if any may have been taken, unless one settled it."""
+    """Combine the answers into one error.
+
+    The outcome is unknown if any endpoint may have accepted the request, unless the last answer
+    is definite.
+    """
     last = answers[-1]
     settled = not last.may_have_been_accepted and last.status not in (0, _SERVICE_UNAVAILABLE)
     unknown = [answer for answer in answers if answer.may_have_been_accepted]
--- a/packages/commands/src/damaskwind/commands/operator_context.py
+++ b/packages/commands/src/damaskwind/commands/operator_context.py
@@ -1,4 +1,4 @@
-"""The options that all operators' commands share, and how a command ends."""
+"""Options shared by all operators' commands, and the mapping of errors to exit codes."""
 
 import os
 import sys
@@ -28,7 +28,7 @@
 
 
 class Context(NamedTuple):
-    """Whom to ask, and whether the output is for scripts."""
+    """The HTTP client of a command, and whether to print JSON for scripts."""
 
     client: OperatorClient
     for_scripts: bool
@@ -42,7 +42,7 @@
 
 
 class _SharedOptions(NamedTuple):
-    """The options that each command takes beside its own."""
+    """The options that each command takes in addition to its own."""
 
     endpoint: str = ""
     key_file: Path | None = None
@@ -52,15 +52,15 @@
 
 _OPTION_HELP = """
 
-    :param endpoint: IP:port to ask, repeatable or a comma list; else the environment's
-    :param key_file: file that holds the operator's key; else DAMASKWIND_KEY
+    :param endpoint: IP:port, repeatable or a comma list; default: from the environment
+    :param key_file: file with the operator's key; default: DAMASKWIND_KEY
     :param timeout_s: seconds to wait for each endpoint
     :param json: print JSON for scripts
 """
 
 
 def _endpoints(text: str, variables: tuple[str, ...]) -> list[Endpoint]:
-    """Return the endpoints from the option or from the first variable that is set."""
+    """Return the endpoints from the option, else from the first variable that is set."""
     texts = [text, *(os.environ.get(variable, "") for variable in variables)]
     endpoints = parse_endpoints(next(filter(None, texts), ""))
     if not endpoints:
@@ -69,7 +69,7 @@
 
 
 def _key(file: Path | None) -> str:
-    """Return the operator's key from a file or from the environment."""
+    """Return the operator's key from a file, else from the environment."""
     if file is None:
         key = os.environ.get(KEY_VARIABLE, "").strip()
     else:
@@ -90,7 +90,7 @@
 
 
 def _error_text(error: RequestFailedError) -> str:
-    """Return a refusal for people: the message, then all that came with it."""
+    """Format a refusal as text: the message, its mistakes, then the other fields."""
     table = error.body.get("error", {})
     extra = {k: v for k, v in table.items() if k != "message"} if isinstance(table, dict) else {}
     mistakes = extra.pop("mistakes", [])
@@ -99,7 +99,7 @@
 
 
 def _run_command(command: Callable[[], int | None], for_scripts: bool) -> int:
-    """Run a command and return its exit code."""
+    """Run a command, print its errors to stderr and return its exit code."""
     try:
         return int(command() or ExitCode.OK)
     except UsageError as error:
@@ -116,7 +116,11 @@
 
 
 def _with_shared_options(command: Callable[..., int | None], variables: tuple[str, ...]) -> Any:
-    """Return a command that takes the shared options and no context."""
+    """Return a command that takes the shared options in place of a context.
+
+    The signature, annotations and doc comment are extended, since defopt derives the flags
+    and the help from them.
+    """
     shared = _SharedOptions()
 
     @wraps(command)
@@ -141,10 +145,10 @@
 
 
 def control_command(command: Callable[..., int | None]) -> Any:
-    """Make a function a command that asks control replicas."""
+    """Decorate a command that sends its requests to control replicas."""
     return _with_shared_options(command, CONTROL_VARIABLES)
 
 
 def router_command(command: Callable[..., int | None]) -> Any:
-    """Make a function a command that asks routers."""
+    """Decorate a command that sends its requests to routers."""
     return _with_shared_options(command, ROUTER_VARIABLES)
--- a/packages/commands/src/damaskwind/commands/operator_output.py
+++ b/packages/commands/src/damaskwind/commands/operator_output.py
@@ -1,4 +1,4 @@
-"""Print answers for people, as aligned tables, or for scripts, as JSON."""
+"""Format answers as aligned tables for people or as JSON for scripts."""
 
 from collections.abc import Sequence
 from datetime import UTC, datetime
@@ -14,7 +14,7 @@
 
 
 def as_json(value: Any) -> str:
-    """Return a value as indented JSON, typed ones as tables by field.
+    """Return a value as indented JSON; typed values become tables of their fields.
 
     >>> as_json([])
     '[]'
@@ -23,7 +23,7 @@
 
 
 def time_text(at_s: float) -> str:
-    """Return seconds since 1970 as a time in UTC.
+    """Format Unix seconds as a time in UTC.
 
     >>> time_text(0)
     '1970-01-01 00:00:00Z'
@@ -32,7 +32,7 @@
 
 
 def _cell(value: Any, key: str = "") -> str:
-    """Return a value as the text of one cell; `key` tells a time from a number."""
+    """Format a value as one cell; numbers whose `key` ends in `at_s` are times."""
     if key.endswith("at_s") and isinstance(value, int | float):
         return time_text(value)
     if isinstance(value, float):
@@ -60,18 +60,18 @@
 
 
 def _is_table_list(value: Any) -> bool:
-    """Tell whether a value is a list of tables."""
+    """Return whether a value is a non-empty list of tables."""
     return isinstance(value, list) and bool(value) and all(isinstance(x, dict) for x in value)
 
 
 def _table_of(items: list[dict[str, Any]]) -> str:
-    """Return tables as rows under all their keys."""
+    """Format tables as rows, with the union of their keys as titles."""
     titles = list(dict.fromkeys(key for item in items for key in item))
     return columns(titles, [[_cell(item.get(title), title) for title in titles] for item in items])
 
 
 def nested(value: Any, depth: int = 0) -> str:
-    """Return any answer as indented lines; lists of tables become aligned rows.
+    """Format any answer as indented lines; lists of tables become aligned rows.
 
     >>> print(nested({"revision": 3, "replica": {"role": "leader"}}))
     revision: 3
--- a/packages/commands/src/damaskwind/commands/operator_status.py
+++ b/packages/commands/src/damaskwind/commands/operator_status.py
@@ -1,7 +1,7 @@
-"""Gather what replicas and routers say of themselves into one picture.
+"""Collect the status of replicas and routers.
 
-An endpoint may be a replica or a router: each is asked as the one, then as the
-other. What a router says itself goes before what a replica heard of it.
+An endpoint may be a replica or a router, so the replica's path is tried first, then the router's.
+A router's own report takes precedence over the reports about it that replicas hold.
 """
 
 from typing import Any, NamedTuple
@@ -26,7 +26,7 @@
 
 
 def _request_status(client: OperatorClient, endpoint: Endpoint) -> tuple[str, Answer]:
-    """Ask an endpoint as a replica, then as a router."""
+    """Request the status of an endpoint, as a replica and after a 404 as a router."""
     answer = client.request_one(endpoint, "GET", _REPLICA_PATH)
     if answer.status != _NOT_FOUND:
         return "replica", answer
@@ -34,7 +34,7 @@
 
 
 def _latest_reports(replicas: dict[str, dict[str, Any]]) -> dict[str, dict[str, Any]]:
-    """Return the newest report that any replica has of each router."""
+    """Return each router's most recent report among those held by the replicas."""
     newest: dict[str, dict[str, Any]] = {}
     for body in replicas.values():
         for report in body.get("routers", []):
@@ -48,7 +48,7 @@
 
 
 def gather_status(client: OperatorClient) -> FleetStatus:
-    """Ask every endpoint and put the answers together."""
+    """Request the status of every endpoint and combine the answers."""
     replicas: dict[str, dict[str, Any]] = {}
     direct: dict[str, dict[str, Any]] = {}
     silent: dict[str, str] = {}
@@ -73,14 +73,14 @@
 
 
 def _replica_row(endpoint: str, body: dict[str, Any]) -> list[Any]:
-    """Return the row of one replica."""
+    """Return the table row of one replica."""
     replica = body.get("replica", {})
     details = [replica.get(name) for name in ("replica_id", "role", "term", "leader", "is_current")]
     return [endpoint, *details, body.get("revision"), body.get("audit_head", {}).get("sequence")]
 
 
 def status_text(status: FleetStatus) -> str:
-    """Return the picture for people."""
+    """Format a fleet's status as text."""
     parts = [f"revision {status.revision}"]
     if status.replicas:
         titles = ("endpoint", "replica", "role", "term", "leader", "current", "revision", "audit")
--- a/packages/commands/src/damaskwind/commands/operator_trace.py
+++ b/packages/commands/src/damaskwind/commands/operator_trace.py
@@ -1,4 +1,4 @@
-"""The command `damaskwind trace`: from a request's id to what the logs say of it."""
+"""The command `damaskwind trace`, which finds the log lines related to a request."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -12,10 +12,10 @@
 
 
 def trace(request_id: str, *files: Path, json: bool = False) -> int:
-    """Show what the logs of several VMs say of one request, and around it.
+    """Show the log lines of one request from several VMs, and related lines around it.
 
     :param request_id: the request's id
-    :param files: logs of routers and replicas
+    :param files: log files of routers and replicas
     :param json: print JSON for scripts
     """
     if not files:
@@ -34,7 +34,7 @@
 
 
 def _read_files(files: Iterable[Path]) -> Iterator[LogLine | None]:
-    """Read files one after the other, line by line."""
+    """Yield the decoded lines of all files, in order."""
     for file in files:
         with file.open("rb") as lines:
             yield from read_lines(lines)
--- a/packages/commands/src/damaskwind/commands/request_trace.py
+++ b/packages/commands/src/damaskwind/commands/request_trace.py
@@ -1,8 +1,8 @@
-"""Put what the logs of several VMs say around one request into one story.
+"""Merge the log lines of several VMs that relate to one request.
 
-A router writes one line for a request, at its end. What led to it stands in
-other lines: the router's beliefs (targets unreachable, replicas lost, versions
-in force) and what other VMs saw of the same targets at the same time.
+A router logs one line per request, when it ends. Its causes are logged elsewhere: in the
+router's own events (targets unreachable, replicas lost, versions in force) and in what other VMs
+logged about the same targets at the same time.
 """
 
 from collections.abc import Iterable, Iterator
@@ -12,12 +12,13 @@
 
 __all__ = ["LogLine", "RequestTrace", "read_lines", "trace_request", "trace_text"]
 
-# A target or replica that is lost is noticed within some seconds at the latest:
-# heartbeats are 1.2 s apart, and four missed ones make a target silent.
+# Lines from this long before a request's start until this long after its end are related to it.
+# The loss of a target or replica is detected within seconds: heartbeats are 1.2 s apart, and four
+# missed ones make a target silent.
 LEAD_S = 5.0
 LAG_S = 1.0
 _REQUEST_EVENTS = ("request ended", "request refused")
-# What a router says of itself and of all its requests alike.
+# Events of a router that affect all its requests.
 _NODE_EVENTS = (
     "replica heard",
     "replica lost",
@@ -45,7 +46,7 @@
 
 
 class LogLine(NamedTuple):
-    """One line of a process's log: seconds since 1970, the node, and the rest."""
+    """One log line of a process: Unix seconds, the node, the event and the other fields."""
 
     time_s: float
     node: str
@@ -54,7 +55,7 @@
 
 
 class RequestTrace(NamedTuple):
-    """The lines of a request, those around it in order, and how many were unreadable."""
+    """The lines of a request, related lines in time order, and the count of unreadable lines."""
 
     request: list[LogLine]
     around: list[LogLine]
@@ -62,9 +63,9 @@
 
 
 def read_lines(lines: Iterable[bytes]) -> Iterator[LogLine | None]:
-    """Decode log lines; `None` for each that is none.
+    """Decode log lines; yield `None` for each malformed one.
 
-    What stands before a line's JSON, such as a collector's own time, is passed over.
+    A prefix before a line's JSON, such as a log collector's timestamp, is ignored.
 
     >>> list(read_lines([b'12:00 {"time_s":1.0,"node":"r","event":"started","role":"router"}']))
     [LogLine(time_s=1.0, node='r', event='started', fields={'role': 'router'})]
@@ -85,7 +86,7 @@
 
 
 def trace_request(request_id: str, lines: Iterable[LogLine | None]) -> RequestTrace:
-    """Gather the lines of a request and those that bear on it."""
+    """Collect the lines of a request and the lines related to it."""
     parsed = list(lines)
     unreadable = parsed.count(None)
     logged = sorted((line for line in parsed if line is not None), key=lambda line: line.time_s)
@@ -101,7 +102,7 @@
 
 
 def _is_related(line: LogLine, request: LogLine) -> bool:
-    """Tell whether a line is near a request in time and speaks of what it met."""
+    """Return whether a line is close to a request in time and concerns its targets or router."""
     started_s = _started_s(request)
     if not started_s - LEAD_S <= line.time_s <= request.time_s + LAG_S:
         return False
@@ -114,12 +115,12 @@
 
 
 def _started_s(request: LogLine) -> float:
-    """Return when a request began, by its last line."""
+    """Return when a request started, computed from its final log line."""
     return request.time_s - request.fields.get("took_ms", 0) / 1000
 
 
 def trace_text(trace: RequestTrace) -> str:
-    """Return a trace for people, with times in ms from the request's start."""
+    """Format a trace as text, with times in ms since the request's start."""
     started_s = _started_s(trace.request[0])
     parts = []
     for request in trace.request:
@@ -140,13 +141,13 @@
 
 
 def _attempt_text(attempt: list[Any]) -> str:
-    """Return one send with its fields named."""
+    """Format one attempt with the names of its fields."""
     named = zip(_ATTEMPT_FIELDS, attempt, strict=False)
     return "  sent: " + " ".join(f"{name}={_value(value)}" for name, value in named)
 
 
 def _value(value: Any) -> str:
-    """Return a value as text; what is empty as a dash."""
+    """Format a value; an empty one becomes a dash."""
     if value in (None, ""):
         return "-"
     return value if isinstance(value, str) else msgspec.json.encode(value).decode()
