--- a/packages/commands/src/damaskwind/commands/operator_audit.py
+++ b/packages/commands/src/damaskwind/commands/operator_audit.py
@@ -39,7 +39,7 @@
 
 
 def parse_head(text: str) -> ChainHead | None:
-    """Parse `SEQUENCE:HASH`, a head printed by an earlier verification; `None` for an empty text."""
+    """Parse `SEQUENCE:HASH`, a head printed by an earlier verification."""
     if not text:
         return None
     sequence, _, entry_hash = text.partition(":")
--- a/packages/commands/src/damaskwind/commands/operator_context.py
+++ b/packages/commands/src/damaskwind/commands/operator_context.py
@@ -53,7 +53,7 @@
 _OPTION_HELP = """
 
     :param endpoint: IP:port, repeatable or a comma list; default: from the environment
-    :param key_file: file with the operator's key; default: DAMASKWIND_KEY
+    :param key_file: file that holds the operator's key; default: DAMASKWIND_KEY
     :param timeout_s: seconds to wait for each endpoint
     :param json: print JSON for scripts
 """
