--- a/benchmarks/control_restart.py
+++ b/benchmarks/control_restart.py
@@ -34,10 +34,10 @@
         durations_s = []
         for number in range(changes):
             started_s = read_clock()
-            await cluster.change(REPLICAS[number % 3], f"viewer-{number}")
+            await cluster.add_viewer(REPLICAS[number % 3], f"viewer-{number}")
             durations_s.append(read_clock() - started_s)
         last = cluster.confirmed[-1].revision
-        behind_s = await cluster.time_in_force(routers, last)
+        behind_s = await cluster.wait_in_force(routers, last)
         cuts = quantiles(durations_s, n=100)
         print(
             f"{changes} changes planned and confirmed, one at a time, through each replica in turn:"
@@ -50,12 +50,12 @@
         ready_s = read_clock() - started_s
         await wait_until(lambda: cluster.all_vote(REPLICAS), WAIT_S, "a leader")
         leader_s = read_clock() - started_s
-        await cluster.time_in_force(routers, last)
+        await cluster.wait_in_force(routers, last)
         in_force_s = read_clock() - started_s
-        faults = await cluster.faults()
-        after = await cluster.change_somewhere(REPLICAS, "after-the-restart")
-        await cluster.time_in_force(routers, after.revision)
-        faults += await cluster.faults()
+        faults = await cluster.find_faults()
+        after = await cluster.add_viewer_anywhere(REPLICAS, "after-the-restart")
+        await cluster.wait_in_force(routers, after.revision)
+        faults += await cluster.find_faults()
         print(f"kill -9 of {len(REPLICAS) + router_count} processes and restart at once:")
         print(f"  all started after {ready_s:.1f} s, a leader after {leader_s:.1f} s")
         print(f"  revision {last} in force on all routers after {in_force_s:.1f} s")
--- a/packages/commands/src/damaskwind/commands/tests/data_path_fleet.py
+++ b/packages/commands/src/damaskwind/commands/tests/data_path_fleet.py
@@ -29,7 +29,7 @@
 from damaskwind.standins.harness import Harness, HarnessError, wait_until
 from damaskwind.standins.impairment import Direction, Impairment
 
-__all__ = ["ACCOUNT_KEY", "DOMAINS", "LEASE_S", "LOST", "Answer"]
+__all__ = ["ACCOUNT_KEY", "DOMAINS", "LEASE_S", "LOST_ANSWER", "Answer"]
 __all__ += ["DataPathFleet", "expected_chat", "stream_text"]
 
 ACCOUNT_KEY = "key-of-library"
@@ -39,8 +39,8 @@
 ANSWER_TIMEOUT_S = 20.0
 LEASE_S = 3.0
 ANY_PORT = "127.0.0.1:0"
-NO_ANSWER = (ConnectError, ConnectionClosed, ResponseFailed, RequestTransmissionFailed)
-NO_ANSWER += (CancelledError, TimeoutError)
+NO_ANSWER_ERRORS = (ConnectError, ConnectionClosed, ResponseFailed, RequestTransmissionFailed)
+NO_ANSWER_ERRORS += (CancelledError, TimeoutError)
 
 
 class Answer(NamedTuple):
@@ -50,11 +50,11 @@
     verdict: str = ""
     request_id: str = ""
     body: bytes = b""
-    ended: bool = False
+    is_complete: bool = False
 
 
-LOST = Answer()
-SILENCE = Direction(Impairment(blackhole=True), Impairment(blackhole=True))
+LOST_ANSWER = Answer()
+BLACKHOLE = Direction(Impairment(blackhole=True), Impairment(blackhole=True))
 
 
 def make_configuration(**policy: Any) -> dict[str, Any]:
@@ -117,7 +117,7 @@
         self.routers: dict[str, str] = {}
         self.replicas: list[dict[str, Any]] = []
         self.target_count = 0
-        self._fleets: dict[str, str] = {}
+        self._control_addresses: dict[str, str] = {}
         self._agent = Agent(reactor, pool=HTTPConnectionPool(reactor, persistent=False))
 
     # Processes.
@@ -148,12 +148,12 @@
         address = parse_address(process.ready["replica_address"])
         self.network.links[f"{DOMAINS[number]}-{number}"].target = address
 
-    def name_absent_replicas(self) -> None:
+    def add_unreachable_replicas(self) -> None:
         """Let routers know of three domains whose replicas nobody can reach, in silence."""
         self.replicas = []
         for number, domain in enumerate(DOMAINS):
             link = self.network.add_link(f"absent-{number}", "tcp")
-            link.impair(SILENCE)
+            link.impair(BLACKHOLE)
             row = {"replica_id": f"control-{number}", "address": str(link.address)}
             self.replicas.append({**row, "failure_domain": domain})
 
@@ -203,12 +203,12 @@
         table = {"announce": announcing, "engines": engines, "services": services}
         process = await self.harness.start_fleet(name, table)
         for target, address in process.ready["targets"].items():
-            self._fleets[target] = process.ready["control_address"]
+            self._control_addresses[target] = process.ready["control_address"]
             if behind_links:
                 self.network.links[target].target = parse_address(address)
         self.target_count += len(engines) + len(services)
 
-    async def until_ready(self, names: list[str] | None = None) -> None:
+    async def wait_until_ready(self, names: list[str] | None = None) -> None:
         """Wait until the routers are ready and know every target and each other."""
         try:
             await wait_until(lambda: self._all_ready(names), DEADLINE_S, "readiness of the routers")
@@ -258,43 +258,45 @@
     async def oracles(self) -> dict[str, dict[str, Any]]:
         """Return the counts of every target."""
         counts: dict[str, dict[str, Any]] = {}
-        for address in set(self._fleets.values()):
+        for address in set(self._control_addresses.values()):
             counts |= await self._json("GET", f"{address}/oracle") or {}
         return counts
 
     async def oracle(self, target: str) -> dict[str, Any]:
         """Return the counts of one target, asked alone."""
-        return (await self._json("GET", f"{self._fleets[target]}/oracle"))[target]
+        return (await self._json("GET", f"{self._control_addresses[target]}/oracle"))[target]
 
-    def forget_targets(self, *names: str) -> None:
+    def remove_targets(self, *names: str) -> None:
         """Ask these targets no more: their process was killed."""
         for name in names:
-            del self._fleets[name]
+            del self._control_addresses[name]
         self.target_count -= len(names)
 
     async def set_routers(self, target: str, routers: list[str]) -> None:
         """Tell all targets of this one's process where to announce themselves."""
-        await self._json("POST", f"{self._fleets[target]}/routers", {"routers": routers})
+        await self._json("POST", f"{self._control_addresses[target]}/routers", {"routers": routers})
 
     def digest_of(self, text: str) -> str:
         """Return under what engines count a chat of one message in `runs_by_body`."""
         return prefix_chain(ModelName("damask", "1"), [Message("user", text)])[-1]
 
-    async def counted(self, what: str) -> Counter[str]:
+    async def total_counts(self, what: str) -> Counter[str]:
         """Return one count, such as `runs_by_id`, over all targets."""
         total: Counter[str] = Counter()
         for oracle in (await self.oracles()).values():
             total.update(oracle[what])
         return total
 
-    async def arm(self, target: str, fault: str, count: int = 1, share: float = 1.0) -> None:
+    async def arm_fault(self, target: str, fault: str, count: int = 1, share: float = 1.0) -> None:
         """Arm a fault at a target; an empty one disarms all."""
         order = {"fault": fault, "count": count, "share": share}
-        await self._json("POST", f"{self._fleets[target]}/targets/{target}/faults", order)
+        await self._json(
+            "POST", f"{self._control_addresses[target]}/targets/{target}/faults", order
+        )
 
-    async def live(self, target: str, action: str, **order: Any) -> None:
+    async def control_target(self, target: str, action: str, **order: Any) -> None:
         """Let a target leave, flap, stop or come back."""
-        path = f"{self._fleets[target]}/targets/{target}/life"
+        path = f"{self._control_addresses[target]}/targets/{target}/life"
         await self._json("POST", path, {"action": action, **order})
 
     # Callers.
@@ -311,17 +313,17 @@
                 method, f"http://{url}", headers=headers, data=body, timeout=ANSWER_TIMEOUT_S
             )
             response = await to_future(call)
-        except NO_ANSWER:
-            return LOST
+        except NO_ANSWER_ERRORS:
+            return LOST_ANSWER
         one = response.headers.getRawHeaders
         verdict, name = one("x-verdict", [""])[0], one("x-request-id", [""])[0]
-        ended = True
+        is_complete = True
         try:
             reading = to_future(treq.collect(response, pieces.append))
             await asyncio.wait_for(reading, ANSWER_TIMEOUT_S)
-        except NO_ANSWER:
-            ended = False
-        return Answer(response.code, verdict, name, b"".join(pieces), ended)
+        except NO_ANSWER_ERRORS:
+            is_complete = False
+        return Answer(response.code, verdict, name, b"".join(pieces), is_complete)
 
     async def call(
         self, address: str, body: bytes, key: str = "", query: str = "", path: str = "/tags"
--- a/packages/commands/src/damaskwind/commands/tests/data_path_traffic.py
+++ b/packages/commands/src/damaskwind/commands/tests/data_path_traffic.py
@@ -28,11 +28,11 @@
     "TrafficTestCase",
 ]
 
-LANES = 6
+WORKERS = 6
 SHORT_TOKENS = 4
 LONG_TOKENS = 60
 LONG_STREAMS = 24
-WATCHED_ANSWERS = 100
+MIN_ANSWERS = 100
 DONE = b"data: [DONE]"
 SLOW = {"token_interval_s": 0.05, "max_running_requests": 128, "resume_hold_s": 0.0}
 
@@ -44,9 +44,9 @@
         self._fleet = fleet
         self._stopped = False
         self.answers = []
-        self._lanes = [asyncio.ensure_future(self._lane(number)) for number in range(LANES)]
+        self._workers = [asyncio.ensure_future(self._worker(number)) for number in range(WORKERS)]
 
-    async def _lane(self, number):
+    async def _worker(self, number):
         turn = 0
         while not self._stopped:
             routers = sorted(self._fleet.routers)
@@ -58,9 +58,9 @@
 
     async def stop(self):
         self._stopped = True
-        await asyncio.gather(*self._lanes)
+        await asyncio.gather(*self._workers)
 
-    def forget(self):
+    def reset(self):
         """Begin to count anew."""
         self.answers.clear()
 
@@ -87,18 +87,18 @@
 class TrafficTestCase(FleetTestCase):
     """Callers who know their whole answers."""
 
-    def is_whole(self, text, answer, size_tokens=SHORT_TOKENS):
+    def is_complete_answer(self, text, answer, size_tokens=SHORT_TOKENS):
         """Tell whether a caller got its whole answer; fail when a broken one looks whole."""
         expected = expected_chat(text, size_tokens)
         if answer.status == 200:
             self.assertTrue(expected.startswith(stream_text(answer.body)), (text, answer))
         if answer.status != 200 or DONE not in answer.body:
-            self.assertFalse(answer.status == 200 and answer.ended, (text, answer))
+            self.assertFalse(answer.status == 200 and answer.is_complete, (text, answer))
             return False
         self.assertEqual(stream_text(answer.body), expected)
         return True
 
-    def begin_long(self, name, router=None):
+    def start_long_streams(self, name, router=None):
         """Begin long streams through all routers, or one."""
         addresses = [self.fleet.routers[router]] if router else list(self.fleet.routers.values())
         texts = [f"{name} {number}" for number in range(LONG_STREAMS)]
@@ -112,7 +112,7 @@
         """Return how many requests a target has run."""
         return (await self.fleet.oracles())[target]["events"].get("run", 0)
 
-    async def until_runs(self, target, more_than):
+    async def wait_for_runs(self, target, more_than):
         """Wait until a target has run more requests than so many."""
 
         async def has_run():
@@ -120,20 +120,20 @@
 
         await wait_until(has_run, 20, f"work at {target}")
 
-    async def until_whole(self, traffic, count):
+    async def wait_for_complete_answers(self, traffic, count):
         """Wait until so many answers in a row were whole."""
 
-        def all_whole():
+        def all_complete():
             last = traffic.answers[-count:]
-            return len(last) == count and all(self.is_whole(*one) for one in last)
+            return len(last) == count and all(self.is_complete_answer(*one) for one in last)
 
-        await wait_until(all_whole, 30, "whole answers again")
+        await wait_until(all_complete, 30, "whole answers again")
 
-    async def watch(self, since_s, duration_s, traffic):
+    async def wait_for_traffic(self, since_s, duration_s, traffic):
         """Wait for a while in which traffic goes on."""
-        traffic.forget()
+        traffic.reset()
         await wait_until(
-            lambda: read_clock() > since_s + duration_s and len(traffic.answers) > WATCHED_ANSWERS,
+            lambda: read_clock() > since_s + duration_s and len(traffic.answers) > MIN_ANSWERS,
             30,
             "traffic after the leave",
         )
--- a/packages/commands/src/damaskwind/commands/tests/fault_cluster.py
+++ b/packages/commands/src/damaskwind/commands/tests/fault_cluster.py
@@ -20,10 +20,10 @@
 from twisted.web.client import RequestNotSent, RequestTransmissionFailed, ResponseFailed
 
 from damaskwind.commands.tests.fault_oracle import (
-    FIRST,
+    FIRST_CHANGE,
     OPERATORS,
-    Told,
-    descents,
+    Confirmation,
+    find_decreases,
     outcome_faults,
     viewer_intent,
 )
@@ -40,15 +40,15 @@
 
 DEADLINE_S = 45.0
 OUTCOME_UNKNOWN = 504
-RESEND_S = 0.2
+RESEND_INTERVAL_S = 0.2
 ANSWER_TIMEOUT_S = 15.0
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 DOMAINS = ("bangsar-hall", "cyberjaya-a", "shah-alam-b")
 REPLICAS = tuple(f"control-{index}" for index in range(3))
 BOOTSTRAP_KEY = "dw-bootstrap-secret"
-BLACK = Direction(Impairment(blackhole=True), Impairment(blackhole=True))
-NO_ANSWER = (ConnectError, ConnectingCancelledError, ConnectionClosed, CancelledError)
-NO_ANSWER += (RequestNotSent, RequestTransmissionFailed, ResponseFailed, TimeoutError)
+BLACKHOLE = Direction(Impairment(blackhole=True), Impairment(blackhole=True))
+NO_ANSWER_ERRORS = (ConnectError, ConnectingCancelledError, ConnectionClosed, CancelledError)
+NO_ANSWER_ERRORS += (RequestNotSent, RequestTransmissionFailed, ResponseFailed, TimeoutError)
 ANY_PORT = "127.0.0.1:0"
 APPLIED = "configuration applied"
 
@@ -62,10 +62,10 @@
         self.cluster = f"test-{folder.name}"
         self.harness = Harness(folder)
         self.network = FaultyNetwork(reactor)
-        self.confirmed: list[Told] = []
-        self.seen: dict[str, list[int]] = {}
+        self.confirmed: list[Confirmation] = []
+        self.observed_revisions: dict[str, list[int]] = {}
         self._snapshot_every_entries = snapshot_every_entries
-        self._watching: asyncio.Future | None = None
+        self._watch_task: asyncio.Future | None = None
 
     # Processes.
 
@@ -78,7 +78,7 @@
             name: {"key_hash": hash_key(f"dw-{name}"), "roles": roles} for name in OPERATORS
         }
         plan = await self.plan("control-0", {"operators": operators}, BOOTSTRAP_KEY)
-        await self.confirm("control-0", plan, FIRST, BOOTSTRAP_KEY)
+        await self.confirm("control-0", plan, FIRST_CHANGE, BOOTSTRAP_KEY)
 
     async def _start_replica(self, index: int) -> None:
         """Start a replica for the first time and point its links at it."""
@@ -87,14 +87,14 @@
             "replica_address": ANY_PORT,
             "operator_address": ANY_PORT,
             "data_folder": str(self.folder / name),
-            "bootstrap_replicas": self._rows(name),
+            "bootstrap_replicas": self._replica_entries(name),
             "bootstrap_operator_key_hash": hash_key(BOOTSTRAP_KEY),
             "snapshot_every_entries": self._snapshot_every_entries,
             "fixed_addresses": True,
         }
         table = {"node": self._node(name, DOMAINS[index]), "control": control}
         await self.harness.start_control(name, table)
-        self._point_links(name)
+        self._connect_links(name)
 
     async def start_routers(self, count: int) -> list[str]:
         """Start routers, one after the other in the domains, that all gossip."""
@@ -118,12 +118,12 @@
             "peer_address": ANY_PORT,
             "announce_key": f"announce-{self.folder.name}",
             "seeds": seeds or [],
-            "replicas": self._rows(name),
+            "replicas": self._replica_entries(name),
             "state_file": str(self.folder / f"{name}.state"),
         }
-        self.seen[name] = []
-        if self._watching is None:
-            self._watching = asyncio.ensure_future(self._watch_routers())
+        self.observed_revisions[name] = []
+        if self._watch_task is None:
+            self._watch_task = asyncio.ensure_future(self._watch_routers())
         table = {"node": self._node(name, domain), "router": router}
         await self.harness.start_router(name, table)
 
@@ -135,7 +135,7 @@
         """Start processes again that were killed, wherever they listen now."""
         await asyncio.gather(*(self.harness.restart(name) for name in names))
         for name in names:
-            self._point_links(name)
+            self._connect_links(name)
 
     def lose_disk(self, name: str) -> None:
         """Delete a replica's data folder."""
@@ -143,8 +143,8 @@
 
     async def stop(self) -> None:
         """End everything."""
-        if self._watching is not None:
-            self._watching.cancel()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
         await self.harness.stop()
         await self.network.stop()
 
@@ -154,13 +154,13 @@
         node |= {"log_format": "json"}
         return node | {"region": "kl-central", "failure_domain": domain}
 
-    def _rows(self, caller: str) -> list[dict[str, Any]]:
+    def _replica_entries(self, caller: str) -> list[dict[str, Any]]:
         """Open the links of one process and return the replicas as it reaches them."""
         rows = []
         for replica_id, domain in zip(REPLICAS, DOMAINS, strict=True):
             address = str(self._link(f"{caller}>{replica_id}").address)
             rows.append({"replica_id": replica_id, "address": address, "failure_domain": domain})
-            self._point_links(replica_id)
+            self._connect_links(replica_id)
         return rows
 
     def _link(self, name: str) -> Any:
@@ -169,11 +169,11 @@
             self.network.add_link(name, "tcp")
         return self.network.links[name]
 
-    def prepare_links(self, caller: str) -> None:
+    def open_links(self, caller: str) -> None:
         """Open the links of a process that is yet to be started, so that they can be cut."""
-        self._rows(caller)
+        self._replica_entries(caller)
 
-    def _point_links(self, name: str) -> None:
+    def _connect_links(self, name: str) -> None:
         """Let all links to a replica end where it listens, if it does yet."""
         process = self.harness.processes.get(name)
         if process is not None and "replica_address" in process.ready:
@@ -189,12 +189,12 @@
         for name, link in self.network.links.items():
             caller, callee = name.split(">")
             if (caller, callee) in pairs or (callee, caller) in pairs:
-                link.impair(BLACK)
+                link.impair(BLACKHOLE)
 
-    def isolate(self, name: str, but_for: tuple[str, ...] = ()) -> None:
+    def isolate(self, name: str, except_to: tuple[str, ...] = ()) -> None:
         """Silence all links of a replica except those to some processes."""
         ends = {end for link in self.network.links for end in link.split(">")}
-        self.cut(*((name, end) for end in ends if end != name and end not in but_for))
+        self.cut(*((name, end) for end in ends if end != name and end not in except_to))
 
     def refuse(self, caller: str, replica: str, is_refused: bool = True) -> None:
         """Reset the connections of one process to a replica, until it is accepted again."""
@@ -209,7 +209,7 @@
 
     # Operators.
 
-    async def ask(
+    async def request(
         self, at: str, method: str, path: str, body: Any = None, key: str = "dw-mei"
     ) -> tuple[int, dict[str, Any]]:
         """Ask a process, or an address; status 0 when there was no answer."""
@@ -224,57 +224,57 @@
             )
             response = await asyncio.wait_for(to_future(call), ANSWER_TIMEOUT_S + 1)
             return response.code, json.loads(await to_future(treq.content(response)))
-        except (*NO_ANSWER, ValueError):
+        except (*NO_ANSWER_ERRORS, ValueError):
             return 0, {}
 
     async def plan(self, at: str, intent: dict[str, Any], key: str = "dw-mei") -> str:
         """Plan an intent and return the plan's id; raise when it was refused."""
-        status, body = await self.ask(at, "POST", "/intents", intent, key)
+        status, body = await self.request(at, "POST", "/intents", intent, key)
         if status != 200:
             raise HarnessError(f"no plan: {status} {body}")
         return body["plan"]["id"]
 
-    async def confirm(self, at: str, plan_id: str, name: str, key: str = "dw-mei") -> Told:
+    async def confirm(self, at: str, plan_id: str, name: str, key: str = "dw-mei") -> Confirmation:
         """Confirm a plan that must come into force and note what the operator saw."""
-        status, body = await self.ask(at, "POST", f"/plans/{plan_id}/confirm", {}, key)
+        status, body = await self.request(at, "POST", f"/plans/{plan_id}/confirm", {}, key)
         if status != 200:
             raise HarnessError(f"{self._log_tails()}\nnot confirmed: {status} {body}")
-        return self.note(body, name)
+        return self.record_confirmation(body, name)
 
     def _log_tails(self) -> str:
         """Return the end of each replica's log: who led, and what it knew of the others."""
         tails = (f"{name}:\n{self.harness.processes[name].log_tail()}" for name in REPLICAS)
         return "\n".join(tails)
 
-    def note(self, answer: dict[str, Any], name: str) -> Told:
+    def record_confirmation(self, answer: dict[str, Any], name: str) -> Confirmation:
         """Put a confirmed outcome on the list."""
-        told = Told(answer["outcome"]["revision"], answer["outcome"]["plan_id"], name)
+        told = Confirmation(answer["outcome"]["revision"], answer["outcome"]["plan_id"], name)
         if told not in self.confirmed:
             self.confirmed.append(told)
         return told
 
-    async def change(self, at: str, name: str) -> Told:
+    async def add_viewer(self, at: str, name: str) -> Confirmation:
         """Add a viewer of this name."""
         return await self.confirm(at, await self.plan(at, viewer_intent(name)), name)
 
-    async def change_resent(self, at: str, name: str) -> Told:
+    async def add_viewer_with_resends(self, at: str, name: str) -> Confirmation:
         """Add a viewer, and send again what ends with an unknown outcome, which is safe."""
-        planned = await self._known_outcome(at, "/intents", viewer_intent(name))
+        planned = await self._request_until_known(at, "/intents", viewer_intent(name))
         path = f"/plans/{planned['plan']['id']}/confirm"
-        return self.note(await self._known_outcome(at, path, {}), name)
+        return self.record_confirmation(await self._request_until_known(at, path, {}), name)
 
-    async def _known_outcome(self, at: str, path: str, body: Any) -> dict[str, Any]:
+    async def _request_until_known(self, at: str, path: str, body: Any) -> dict[str, Any]:
         """Ask one replica until its answer is known; raise when it is a refusal."""
         until_s = read_clock() + DEADLINE_S
         while True:
-            status, answer = await self.ask(at, "POST", path, body)
+            status, answer = await self.request(at, "POST", path, body)
             if status == 200:
                 return answer
             if status != OUTCOME_UNKNOWN or read_clock() > until_s:
                 raise HarnessError(f"{self._log_tails()}\nnot confirmed: {status} {answer}")
-            await asyncio.sleep(RESEND_S)
+            await asyncio.sleep(RESEND_INTERVAL_S)
 
-    async def change_somewhere(self, ats: tuple[str, ...], name: str) -> Told:
+    async def add_viewer_anywhere(self, ats: tuple[str, ...], name: str) -> Confirmation:
         """Add a viewer as an operator would who asks again and elsewhere until it is told."""
         plan_id = await wait_until(lambda: self._try_plan(ats, name), DEADLINE_S, "a plan")
         return await wait_until(
@@ -284,26 +284,28 @@
     async def _try_plan(self, ats: tuple[str, ...], name: str) -> str | None:
         """Plan at the first replica that does."""
         for at in ats:
-            status, body = await self.ask(at, "POST", "/intents", viewer_intent(name))
+            status, body = await self.request(at, "POST", "/intents", viewer_intent(name))
             if status == 200:
                 return body["plan"]["id"]
         return None
 
-    async def _try_confirm(self, ats: tuple[str, ...], plan_id: str, name: str) -> Told | None:
+    async def _try_confirm(
+        self, ats: tuple[str, ...], plan_id: str, name: str
+    ) -> Confirmation | None:
         """Confirm at the first replica that does."""
         for at in ats:
-            status, body = await self.ask(at, "POST", f"/plans/{plan_id}/confirm", {})
+            status, body = await self.request(at, "POST", f"/plans/{plan_id}/confirm", {})
             if status == 200:
-                return self.note(body, name)
+                return self.record_confirmation(body, name)
         return None
 
     # What is to be seen.
 
     async def replica_status(self, at: str) -> dict[str, Any]:
         """Return a replica's own words, with the revision that it holds."""
-        status, body = await self.ask(at, "GET", "/status")
+        status, body = await self.request(at, "GET", "/status")
         if status == 401:
-            status, body = await self.ask(at, "GET", "/status", key=BOOTSTRAP_KEY)
+            status, body = await self.request(at, "GET", "/status", key=BOOTSTRAP_KEY)
         if status != 200:
             return {}
         return {**body["replica"], "revision": body["revision"], "routers": body["routers"]}
@@ -321,41 +323,41 @@
         await wait_until(lambda: self.all_vote(ats), DEADLINE_S, "a leader")
         return (await self.replica_status(ats[0]))["leader"]
 
-    async def leader_among(self, ats: tuple[str, ...]) -> bool:
+    async def have_leader_among(self, ats: tuple[str, ...]) -> bool:
         """Tell whether one of these replicas leads and all of them know it."""
         named = {(await self.replica_status(at)).get("leader") for at in ats}
         return len(named) == 1 and named <= set(ats)
 
     async def router_state(self, name: str) -> dict[str, Any]:
         """Return a router's own words; empty while it lets no operator in."""
-        status, body = await self.ask(name, "GET", "/router")
+        status, body = await self.request(name, "GET", "/router")
         return body if status == 200 else {}
 
-    async def in_force(self, names: list[str], revision: int) -> bool:
+    async def is_in_force(self, names: list[str], revision: int) -> bool:
         """Tell whether these routers enforce at least a revision."""
         states = await asyncio.gather(*(self.router_state(name) for name in names))
         return all(state.get("revision_in_force", 0) >= revision for state in states)
 
-    async def time_in_force(self, names: list[str], revision: int) -> float:
+    async def wait_in_force(self, names: list[str], revision: int) -> float:
         """Wait until these routers enforce a revision; return how long it took."""
         started_s = read_clock()
         what = f"revision {revision} in force"
-        await wait_until(lambda: self.in_force(names, revision), DEADLINE_S, what)
+        await wait_until(lambda: self.is_in_force(names, revision), DEADLINE_S, what)
         return read_clock() - started_s
 
     async def _watch_routers(self) -> None:
         """Note over and over what each router enforces."""
         while True:
-            for name, seen in list(self.seen.items()):
+            for name, seen in list(self.observed_revisions.items()):
                 process = self.harness.processes.get(name)
                 if process is None or process.exit_code is not None or not process.ready:
                     continue
                 state = await self.router_state(name)
                 if state and seen[-1:] != [state["revision_in_force"]]:
                     seen.append(state["revision_in_force"])
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def applied_by(self, name: str) -> list[int]:
+    def applied_revisions(self, name: str) -> list[int]:
         """Return every revision that a router ever put in force, from its log."""
         lines = self.harness.processes[name].log_path.read_text(encoding="utf-8").splitlines()
         events = [json.loads(line) for line in lines if APPLIED in line]
@@ -366,20 +368,20 @@
         entries: list[AuditEntry] = []
         while True:
             after = entries[-1].sequence if entries else 0
-            status, body = await self.ask(at, "GET", f"/audit?after={after}")
+            status, body = await self.request(at, "GET", f"/audit?after={after}")
             if status != 200:
                 raise HarnessError(f"no audit trail: {status} {body}")
             if not body["entries"]:
                 return entries
             entries += [decode_entry(raw) for raw in body["entries"]]
 
-    async def faults_at(self, at: str) -> list[str]:
+    async def find_faults_at(self, at: str) -> list[str]:
         """Compare what a replica shows with all that the operators were told."""
-        _status, body = await self.ask(at, "GET", "/configuration?kind=operators")
+        _status, body = await self.request(at, "GET", "/configuration?kind=operators")
         entries = await self.trail(at)
         return [f"{at}: {fault}" for fault in outcome_faults(self.confirmed, body, entries)]
 
-    async def faults(self, ats: tuple[str, ...] = REPLICAS) -> list[str]:
+    async def find_faults(self, ats: tuple[str, ...] = REPLICAS) -> list[str]:
         """Name all that replicas and routers show amiss, once the replicas have caught up."""
         last = self.confirmed[-1].revision
 
@@ -391,13 +393,13 @@
             await wait_until(caught_up, DEADLINE_S, f"replicas at revision {last}")
         except HarnessError:
             return [f"{at}: not at {last}: {await self.replica_status(at)}" for at in ats]
-        faults = [fault for at in ats for fault in await self.faults_at(at)]
-        if self._watching is not None and self._watching.done():
-            faults.append(f"routers were not watched: {self._watching.exception()!r}")
-        for name, seen in self.seen.items():
-            applied = self.applied_by(name)
-            faults += [f"{name}: seen to go back: {pair}" for pair in descents(seen)]
-            faults += [f"{name}: went back: {pair}" for pair in descents(applied)]
+        faults = [fault for at in ats for fault in await self.find_faults_at(at)]
+        if self._watch_task is not None and self._watch_task.done():
+            faults.append(f"routers were not watched: {self._watch_task.exception()!r}")
+        for name, seen in self.observed_revisions.items():
+            applied = self.applied_revisions(name)
+            faults += [f"{name}: seen to go back: {pair}" for pair in find_decreases(seen)]
+            faults += [f"{name}: went back: {pair}" for pair in find_decreases(applied)]
         return faults
 
 
--- a/packages/commands/src/damaskwind/commands/tests/fault_oracle.py
+++ b/packages/commands/src/damaskwind/commands/tests/fault_oracle.py
@@ -8,13 +8,20 @@
 from damaskwind.control.audit.entry import AuditEntry
 from damaskwind.control.operator_api.authentication import hash_key
 
-__all__ = ["FIRST", "OPERATORS", "Told", "descents", "outcome_faults", "viewer_intent"]
+__all__ = [
+    "FIRST_CHANGE",
+    "OPERATORS",
+    "Confirmation",
+    "find_decreases",
+    "outcome_faults",
+    "viewer_intent",
+]
 
 OPERATORS = ("mei", "anis")
-FIRST = "operators"
+FIRST_CHANGE = "operators"
 
 
-class Told(NamedTuple):
+class Confirmation(NamedTuple):
     """A confirmation as the operator saw it."""
 
     revision: int
@@ -27,7 +34,7 @@
     return {"operators": {name: {"key_hash": hash_key(f"dw-{name}"), "roles": ["viewer"]}}}
 
 
-def descents(revisions: Sequence[int]) -> list[tuple[int, int]]:
+def find_decreases(revisions: Sequence[int]) -> list[tuple[int, int]]:
     """Return each revision that a lower one followed, with that one.
 
     >>> descents([1, 2, 2, 1, 3])
@@ -37,11 +44,11 @@
 
 
 def outcome_faults(
-    confirmed: Sequence[Told], shown: dict[str, Any], trail: Sequence[AuditEntry]
+    confirmed: Sequence[Confirmation], shown: dict[str, Any], trail: Sequence[AuditEntry]
 ) -> list[str]:
     """Name every outcome that is lost, doubled, out of order or was never told."""
     viewers = shown["operators"].keys() - set(OPERATORS)
-    named = [told.name for told in confirmed if told.name != FIRST]
+    named = [told.name for told in confirmed if told.name != FIRST_CHANGE]
     faults = [f"'{name}' is lost" for name in named if name not in viewers]
     faults += [f"'{name}' was never confirmed" for name in viewers if name not in named]
     last = confirmed[-1].revision
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control.py
@@ -18,7 +18,7 @@
 class SilentLeaderTest(FaultTestCase):
     """Three replicas and eight routers, one of them alone with the leader."""
 
-    async def stopped_answering(self, leader):
+    async def has_stepped_down(self, leader):
         """Tell whether a replica has ceased to call itself current or leader."""
         told = await self.cluster.replica_status(leader)
         return not told["is_current"] and told["role"] != "leader"
@@ -32,46 +32,46 @@
         routers = await cluster.start_routers(7)
         # Without gossip: whatever it learns comes over a stream of a replica.
         await cluster.start_router("stranded", DOMAINS[REPLICAS.index(leader)])
-        before = await cluster.change(others[0], "before")
-        await cluster.time_in_force([*routers, "stranded"], before.revision)
+        before = await cluster.add_viewer(others[0], "before")
+        await cluster.wait_in_force([*routers, "stranded"], before.revision)
         open_plan = await cluster.plan(leader, viewer_intent("never"))
 
-        cluster.isolate(leader, but_for=("stranded",))
+        cluster.isolate(leader, except_to=("stranded",))
         cluster.cut(*(("stranded", name) for name in others))
         cut_s = read_clock()
-        status, body = await cluster.ask(leader, "POST", f"/plans/{open_plan}/confirm", {})
+        status, body = await cluster.request(leader, "POST", f"/plans/{open_plan}/confirm", {})
         refused_s = read_clock() - cut_s
         self.assertIn(status, (503, 504), body)
         self.assertEqual(body["error"]["nothing_changed"], status == 503)
         await wait_until(
-            lambda: self.stopped_answering(leader), DEADLINE_S, "the end of its leadership"
+            lambda: self.has_stepped_down(leader), DEADLINE_S, "the end of its leadership"
         )
         stopped_s = read_clock() - cut_s
-        status, body = await cluster.ask(leader, "POST", "/intents", viewer_intent("minority"))
+        status, body = await cluster.request(leader, "POST", "/intents", viewer_intent("minority"))
         self.assertEqual((status, body["error"]["code"]), (503, "no_quorum"))
 
-        during = await cluster.change_somewhere(others, "during")
-        going_on_s = read_clock() - cut_s
-        in_force_s = await cluster.time_in_force(routers, during.revision)
+        during = await cluster.add_viewer_anywhere(others, "during")
+        majority_change_s = read_clock() - cut_s
+        in_force_s = await cluster.wait_in_force(routers, during.revision)
         self.assertEqual(during.revision, before.revision + 1)
 
-        async def knows_it_may_be_behind():
+        async def reports_it_may_be_behind():
             return (await cluster.router_state("stranded"))["may_be_behind"]
 
-        await wait_until(knows_it_may_be_behind, DEADLINE_S, "a stranded router that says so")
+        await wait_until(reports_it_may_be_behind, DEADLINE_S, "a stranded router that says so")
         state = await cluster.router_state("stranded")
         self.assertEqual(state["revision_in_force"], before.revision)
 
         cluster.heal()
-        after = await cluster.change_somewhere((leader, *others), "after")
-        healed_s = await cluster.time_in_force([*routers, "stranded"], after.revision)
-        status, body = await cluster.ask(leader, "POST", f"/plans/{open_plan}/confirm", {})
+        after = await cluster.add_viewer_anywhere((leader, *others), "after")
+        healed_s = await cluster.wait_in_force([*routers, "stranded"], after.revision)
+        status, body = await cluster.request(leader, "POST", f"/plans/{open_plan}/confirm", {})
         self.assertEqual(status, 409, body)
-        self.assertEqual(await cluster.faults(), [])
-        self.assertEqual(cluster.seen["stranded"][-1], after.revision)
+        self.assertEqual(await cluster.find_faults(), [])
+        self.assertEqual(cluster.observed_revisions["stranded"][-1], after.revision)
         print(
             f"\nafter the cut: confirm refused {refused_s:.1f} s, no longer current"
-            f" {stopped_s:.1f} s, a change confirmed by the majority {going_on_s:.1f} s;"
+            f" {stopped_s:.1f} s, a change confirmed by the majority {majority_change_s:.1f} s;"
             f" in force on 7 routers {in_force_s:.2f} s after its confirmation;"
             f" after the heal on 8 routers {healed_s:.2f} s"
         )
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_disks.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_disks.py
@@ -33,16 +33,16 @@
         leader = await cluster.leader()
         lost, other = (name for name in REPLICAS if name != leader)
         for number in range(CHANGES):
-            await cluster.change_resent(REPLICAS[number % 3], f"viewer-{number}")
+            await cluster.add_viewer_with_resends(REPLICAS[number % 3], f"viewer-{number}")
         before = await self.identity_of(lost, leader)
         await cluster.kill(lost)
         cluster.lose_disk(lost)
-        await cluster.change_somewhere((leader, other), "while-away")
+        await cluster.add_viewer_anywhere((leader, other), "while-away")
 
         # Without its disk one VM counts for nothing: a second one may not be lost now.
         plan_id = await cluster.plan(other, viewer_intent("refused"))
         await cluster.kill(leader)
-        status, body = await cluster.ask(other, "POST", f"/plans/{plan_id}/confirm", {})
+        status, body = await cluster.request(other, "POST", f"/plans/{plan_id}/confirm", {})
         self.assertEqual((status, body["error"]["nothing_changed"]), (503, True), body)
         await cluster.restart(leader)
 
@@ -53,11 +53,11 @@
         second = await cluster.leader()
         rest = tuple(name for name in REPLICAS if name != second)
         await cluster.kill(second)
-        await cluster.change_somewhere(rest, "after-the-second-loss")
-        self.assertEqual(await cluster.faults(rest), [])
+        await cluster.add_viewer_anywhere(rest, "after-the-second-loss")
+        self.assertEqual(await cluster.find_faults(rest), [])
         await cluster.restart(second)
-        await cluster.change_somewhere(REPLICAS, "whole-again")
-        self.assertEqual(await cluster.faults(), [])
+        await cluster.add_viewer_anywhere(REPLICAS, "whole-again")
+        self.assertEqual(await cluster.find_faults(), [])
 
     @asyncio_test
     async def test_changes_while_leaders_are_starved_are_known_when_sent_again(self):
@@ -72,12 +72,12 @@
         starving = asyncio.ensure_future(self.starve_leaders(3))
         try:
             for number in range(CHANGES):
-                await cluster.change_somewhere((REPLICAS[number % 3],), f"viewer-{number}")
+                await cluster.add_viewer_anywhere((REPLICAS[number % 3],), f"viewer-{number}")
                 await asyncio.sleep(0.2)
         finally:
             await starving
         await wait_until(lambda: cluster.all_vote(REPLICAS), DEADLINE_S, "three voters")
-        self.assertEqual(await cluster.faults(), [])
+        self.assertEqual(await cluster.find_faults(), [])
 
     async def starve_leaders(self, times):
         for _ in range(times):
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
@@ -22,11 +22,11 @@
         """Tell whether a router says that it may be behind."""
         return (await self.cluster.router_state(name)).get("may_be_behind")
 
-    async def vouches_no_more(self, replica):
+    async def has_lost_majority(self, replica):
         """Tell whether a replica that is cut off has noticed: its belief lasts for a second."""
         return not (await self.cluster.replica_status(replica))["is_current"]
 
-    async def hears_of(self, replica, router, revision):
+    async def has_recent_report(self, replica, router, revision):
         """Tell whether a router that enforces a revision has just reported to a replica."""
         routers = (await self.cluster.replica_status(replica))["routers"]
         just_now = [each for each in routers if each["age_s"] < JUST_NOW_S]
@@ -39,12 +39,12 @@
         others = tuple(name for name in REPLICAS if name != replica)
         # Reset rather than silent, so that the router turns to the others at once.
         cluster.refuse("inside", replica)
-        cluster.isolate(replica, but_for=("inside", "newcomer"))
-        known = await cluster.change_somewhere(others, "known-inside")
-        await cluster.time_in_force(["inside", "outside"], known.revision)
+        cluster.isolate(replica, except_to=("inside", "newcomer"))
+        known = await cluster.add_viewer_anywhere(others, "known-inside")
+        await cluster.wait_in_force(["inside", "outside"], known.revision)
         cluster.cut(*(("inside", name) for name in others))
-        unknown = await cluster.change_somewhere(others, "unknown-inside")
-        await cluster.time_in_force(["outside"], unknown.revision)
+        unknown = await cluster.add_viewer_anywhere(others, "unknown-inside")
+        await cluster.wait_in_force(["outside"], unknown.revision)
         cluster.refuse("inside", replica, is_refused=False)
         return replica, others, known, unknown
 
@@ -60,21 +60,21 @@
         told = await cluster.replica_status(replica)
         self.assertLess(told["revision"], known.revision)
         await wait_until(
-            lambda: self.vouches_no_more(replica), DEADLINE_S, "a replica that vouches no more"
+            lambda: self.has_lost_majority(replica), DEADLINE_S, "a replica that vouches no more"
         )
 
         seeds = [cluster.harness.processes["inside"].ready["datagram_address"]]
         links = [(name, "newcomer") for name in others]
-        cluster.prepare_links("newcomer")
+        cluster.open_links("newcomer")
         cluster.cut(*links)
         await cluster.start_router("newcomer", domain, seeds)
-        await cluster.time_in_force(["newcomer"], known.revision)
-        self.assertEqual(cluster.applied_by("newcomer"), [known.revision])
+        await cluster.wait_in_force(["newcomer"], known.revision)
+        self.assertEqual(cluster.applied_revisions("newcomer"), [known.revision])
         self.assertTrue(await self.is_behind("newcomer"))
         await wait_until(lambda: self.is_ready("newcomer"), DEADLINE_S, "a newcomer that serves")
         await wait_until(lambda: self.is_behind("inside"), DEADLINE_S, "word of the cut")
         await wait_until(
-            lambda: self.hears_of(replica, "inside", known.revision),
+            lambda: self.has_recent_report(replica, "inside", known.revision),
             DEADLINE_S,
             "the router that follows a replica behind itself",
         )
@@ -84,12 +84,12 @@
 
         cluster.heal()
         names = ["inside", "outside", "newcomer"]
-        await cluster.time_in_force(names, unknown.revision)
+        await cluster.wait_in_force(names, unknown.revision)
         for name in names:
             await wait_until(
                 lambda name=name: self.is_sure(name), DEADLINE_S, "routers sure of being current"
             )
-        self.assertEqual(await cluster.faults(), [])
+        self.assertEqual(await cluster.find_faults(), [])
 
     async def is_sure(self, name):
         """Tell whether a router says that it is current."""
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_operators.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_operators.py
@@ -29,14 +29,14 @@
             sides.append((operator, at, name, plan_id))
         answers = await asyncio.gather(
             *(
-                cluster.ask(at, "POST", f"/plans/{plan_id}/confirm", {}, f"dw-{operator}")
+                cluster.request(at, "POST", f"/plans/{plan_id}/confirm", {}, f"dw-{operator}")
                 for operator, at, _name, plan_id in sides
             )
         )
         self.assertEqual(sorted(status for status, _body in answers), [200, 409], answers)
         winner = 0 if answers[0][0] == 200 else 1
         operator, _at, name, plan_id = sides[winner]
-        won = cluster.note(answers[winner][1], name)
+        won = cluster.record_confirmation(answers[winner][1], name)
         (conflict,) = answers[1 - winner][1]["error"]["outcome"]["conflicts"]
         self.assertEqual(conflict["plan_id"], plan_id)
         self.assertEqual(conflict["operator"], operator)
@@ -49,9 +49,9 @@
         await self.cluster.start_replicas()
         wins = [await self.race(number) for number in range(6)]
         self.assertEqual([won.revision for won in wins], list(range(2, 8)))
-        self.assertEqual(await self.cluster.faults(), [])
+        self.assertEqual(await self.cluster.find_faults(), [])
 
-    async def lose_the_answer(self, at, name):
+    async def confirm_with_lost_answer(self, at, name):
         """Confirm through a link that passes the request on and no answer back."""
         cluster = self.cluster
         target = cluster.harness.processes[at].ready["operator_address"]
@@ -59,10 +59,10 @@
         link = cluster.network.add_link(f"operator>{name}", "tcp", parse_address(target))
         link.impair(ANSWER_LOST)
         path = f"/plans/{plan_id}/confirm"
-        lost = asyncio.ensure_future(cluster.ask(str(link.address), "POST", path, {}))
+        lost = asyncio.ensure_future(cluster.request(str(link.address), "POST", path, {}))
 
         async def is_closed():
-            _status, body = await cluster.ask(at, "GET", f"/plans/{plan_id}")
+            _status, body = await cluster.request(at, "GET", f"/plans/{plan_id}")
             return "outcome" in body
 
         await wait_until(is_closed, DEADLINE_S, "the confirmation to be taken")
@@ -74,9 +74,9 @@
     async def resend(self, at, plan_id, name):
         """Resend a confirmation, which must give the first outcome."""
         path = f"/plans/{plan_id}/confirm"
-        status, body = await self.cluster.ask(at, "POST", path, {})
+        status, body = await self.cluster.request(at, "POST", path, {})
         self.assertEqual((status, body.get("repeated")), (200, True), body)
-        return self.cluster.note(body, name)
+        return self.cluster.record_confirmation(body, name)
 
     @asyncio_test
     async def test_lost_answer_is_told_elsewhere_also_by_the_next_leader(self):
@@ -84,16 +84,16 @@
         await cluster.start_replicas()
         leader = await cluster.leader()
         others = tuple(name for name in REPLICAS if name != leader)
-        plan_id = await self.lose_the_answer(others[0], "first")
+        plan_id = await self.confirm_with_lost_answer(others[0], "first")
         first = await self.resend(others[1], plan_id, "first")
         self.assertEqual(first.revision, 2)
         self.assertEqual(await self.resend(leader, plan_id, "first"), first)
 
-        plan_id = await self.lose_the_answer(leader, "second")
+        plan_id = await self.confirm_with_lost_answer(leader, "second")
         await cluster.kill(leader)
-        await wait_until(lambda: cluster.leader_among(others), DEADLINE_S, "another leader")
+        await wait_until(lambda: cluster.have_leader_among(others), DEADLINE_S, "another leader")
         second = await self.resend(others[0], plan_id, "second")
         self.assertEqual(second.revision, 3)
         await cluster.restart(leader)
         self.assertEqual(await self.resend(leader, plan_id, "second"), second)
-        self.assertEqual(await cluster.faults(), [])
+        self.assertEqual(await cluster.find_faults(), [])
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_restart.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_restart.py
@@ -28,18 +28,18 @@
         await cluster.start_replicas()
         routers = await cluster.start_routers(2)
         for number in range(CHANGES):
-            await cluster.change(REPLICAS[number % 3], f"viewer-{number}")
+            await cluster.add_viewer(REPLICAS[number % 3], f"viewer-{number}")
         last = cluster.confirmed[-1]
-        await cluster.time_in_force(routers, last.revision)
+        await cluster.wait_in_force(routers, last.revision)
         plan_id = await cluster.plan(REPLICAS[0], viewer_intent("in-flight"))
         path = f"/plans/{plan_id}/confirm"
-        in_flight = asyncio.ensure_future(cluster.ask(REPLICAS[0], "POST", path, {}))
+        in_flight = asyncio.ensure_future(cluster.request(REPLICAS[0], "POST", path, {}))
         await cluster.kill(*REPLICAS, *routers)
         status, body = await in_flight
         if status == 200:
-            cluster.note(body, "in-flight")
+            cluster.record_confirmation(body, "in-flight")
         await cluster.restart(*routers)
-        await cluster.time_in_force(routers, last.revision)
+        await cluster.wait_in_force(routers, last.revision)
         for name in routers:
             self.assertTrue((await cluster.router_state(name))["may_be_behind"])
         await cluster.restart(*REPLICAS)
@@ -48,5 +48,5 @@
         self.assertGreater(min(snapshots), 0, snapshots)
         resent = await cluster.confirm(REPLICAS[1], plan_id, "in-flight")
         self.assertEqual(resent.revision, last.revision + 1)
-        self.assertEqual(await cluster.faults(), [])
-        await cluster.time_in_force(routers, resent.revision)
+        self.assertEqual(await cluster.find_faults(), [])
+        await cluster.wait_in_force(routers, resent.revision)
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_answers.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_answers.py
@@ -23,8 +23,8 @@
 ROUNDS = 6
 SIZE_TOKENS = 12
 LARGE_BYTES = 300_000
-SHARE = 0.12
-PLENTY = 1_000_000
+FAULT_PROBABILITY = 0.12
+UNLIMITED_COUNT = 1_000_000
 ENGINES = ("engine-0", "engine-1")
 SERVICES = ("edge-0", "edge-1")
 # A late answer's bytes that come inside a body with too great a length make it whole on the
@@ -53,16 +53,16 @@
         engines = [{"target_id": name, "token_interval_s": 0.005} for name in ENGINES]
         services = [{"target_id": name} for name in SERVICES]
         await fleet.start_targets("targets", engines, services)
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
 
     async def arm_all(self, faults):
         """Let all targets show these faults and no others."""
         for target in (*ENGINES, *SERVICES):
-            await self.fleet.arm(target, "")
+            await self.fleet.arm_fault(target, "")
             for fault in faults:
-                await self.fleet.arm(target, fault, PLENTY, SHARE)
+                await self.fleet.arm_fault(target, fault, UNLIMITED_COUNT, FAULT_PROBABILITY)
 
-    def failed_honestly(self, what, answer):
+    def check_failure(self, what, answer):
         """Check that an answer that isn't whole says so."""
         self.outcomes[f"{what} failed"] += 1
         if answer.status != 200:
@@ -71,7 +71,7 @@
             self.assertEqual((error["verdict"], answer.verdict), ("may-have-run",) * 2)
             self.assertEqual(error["request_id"], answer.request_id)
             return
-        self.assertFalse(answer.ended, answer)
+        self.assertFalse(answer.is_complete, answer)
 
     async def stream(self, address, name):
         """Ask for a stream: whole and the caller's own, or cut without an end."""
@@ -81,11 +81,11 @@
         if answer.status == 200:
             self.assertTrue(expected.startswith(stream_text(answer.body)), (text, answer))
         if DONE not in answer.body:
-            self.failed_honestly("stream", answer)
+            self.check_failure("stream", answer)
             if answer.status == 200:
                 self.assertIn(b'"may-have-run"', answer.body)
             return
-        self.assertTrue(answer.ended)
+        self.assertTrue(answer.is_complete)
         self.assertEqual(stream_text(answer.body), expected)
         self.assertEqual(answer.body.count(DONE), 1)
         ids = {line.split(b'"')[3] for line in answer.body.splitlines() if b'"id"' in line}
@@ -96,8 +96,8 @@
         """Ask for a whole answer to a chat."""
         text = f"whole {name}"
         answer = await self.fleet.chat(address, text, SIZE_TOKENS, stream=False)
-        if answer.status != 200 or not answer.ended:
-            self.failed_honestly("chat", answer)
+        if answer.status != 200 or not answer.is_complete:
+            self.check_failure("chat", answer)
             return
         body = json.loads(answer.body)
         content = body["choices"][0]["message"]["content"]
@@ -109,8 +109,8 @@
         """Call the plain service for a small or a large answer."""
         body = f"call {name}/{size_bytes}".encode()
         answer = await self.fleet.call(address, body, query=f"?size_bytes={size_bytes}")
-        if answer.status != 200 or not answer.ended:
-            self.failed_honestly("call", answer)
+        if answer.status != 200 or not answer.is_complete:
+            self.check_failure("call", answer)
             return
         expected = expected_service_answer(1, "POST", "/tags", body, size_bytes)
         self.assertEqual(json.loads(answer.body), expected)
@@ -131,13 +131,13 @@
 
     async def check_counts(self):
         """Check that the targets ran no call twice and that every fault was shown."""
-        by_body = await self.fleet.counted("runs_by_body")
+        by_body = await self.fleet.total_counts("runs_by_body")
         for number in range(CALLERS):
             for phase, turn, size_bytes in product(PHASES, range(ROUNDS), (0, LARGE_BYTES)):
                 body = f"call {phase} {number}/{turn}/{size_bytes}".encode()
                 self.assertLessEqual(by_body[xxhash.xxh3_128_hexdigest(body)], 1)
-        self.assertEqual(max((await self.fleet.counted("runs_by_id")).values()), 1)
-        shown = await self.fleet.counted("faults")
+        self.assertEqual(max((await self.fleet.total_counts("runs_by_id")).values()), 1)
+        shown = await self.fleet.total_counts("faults")
         for fault in sorted(FAULTS):
             self.assertGreater(shown[fault], 0, fault)
         for kind in ("stream", "chat", "call"):
@@ -152,4 +152,4 @@
             await self.arm_all(faults)
             await asyncio.gather(*(self.caller(number, phase) for number in range(CALLERS)))
         await self.check_counts()
-        print(f"\n{dict(self.outcomes)}, faults {dict(await self.fleet.counted('faults'))}")
+        print(f"\n{dict(self.outcomes)}, faults {dict(await self.fleet.total_counts('faults'))}")
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_chats.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_chats.py
@@ -30,14 +30,14 @@
     @asyncio_test
     async def test_ten_turns_through_eight_routers_in_turn_stay_warm(self):
         fleet = self.fleet
-        fleet.name_absent_replicas()
+        fleet.add_unreachable_replicas()
         await fleet.start_routers(8)
         engines = [
             {"target_id": f"engine-{number}", "failure_domain": DOMAINS[number % 3]}
             for number in range(6)
         ]
         await fleet.start_targets("targets", engines, [])
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         messages, served, cached, choices = [], [], [], []
         known_tokens = 0
         for number in range(TURNS):
@@ -45,7 +45,7 @@
             router = f"router-{number % 8}"
             # On a starved machine an engine may announce itself later than its lease
             # lasts; a router that has dropped it for that moment is no subject here.
-            await fleet.until_ready([router])
+            await fleet.wait_until_ready([router])
             text, usage, request_id = await self.turn(router, messages)
             asked = [Message(one["role"], one["content"]) for one in messages]
             self.assertEqual(text, expected_answer(1, ModelName("damask", "1"), asked, 16))
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_domains.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_domains.py
@@ -22,13 +22,13 @@
     @asyncio_test
     async def test_domain_cut_off_serves_with_what_it_has(self):
         fleet = self.fleet
-        fleet.name_absent_replicas()
+        fleet.add_unreachable_replicas()
         await fleet.start_routers(3, policy={"first_byte_timeout_s": 1.0, "load_factor": 4.0})
         for number, domain in enumerate(DOMAINS):
             engine = {"target_id": f"engine-{number}", "failure_domain": domain}
             service = {"target_id": f"edge-{number}", "failure_domain": domain}
             await fleet.start_targets(f"targets-{number}", [engine], [service])
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         names = ("router-1", "router-2", "targets-1", "targets-2")
         away = [fleet.harness.processes[name] for name in names]
         # Silence from all other domains, as behind a cut: their processes just stop.
@@ -39,17 +39,17 @@
         finally:
             for process in away:
                 process.send(signal.SIGCONT)
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         for router, address in fleet.routers.items():
             answer = await fleet.chat(address, f"healed {router}", SHORT_TOKENS)
-            self.assertTrue(self.is_whole(f"healed {router}", answer), answer)
+            self.assertTrue(self.is_complete_answer(f"healed {router}", answer), answer)
 
     async def serve_alone(self):
         """Check that the one router left serves with the targets of its domain."""
         fleet, address = self.fleet, self.fleet.routers["router-0"]
         at_once = [fleet.chat(address, f"early {n}", SHORT_TOKENS) for n in range(CUT_OFF_CHATS)]
         for number, answer in enumerate(await asyncio.gather(*at_once)):
-            self.is_whole(f"early {number}", answer)
+            self.is_complete_answer(f"early {number}", answer)
 
         async def is_alone():
             return (await fleet.state("router-0"))["routers"] == ["router-0"]
@@ -58,7 +58,7 @@
         self.assertTrue((await fleet.state("router-0"))["ready"])
         for number in range(CUT_OFF_CHATS):
             answer = await fleet.chat(address, f"alone {number}", SHORT_TOKENS)
-            self.assertTrue(self.is_whole(f"alone {number}", answer), answer)
+            self.assertTrue(self.is_complete_answer(f"alone {number}", answer), answer)
             answer = await fleet.call(address, b"alone %d" % number)
             self.assertEqual((answer.status, answer.verdict), (200, "ran"), answer)
         keyed = await fleet.call(address, b"keyed", "key-alone")
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
@@ -21,7 +21,7 @@
 
 
 class DrainTest(FleetTestCase):
-    async def listen(self, stream, begun, texts):
+    async def read_stream(self, stream, begun, texts):
         """Read a stream to its end."""
         text = ""
         async for chunk in stream:
@@ -37,7 +37,7 @@
             stream=True,
             max_tokens=STREAM_TOKENS,
         )
-        await self.listen(stream, begun, texts)
+        await self.read_stream(stream, begun, texts)
 
     def probe(self, router, told):
         """Ask for readiness, as the platform's balancer does, until nobody listens.
@@ -62,7 +62,7 @@
         finally:
             connection.close()
 
-    async def open_kept(self, router):
+    async def open_connection(self, router):
         """Open a connection by hand, which stays open after its answer."""
         host, port = self.fleet.routers[router].split(":")
         return await asyncio.open_connection(host, int(port))
@@ -83,15 +83,15 @@
         fields = {"token_interval_s": TOKEN_S, "max_running_requests": 128}
         engines = [{"target_id": f"engine-{number}", **fields} for number in range(4)]
         await fleet.start_targets("targets", engines, [])
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         begun, texts, told = set(), [], []
         client = self.client("router-1")
         streams = [
             asyncio.ensure_future(self.one_stream(client, number, begun, texts))
             for number in range(STREAMS)
         ]
-        idle, idle_writer = await self.open_kept("router-1")
-        busy, busy_writer = await self.open_kept("router-1")
+        idle, idle_writer = await self.open_connection("router-1")
+        busy, busy_writer = await self.open_connection("router-1")
         busy_writer.write(self.raw_chat("kept", STREAM_TOKENS))
         await wait_until(lambda: len(begun) == STREAMS, 30, "two hundred begun streams")
         await busy.readuntil(b"data: ")
@@ -104,7 +104,7 @@
         await asyncio.wait_for(probing, 30)
         self.assertEqual(told, [200, 503, 0], "readiness fails first, then the listener closes")
         self.assertIsNone(router.exit_code)
-        before = (await fleet.counted("events"))["run"]
+        before = (await fleet.total_counts("events"))["run"]
         # One connection idle, one with an answer in progress: neither brings new work.
         idle_writer.write(self.raw_chat("new on an idle one", 1))
         busy_writer.write(self.raw_chat("new behind a stream", 1))
@@ -118,5 +118,5 @@
         expected = [expected_chat(f"stream {number}", STREAM_TOKENS) for number in range(STREAMS)]
         self.assertEqual(sorted(texts), sorted(expected))
         self.assertEqual(await router.wait(60), 0)
-        self.assertEqual((await fleet.counted("events"))["run"], before)
+        self.assertEqual((await fleet.total_counts("events"))["run"], before)
         self.assertEqual(before, STREAMS + 1)
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
@@ -25,7 +25,7 @@
     @asyncio_test
     async def test_flapping_and_killed_processes_cut_only_what_was_theirs(self):
         fleet = self.fleet
-        fleet.name_absent_replicas()
+        fleet.add_unreachable_replicas()
         await fleet.start_routers(4, policy={"load_factor": 2.0, "ejection_base_s": 0.5})
         engines = [
             {"target_id": f"engine-{number}", "failure_domain": DOMAINS[number], **SLOW}
@@ -34,52 +34,56 @@
         await fleet.start_targets("targets", engines, [])
         doomed = {"target_id": "doomed", "failure_domain": DOMAINS[0], **SLOW}
         await fleet.start_targets("doomed-process", [doomed], [])
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         traffic = Traffic(fleet)
         for _ in range(2):
             before = await self.runs("engine-1")
-            await fleet.live("engine-1", "flap", down_s=0.4)
-            await self.until_runs("engine-1", before + 4)
-        await self.until_whole(traffic, 30)
+            await fleet.control_target("engine-1", "flap", down_s=0.4)
+            await self.wait_for_runs("engine-1", before + 4)
+        await self.wait_for_complete_answers(traffic, 30)
 
-        texts, streams = self.begin_long("doomed")
-        await self.until_runs("doomed", await self.runs("doomed") + 4)
+        texts, streams = self.start_long_streams("doomed")
+        await self.wait_for_runs("doomed", await self.runs("doomed") + 4)
         ran_by_doomed = (await fleet.oracles())["doomed"]["runs_by_id"]
         await fleet.harness.processes["doomed-process"].kill()
-        fleet.forget_targets("doomed")
+        fleet.remove_targets("doomed")
         answers = await asyncio.gather(*streams)
         whole = [
-            self.is_whole(text, answer, LONG_TOKENS)
+            self.is_complete_answer(text, answer, LONG_TOKENS)
             for text, answer in zip(texts, answers, strict=True)
         ]
-        cut = [answer for is_whole, answer in zip(whole, answers, strict=True) if not is_whole]
+        cut = [
+            answer
+            for is_complete_answer, answer in zip(whole, answers, strict=True)
+            if not is_complete_answer
+        ]
         self.assertTrue(cut)
         for answer in cut:
             self.assertIn(b'"may-have-run"', answer.body)
             self.assertIn(answer.request_id, ran_by_doomed)
-        await self.until_whole(traffic, 30)
+        await self.wait_for_complete_answers(traffic, 30)
 
-        texts, streams = self.begin_long("orphans", "router-3")
-        others, other_streams = self.begin_long("others", "router-0")
-        before = Counter(await fleet.counted("events"))
+        texts, streams = self.start_long_streams("orphans", "router-3")
+        others, other_streams = self.start_long_streams("others", "router-0")
+        before = Counter(await fleet.total_counts("events"))
         await wait_until(self.all_at_engines(texts + others), 20, "streams at the engines")
         await fleet.harness.processes["router-3"].kill()
         del fleet.routers["router-3"]
         for text, answer in zip(texts, await asyncio.gather(*streams), strict=True):
-            self.assertFalse(self.is_whole(text, answer, LONG_TOKENS))
+            self.assertFalse(self.is_complete_answer(text, answer, LONG_TOKENS))
         for text, answer in zip(others, await asyncio.gather(*other_streams), strict=True):
-            self.assertTrue(self.is_whole(text, answer, LONG_TOKENS), (text, answer))
-        gone = Counter(await fleet.counted("events"))["caller_gone"] - before["caller_gone"]
+            self.assertTrue(self.is_complete_answer(text, answer, LONG_TOKENS), (text, answer))
+        gone = Counter(await fleet.total_counts("events"))["caller_gone"] - before["caller_gone"]
         self.assertGreaterEqual(gone, LONG_STREAMS)
-        await self.until_whole(traffic, 30)
+        await self.wait_for_complete_answers(traffic, 30)
         await traffic.stop()
-        self.assertEqual(max((await fleet.counted("runs_by_id")).values()), 1)
+        self.assertEqual(max((await fleet.total_counts("runs_by_id")).values()), 1)
 
     def all_at_engines(self, texts):
         """Return a condition: so many long streams run at the engines."""
 
         async def holds():
-            counted = await self.fleet.counted("runs_by_body")
-            return sum(counted[self.fleet.digest_of(text)] for text in texts) == len(texts)
+            total_counts = await self.fleet.total_counts("runs_by_body")
+            return sum(total_counts[self.fleet.digest_of(text)] for text in texts) == len(texts)
 
         return holds
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_once.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_once.py
@@ -17,7 +17,7 @@
 from twisted.internet import reactor
 from twisted.trial.unittest import TestCase
 
-from damaskwind.commands.tests.data_path_fleet import DOMAINS, LOST, Answer, DataPathFleet
+from damaskwind.commands.tests.data_path_fleet import DOMAINS, LOST_ANSWER, Answer, DataPathFleet
 from damaskwind.runtime.bridge import asyncio_test, to_deferred
 from damaskwind.runtime.settings import parse_address
 from damaskwind.standins.harness import wait_until
@@ -26,7 +26,7 @@
 
 SEED = 20261202
 CALLS_PER_STAGE = 8
-LANES = 4
+WORKERS = 4
 RESENDS = 4
 RESEND_WAIT_S = 0.1
 LARGE_BYTES = 400_000
@@ -75,7 +75,7 @@
         await fleet.start_targets("targets", [], services, behind_links=True)
         for name, address in fleet.routers.items():
             fleet.network.add_link(f"caller>{name}", "tcp", parse_address(address))
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         await wait_until(self.grants_keys, 40, "holders that grant keys")
 
     async def grants_keys(self):
@@ -93,17 +93,17 @@
         key = f"key-{name}" if number % 2 else ""
         return Call(name.encode(), key, query, tuple(routers))
 
-    def resends(self, answer):
+    def should_resend(self, answer):
         """Tell whether a caller with a key would ask again."""
-        return not answer.ended or answer.status >= 409
+        return not answer.is_complete or answer.status >= 409
 
-    async def do(self, call, through_links=False):
+    async def send_call(self, call, through_links=False):
         """Send a call; with a key also again, through the other domains' routers."""
         first = self.fleet.routers[call.routers[0]]
         if through_links:
             first = str(self.fleet.network.links[f"caller>{call.routers[0]}"].address)
         answers = [await self.fleet.call(first, call.body, call.key, call.query)]
-        while call.key and self.resends(answers[-1]) and len(answers) <= RESENDS:
+        while call.key and self.should_resend(answers[-1]) and len(answers) <= RESENDS:
             await asyncio.sleep(RESEND_WAIT_S)
             router = self.fleet.routers[call.routers[len(answers) % 3]]
             answers.append(await self.fleet.call(router, call.body, call.key, call.query))
@@ -114,15 +114,15 @@
         calls = [self.make_call(name, number, query) for number in range(CALLS_PER_STAGE)]
         stop = asyncio.ensure_future(breaking()) if breaking else None
 
-        async def lane(number):
-            for call in calls[number::LANES]:
-                await self.do(call, through_links)
+        async def worker(number):
+            for call in calls[number::WORKERS]:
+                await self.send_call(call, through_links)
 
-        await asyncio.gather(*(lane(number) for number in range(LANES)))
+        await asyncio.gather(*(worker(number) for number in range(WORKERS)))
         if stop is not None:
             stop.cancel()
         for target in SERVICES:
-            await self.fleet.arm(target, "")
+            await self.fleet.arm_fault(target, "")
         self.fleet.network.heal()
 
     async def cut_callers(self, names):
@@ -132,11 +132,11 @@
             for name in names:
                 self.fleet.network.links[name].cut()
 
-    async def lose_what_was_answered(self, names):
+    async def drop_sent_answers(self, names):
         """Hold all answers to callers back, and reset once the routers have given them."""
         links = [self.fleet.network.links[name] for name in names]
 
-        async def have_answered():
+        async def are_idle():
             states = [await self.fleet.state(name) for name in self.fleet.routers]
             return not any(state["requests_in_progress"] for state in states)
 
@@ -144,11 +144,11 @@
             link.impair(SILENT)
         while True:
             await asyncio.sleep(ARRIVAL_S)
-            await wait_until(have_answered, 20, "answers given by the routers")
+            await wait_until(are_idle, 20, "answers given by the routers")
             for link in links:
                 link.cut()
 
-    async def refuse_now_and_then(self):
+    async def refuse_intermittently(self):
         """Let links refuse and reset for a while, so that nothing gets through."""
         links = [self.fleet.network.links[name] for name in SERVICES]
         try:
@@ -175,7 +175,7 @@
     async def arm_all(self, fault, count):
         """Arm one fault at every service."""
         for target in SERVICES:
-            await self.fleet.arm(target, fault, count)
+            await self.fleet.arm_fault(target, fault, count)
 
     async def run_stages(self):
         """Break every stage of a call in turn."""
@@ -183,7 +183,7 @@
         await self.stage("unbroken")
         await self.arm_all("refuse", 4)
         await self.stage("refused")
-        await self.stage("before-send", breaking=self.refuse_now_and_then)
+        await self.stage("before-send", breaking=self.refuse_intermittently)
         # As many as there are calls: with two a service, the calls without a key, which wait
         # for no claim, met all the resets of two services, and those with one none (3 of 14).
         await self.arm_all("reset_after_read", CALLS_PER_STAGE)
@@ -204,37 +204,37 @@
             breaking=lambda: self.cut_callers(callers),
         )
         await self.stage(
-            "answer-lost", through_links=True, breaking=lambda: self.lose_what_was_answered(callers)
+            "answer-lost", through_links=True, breaking=lambda: self.drop_sent_answers(callers)
         )
 
-    async def router_dies(self):
+    async def kill_router(self):
         """Kill a router while it waits for answers; callers resend through the others."""
         calls = [self.make_call("killed", number, "?delay_s=1") for number in range(6)]
         calls = [
             call._replace(routers=("router-2", "router-0", "router-1"), key=f"key-{call.body}")
             for call in calls
         ]
-        doing = [asyncio.ensure_future(self.do(call)) for call in calls]
+        doing = [asyncio.ensure_future(self.send_call(call)) for call in calls]
 
         async def are_running():
-            runs = await self.fleet.counted("runs_by_body")
+            runs = await self.fleet.total_counts("runs_by_body")
             return all(runs[xxhash.xxh3_128_hexdigest(call.body)] for call in calls)
 
         await wait_until(are_running, 20, "the calls at their services")
         await self.fleet.harness.processes["router-2"].kill()
         await asyncio.gather(*doing)
 
-    def whole_answer(self, call, answer):
+    def is_expected_answer(self, call, answer):
         """Tell whether an answer is the one that this call must get."""
         size_bytes = LARGE_BYTES if "size_bytes" in call.query else 0
         expected = expected_service_answer(1, "POST", "/tags", call.body, size_bytes)
-        return answer.ended and json.loads(answer.body) == expected
+        return answer.is_complete and json.loads(answer.body) == expected
 
     async def check(self):
         """Hold every answer against what the services counted."""
-        by_id = await self.fleet.counted("runs_by_id")
-        by_key = await self.fleet.counted("runs_by_key")
-        by_body = await self.fleet.counted("runs_by_body")
+        by_id = await self.fleet.total_counts("runs_by_id")
+        by_key = await self.fleet.total_counts("runs_by_key")
+        by_body = await self.fleet.total_counts("runs_by_body")
         self.assertEqual([name for name, runs in by_key.items() if runs > 1], [])
         self.assertEqual([name for name, runs in by_id.items() if runs > 1], [])
         verdicts = Counter()
@@ -248,16 +248,16 @@
                     self.assertEqual(by_id[answer.request_id], 0, (call, answer))
                 if answer.verdict == "ran" and answer.status < 400:
                     self.assertEqual(runs, 1, (call, answer))
-                    self.assertTrue(self.whole_answer(call, answer), (call, answer))
-                if answer.status == 200 and answer.ended:
-                    self.assertTrue(self.whole_answer(call, answer), (call, answer))
+                    self.assertTrue(self.is_expected_answer(call, answer), (call, answer))
+                if answer.status == 200 and answer.is_complete:
+                    self.assertTrue(self.is_expected_answer(call, answer), (call, answer))
                 if answer.status >= 400:
                     self.assertEqual(json.loads(answer.body)["error"]["verdict"], answer.verdict)
             if not call.key and answers[0].verdict == "not-run":
                 self.assertEqual(runs, 0, (call, answers))
         return verdicts
 
-    def reached(self, faults, verdicts):
+    def check_coverage(self, faults, verdicts):
         """Make sure that every stage was broken and every kind of answer seen."""
         for fault in ("refuse", "reset_after_read", "cut_answer", "wrong_length", "others_id"):
             self.assertGreater(faults[fault], 0, fault)
@@ -273,14 +273,14 @@
     async def test_nothing_runs_twice_and_every_verdict_is_true(self):
         await self.start()
         await self.run_stages()
-        await self.router_dies()
+        await self.kill_router()
         verdicts = await self.check()
-        self.reached(await self.fleet.counted("faults"), verdicts)
-        lost_then_told = [
+        self.check_coverage(await self.fleet.total_counts("faults"), verdicts)
+        resend_verdicts = [
             answers[-1].verdict
             for call, answers in self.seen
-            if call.key and answers[0] == LOST and answers[-1] != LOST
+            if call.key and answers[0] == LOST_ANSWER and answers[-1] != LOST_ANSWER
         ]
-        self.assertIn("ran", lost_then_told, "a resend gets the first outcome")
-        self.assertIn("may-have-run", lost_then_told)
+        self.assertIn("ran", resend_verdicts, "a resend gets the first outcome")
+        self.assertIn("may-have-run", resend_verdicts)
         print(f"\nseed {SEED}: {len(self.seen)} calls, answers {dict(verdicts)}")
