--- a/packages/commands/src/damaskwind/commands/request_trace.py
+++ b/packages/commands/src/damaskwind/commands/request_trace.py
@@ -46,7 +46,7 @@
 
 
 class LogLine(NamedTuple):
-    """One log line of a process: Unix seconds, the node, the event and the other fields."""
+    """One log line of a process: seconds since 1970, the node, the event and the other fields."""
 
     time_s: float
     node: str
--- a/packages/commands/src/damaskwind/commands/tests/data_path_fleet.py
+++ b/packages/commands/src/damaskwind/commands/tests/data_path_fleet.py
@@ -1,7 +1,7 @@
-"""Routers and stand-ins as real processes, for proofs of the data path.
+"""Routers and stand-ins as real processes, for fault tests of the data path.
 
-What a target counted of its own work is the oracle; an `Answer` is what a
-caller saw of one request, whole, cut or lost.
+The targets' own counts of their work are the oracle. An `Answer` is what a caller received for
+one request: complete, truncated or nothing.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
 
 
 class Answer(NamedTuple):
-    """What a caller got; status 0 when nothing came, `ended` when the body came in order."""
+    """A caller's answer; status 0 if there was none, `is_complete` if the body ended regularly."""
 
     status: int = 0
     verdict: str = ""
@@ -58,7 +58,7 @@
 
 
 def make_configuration(**policy: Any) -> dict[str, Any]:
-    """Return a configuration whose limits are far above what the proofs send."""
+    """Return a configuration whose limits are far above the load of the tests."""
     account = {
         "key_hashes": [hash_key(ACCOUNT_KEY)],
         "priority_class": "normal",
@@ -93,25 +93,25 @@
 
 
 def expected_chat(text: str, size_tokens: int) -> str:
-    """Return the whole answer to a chat of one message."""
+    """Return the expected complete answer to a chat of one message."""
     return expected_answer(1, ModelName("damask", "1"), [Message("user", text)], size_tokens)
 
 
 def stream_text(body: bytes) -> str:
-    """Return the text that a stream carried, whole or not."""
+    """Return the text of a stream, complete or not."""
     events = [line[6:] for line in body.decode().splitlines() if line.startswith("data: {")]
     choices = [json.loads(event).get("choices") or [{}] for event in events]
     return "".join(choice[0].get("delta", {}).get("content") or "" for choice in choices)
 
 
 class DataPathFleet:
-    """The processes of one proof and the callers' side of it."""
+    """The processes of one test, and its callers' requests."""
 
     def __init__(self, reactor: Any, folder: Path) -> None:
         self.harness = Harness(folder)
         self.network = FaultyNetwork(reactor)
         self.folder = folder
-        # A freed port may be another test's by now: nobody else must know these names.
+        # Unique per test, since a freed port may be reused by another test's process.
         self.cluster = f"test-{folder.name}"
         self.announce_key = f"announce-{folder.name}"
         self.routers: dict[str, str] = {}
@@ -123,7 +123,7 @@
     # Processes.
 
     async def start_replicas(self) -> None:
-        """Start three control replicas, which hold the claims, one in each domain."""
+        """Start three control replicas, which store the claims, one in each failure domain."""
         addresses = [f"{name}-{number}" for number, name in enumerate(DOMAINS)]
         links = [self.network.add_link(name, "tcp") for name in addresses]
         self.replicas = [
@@ -149,7 +149,7 @@
         self.network.links[f"{DOMAINS[number]}-{number}"].target = address
 
     def add_unreachable_replicas(self) -> None:
-        """Let routers know of three domains whose replicas nobody can reach, in silence."""
+        """Configure three replicas that are unreachable: their links drop everything."""
         self.replicas = []
         for number, domain in enumerate(DOMAINS):
             link = self.network.add_link(f"absent-{number}", "tcp")
@@ -158,7 +158,7 @@
             self.replicas.append({**row, "failure_domain": domain})
 
     async def start_routers(self, count: int, policy: dict | None = None, **router: Any) -> None:
-        """Start routers that gossip, one after the other in the domains."""
+        """Start routers that gossip with each other, spread over the failure domains."""
         configuration = make_configuration(**(policy or {}))
         path = self.harness.write_settings("configuration", configuration)
         fields = {
@@ -194,7 +194,7 @@
         behind_links: bool = False,
         **announce: Any,
     ) -> None:
-        """Start stand-ins in a process of their own, each behind a link when asked."""
+        """Start stand-ins in one separate process, optionally each behind a link."""
         for one in [*engines, *services] if behind_links else ():
             link = self.network.add_link(one["target_id"], "tcp")
             one["announced_address"] = str(link.address)
@@ -209,16 +209,16 @@
         self.target_count += len(engines) + len(services)
 
     async def wait_until_ready(self, names: list[str] | None = None) -> None:
-        """Wait until the routers are ready and know every target and each other."""
+        """Wait until the routers are ready and know all targets and each other."""
         try:
             await wait_until(lambda: self._all_ready(names), DEADLINE_S, "readiness of the routers")
         except HarnessError as error:
-            # Which of them lacks what tells a slow start from news that don't arrive.
+            # The states distinguish a slow start from updates that don't arrive.
             states = {name: await self.state(name) for name in names or self.routers}
             raise HarnessError(f"{error}; {self.target_count} targets; {states}") from error
 
     async def _all_ready(self, names: list[str] | None) -> bool:
-        """Tell whether the routers are ready and know what there is."""
+        """Return whether the routers are ready and know all targets and routers."""
         states = [await self.state(name) for name in names or self.routers]
         return all(
             state
@@ -229,7 +229,7 @@
         )
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop everything."""
         await self.harness.stop()
         await self.network.stop()
 
@@ -239,19 +239,19 @@
         node |= {"log_format": "json"}
         return node | {"region": "kl-central", "failure_domain": domain}
 
-    # The operators' view and the targets' own.
+    # State as reported by routers and targets.
 
     async def _json(self, method: str, url: str, body: Any = None) -> Any:
-        """Ask for JSON; `None` when there is no answer or a refusal."""
+        """Request JSON; return `None` unless the status is 200."""
         answer = await self.request(method, url, OPERATOR_KEY, json.dumps(body).encode())
         return json.loads(answer.body) if answer.status == 200 else None
 
     async def state(self, router: str) -> dict[str, Any]:
-        """Return a router's own words."""
+        """Return a router's reported state; empty if it does not answer."""
         return await self._json("GET", f"{self.routers[router]}/operator/v1/router") or {}
 
     async def explain(self, router: str, request_id: str) -> dict[str, Any]:
-        """Return the record of a request."""
+        """Return a router's record of a request."""
         path = f"{self.routers[router]}/operator/v1/requests/{request_id}"
         return await self._json("GET", path)
 
@@ -263,39 +263,39 @@
         return counts
 
     async def oracle(self, target: str) -> dict[str, Any]:
-        """Return the counts of one target, asked alone."""
+        """Return the counts of one target, requested only from its process."""
         return (await self._json("GET", f"{self._control_addresses[target]}/oracle"))[target]
 
     def remove_targets(self, *names: str) -> None:
-        """Ask these targets no more: their process was killed."""
+        """Forget targets whose process was killed."""
         for name in names:
             del self._control_addresses[name]
         self.target_count -= len(names)
 
     async def set_routers(self, target: str, routers: list[str]) -> None:
-        """Tell all targets of this one's process where to announce themselves."""
+        """Set the routers to which all targets of this one's process announce themselves."""
         await self._json("POST", f"{self._control_addresses[target]}/routers", {"routers": routers})
 
     def digest_of(self, text: str) -> str:
-        """Return under what engines count a chat of one message in `runs_by_body`."""
+        """Return the key under which engines count a one-message chat in `runs_by_body`."""
         return prefix_chain(ModelName("damask", "1"), [Message("user", text)])[-1]
 
     async def total_counts(self, what: str) -> Counter[str]:
-        """Return one count, such as `runs_by_id`, over all targets."""
+        """Return the sum of one count, such as `runs_by_id`, over all targets."""
         total: Counter[str] = Counter()
         for oracle in (await self.oracles()).values():
             total.update(oracle[what])
         return total
 
     async def arm_fault(self, target: str, fault: str, count: int = 1, share: float = 1.0) -> None:
-        """Arm a fault at a target; an empty one disarms all."""
+        """Arm a fault at a target; an empty name disarms all faults."""
         order = {"fault": fault, "count": count, "share": share}
         await self._json(
             "POST", f"{self._control_addresses[target]}/targets/{target}/faults", order
         )
 
     async def control_target(self, target: str, action: str, **order: Any) -> None:
-        """Let a target leave, flap, stop or come back."""
+        """Make a target leave, flap, stop or restart."""
         path = f"{self._control_addresses[target]}/targets/{target}/life"
         await self._json("POST", path, {"action": action, **order})
 
@@ -304,7 +304,7 @@
     async def request(
         self, method: str, url: str, key: str, body: bytes, headers: dict | None = None
     ) -> Answer:
-        """Send one request on a connection of its own and return what came."""
+        """Send one request on a new connection and return the answer."""
         headers = {"authorization": f"Bearer {key}", **(headers or {})}
         client = treq.client.HTTPClient(self._agent)
         pieces: list[bytes] = []
@@ -334,7 +334,7 @@
         return await self.request("POST", url, ACCOUNT_KEY, body, headers)
 
     async def chat(self, address: str, text: str, size_tokens: int, stream: bool = True) -> Answer:
-        """Ask a chat of one message through a router."""
+        """Send a chat of one message through a router."""
         messages = [{"role": "user", "content": text}]
         body = {"model": "damask", "messages": messages, "max_tokens": size_tokens}
         body["stream"] = stream
--- a/packages/commands/src/damaskwind/commands/tests/data_path_traffic.py
+++ b/packages/commands/src/damaskwind/commands/tests/data_path_traffic.py
@@ -1,4 +1,4 @@
-"""Traffic through all routers, and what its callers check, for proofs of the data path."""
+"""Background traffic through all routers with checked answers, for tests of the data path."""
 
 import asyncio
 import tempfile
@@ -38,7 +38,7 @@
 
 
 class Traffic:
-    """Callers that ask short chats through all routers until they are stopped."""
+    """Callers that send short chats through all routers until stopped."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -61,12 +61,12 @@
         await asyncio.gather(*self._workers)
 
     def reset(self):
-        """Begin to count anew."""
+        """Discard the answers so far."""
         self.answers.clear()
 
 
 class FleetTestCase(TestCase):
-    """A fleet for each test, and the official client."""
+    """A test case with its own fleet and the official OpenAI client."""
 
     timeout = 120
 
@@ -77,7 +77,7 @@
         self.addCleanup(lambda: to_deferred(self.fleet.stop()))
 
     def client(self, router):
-        """Return the official client as it comes."""
+        """Return the official client with its default settings."""
         url = f"http://{self.fleet.routers[router]}/v1"
         client = AsyncOpenAI(api_key=ACCOUNT_KEY, base_url=url)
         self.addCleanup(lambda: to_deferred(client.close()))
@@ -85,10 +85,10 @@
 
 
 class TrafficTestCase(FleetTestCase):
-    """Callers who know their whole answers."""
+    """A test case whose callers know the complete answers to expect."""
 
     def is_complete_answer(self, text, answer, size_tokens=SHORT_TOKENS):
-        """Tell whether a caller got its whole answer; fail when a broken one looks whole."""
+        """Return whether an answer is complete; fail if a broken one looks complete."""
         expected = expected_chat(text, size_tokens)
         if answer.status == 200:
             self.assertTrue(expected.startswith(stream_text(answer.body)), (text, answer))
@@ -99,7 +99,7 @@
         return True
 
     def start_long_streams(self, name, router=None):
-        """Begin long streams through all routers, or one."""
+        """Start long streams through one router, or through all of them."""
         addresses = [self.fleet.routers[router]] if router else list(self.fleet.routers.values())
         texts = [f"{name} {number}" for number in range(LONG_STREAMS)]
         asking = [
@@ -113,7 +113,7 @@
         return (await self.fleet.oracles())[target]["events"].get("run", 0)
 
     async def wait_for_runs(self, target, more_than):
-        """Wait until a target has run more requests than so many."""
+        """Wait until a target has run more than this many requests."""
 
         async def has_run():
             return await self.runs(target) > more_than
@@ -121,7 +121,7 @@
         await wait_until(has_run, 20, f"work at {target}")
 
     async def wait_for_complete_answers(self, traffic, count):
-        """Wait until so many answers in a row were whole."""
+        """Wait until the last `count` answers are complete."""
 
         def all_complete():
             last = traffic.answers[-count:]
@@ -130,7 +130,7 @@
         await wait_until(all_complete, 30, "whole answers again")
 
     async def wait_for_traffic(self, since_s, duration_s, traffic):
-        """Wait for a while in which traffic goes on."""
+        """Wait until the duration has passed and enough answers have arrived."""
         traffic.reset()
         await wait_until(
             lambda: read_clock() > since_s + duration_s and len(traffic.answers) > MIN_ANSWERS,
--- a/packages/commands/src/damaskwind/commands/tests/fault_cluster.py
+++ b/packages/commands/src/damaskwind/commands/tests/fault_cluster.py
@@ -1,8 +1,8 @@
-"""Control replicas and routers as real processes, joined by links that fail.
+"""Control replicas and routers as real processes, connected by faulty links.
 
-Each process reaches each replica over a link of its own, so that one may be cut
-off from all others without a word. Operators ask the replicas directly; what
-they were told is the oracle for what must be there afterwards.
+Each process reaches each replica over a separate link, so that any process can be partitioned
+silently. Operators call the replicas directly; the confirmations they received are the oracle for
+the state afterwards.
 """
 
 import asyncio
@@ -54,11 +54,11 @@
 
 
 class FaultCluster:
-    """The processes, the links between them, and the operators' oracle."""
+    """The processes, the links between them, and the confirmations as oracle."""
 
     def __init__(self, folder: Path, snapshot_every_entries: int = 1000) -> None:
         self.folder = folder
-        # A freed port may be another test's by now: nobody else must know this name.
+        # Unique per test, since a freed port may be reused by another test's process.
         self.cluster = f"test-{folder.name}"
         self.harness = Harness(folder)
         self.network = FaultyNetwork(reactor)
@@ -70,7 +70,7 @@
     # Processes.
 
     async def start_replicas(self) -> None:
-        """Start three replicas, wait until all vote, and let the operators in."""
+        """Start three replicas, wait until all vote, and create the operators."""
         await asyncio.gather(*(self._start_replica(index) for index in range(3)))
         await wait_until(lambda: self.all_vote(REPLICAS), DEADLINE_S, "three voters")
         roles = ["viewer", "planner", "confirmer"]
@@ -81,7 +81,7 @@
         await self.confirm("control-0", plan, FIRST_CHANGE, BOOTSTRAP_KEY)
 
     async def _start_replica(self, index: int) -> None:
-        """Start a replica for the first time and point its links at it."""
+        """Start a replica for the first time and connect its links."""
         name = REPLICAS[index]
         control = {
             "replica_address": ANY_PORT,
@@ -97,7 +97,7 @@
         self._connect_links(name)
 
     async def start_routers(self, count: int) -> list[str]:
-        """Start routers, one after the other in the domains, that all gossip."""
+        """Start routers that gossip with each other, spread over the failure domains."""
         names = [f"router-{number}" for number in range(count)]
         await self.start_router(names[0], DOMAINS[0])
         seeds = [self.harness.processes[names[0]].ready["datagram_address"]]
@@ -111,7 +111,7 @@
         return names
 
     async def start_router(self, name: str, domain: str, seeds: list[str] | None = None) -> None:
-        """Start one router and keep what it enforces in view."""
+        """Start one router and record the revisions that it enforces."""
         router = {
             "http_address": ANY_PORT,
             "datagram_address": ANY_PORT,
@@ -128,11 +128,11 @@
         await self.harness.start_router(name, table)
 
     async def kill(self, *names: str) -> None:
-        """Kill processes as lost VMs would go, all at the same time."""
+        """Kill processes at the same time, as in a loss of their VMs."""
         await asyncio.gather(*(self.harness.processes[name].kill() for name in names))
 
     async def restart(self, *names: str) -> None:
-        """Start processes again that were killed, wherever they listen now."""
+        """Restart killed processes and connect their links to the new addresses."""
         await asyncio.gather(*(self.harness.restart(name) for name in names))
         for name in names:
             self._connect_links(name)
@@ -142,7 +142,7 @@
         shutil.rmtree(self.folder / name)
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop everything."""
         if self._watch_task is not None:
             self._watch_task.cancel()
         await self.harness.stop()
@@ -155,7 +155,7 @@
         return node | {"region": "kl-central", "failure_domain": domain}
 
     def _replica_entries(self, caller: str) -> list[dict[str, Any]]:
-        """Open the links of one process and return the replicas as it reaches them."""
+        """Open the links of a process; return the replicas' settings entries for it."""
         rows = []
         for replica_id, domain in zip(REPLICAS, DOMAINS, strict=True):
             address = str(self._link(f"{caller}>{replica_id}").address)
@@ -164,17 +164,17 @@
         return rows
 
     def _link(self, name: str) -> Any:
-        """Return a link, opened when it is first named."""
+        """Return a link, opening it on first use."""
         if name not in self.network.links:
             self.network.add_link(name, "tcp")
         return self.network.links[name]
 
     def open_links(self, caller: str) -> None:
-        """Open the links of a process that is yet to be started, so that they can be cut."""
+        """Open the links of a process before it starts, so that they can be cut."""
         self._replica_entries(caller)
 
     def _connect_links(self, name: str) -> None:
-        """Let all links to a replica end where it listens, if it does yet."""
+        """Connect all links to a replica to its current address, if it is listening."""
         process = self.harness.processes.get(name)
         if process is not None and "replica_address" in process.ready:
             address = parse_address(process.ready["replica_address"])
@@ -185,26 +185,26 @@
     # Faults.
 
     def cut(self, *pairs: tuple[str, str]) -> None:
-        """Silence the links of these pairs: nothing passes and nothing is reset."""
+        """Partition these pairs silently: their links drop everything without a reset."""
         for name, link in self.network.links.items():
             caller, callee = name.split(">")
             if (caller, callee) in pairs or (callee, caller) in pairs:
                 link.impair(BLACKHOLE)
 
     def isolate(self, name: str, except_to: tuple[str, ...] = ()) -> None:
-        """Silence all links of a replica except those to some processes."""
+        """Partition a replica silently from all processes but some."""
         ends = {end for link in self.network.links for end in link.split(">")}
         self.cut(*((name, end) for end in ends if end != name and end not in except_to))
 
     def refuse(self, caller: str, replica: str, is_refused: bool = True) -> None:
-        """Reset the connections of one process to a replica, until it is accepted again."""
+        """Reset and refuse the connections of a process to a replica, or accept them again."""
         link = self._link(f"{caller}>{replica}")
         link.accepting = not is_refused
         if is_refused:
             link.cut()
 
     def heal(self) -> None:
-        """Let everything pass again."""
+        """Remove all link faults."""
         self.network.heal()
 
     # Operators.
@@ -212,7 +212,7 @@
     async def request(
         self, at: str, method: str, path: str, body: Any = None, key: str = "dw-mei"
     ) -> tuple[int, dict[str, Any]]:
-        """Ask a process, or an address; status 0 when there was no answer."""
+        """Send a request to a process or an address; the status is 0 if there is no answer."""
         process = self.harness.processes.get(at)
         named = process.ready if process is not None else {}
         address = named.get("operator_address") or named.get("http_address") or at
@@ -228,43 +228,43 @@
             return 0, {}
 
     async def plan(self, at: str, intent: dict[str, Any], key: str = "dw-mei") -> str:
-        """Plan an intent and return the plan's id; raise when it was refused."""
+        """Plan an intent and return the plan's id; raise `HarnessError` if it is refused."""
         status, body = await self.request(at, "POST", "/intents", intent, key)
         if status != 200:
             raise HarnessError(f"no plan: {status} {body}")
         return body["plan"]["id"]
 
     async def confirm(self, at: str, plan_id: str, name: str, key: str = "dw-mei") -> Confirmation:
-        """Confirm a plan that must come into force and note what the operator saw."""
+        """Confirm a plan, which must succeed, and record the confirmation."""
         status, body = await self.request(at, "POST", f"/plans/{plan_id}/confirm", {}, key)
         if status != 200:
             raise HarnessError(f"{self._log_tails()}\nnot confirmed: {status} {body}")
         return self.record_confirmation(body, name)
 
     def _log_tails(self) -> str:
-        """Return the end of each replica's log: who led, and what it knew of the others."""
+        """Return the end of each replica's log, which shows leader changes and lost peers."""
         tails = (f"{name}:\n{self.harness.processes[name].log_tail()}" for name in REPLICAS)
         return "\n".join(tails)
 
     def record_confirmation(self, answer: dict[str, Any], name: str) -> Confirmation:
-        """Put a confirmed outcome on the list."""
+        """Record a confirmed outcome, unless it is recorded already."""
         told = Confirmation(answer["outcome"]["revision"], answer["outcome"]["plan_id"], name)
         if told not in self.confirmed:
             self.confirmed.append(told)
         return told
 
     async def add_viewer(self, at: str, name: str) -> Confirmation:
-        """Add a viewer of this name."""
+        """Add a viewer with this name."""
         return await self.confirm(at, await self.plan(at, viewer_intent(name)), name)
 
     async def add_viewer_with_resends(self, at: str, name: str) -> Confirmation:
-        """Add a viewer, and send again what ends with an unknown outcome, which is safe."""
+        """Add a viewer; requests with an unknown outcome are resent, which is safe."""
         planned = await self._request_until_known(at, "/intents", viewer_intent(name))
         path = f"/plans/{planned['plan']['id']}/confirm"
         return self.record_confirmation(await self._request_until_known(at, path, {}), name)
 
     async def _request_until_known(self, at: str, path: str, body: Any) -> dict[str, Any]:
-        """Ask one replica until its answer is known; raise when it is a refusal."""
+        """Send a request to a replica until the outcome is known; raise if it is refused."""
         until_s = read_clock() + DEADLINE_S
         while True:
             status, answer = await self.request(at, "POST", path, body)
@@ -275,14 +275,14 @@
             await asyncio.sleep(RESEND_INTERVAL_S)
 
     async def add_viewer_anywhere(self, ats: tuple[str, ...], name: str) -> Confirmation:
-        """Add a viewer as an operator would who asks again and elsewhere until it is told."""
+        """Add a viewer, retrying at these replicas in turn until it is confirmed."""
         plan_id = await wait_until(lambda: self._try_plan(ats, name), DEADLINE_S, "a plan")
         return await wait_until(
             lambda: self._try_confirm(ats, plan_id, name), DEADLINE_S, "a confirmation"
         )
 
     async def _try_plan(self, ats: tuple[str, ...], name: str) -> str | None:
-        """Plan at the first replica that does."""
+        """Plan at the first replica that succeeds; `None` if none does."""
         for at in ats:
             status, body = await self.request(at, "POST", "/intents", viewer_intent(name))
             if status == 200:
@@ -292,17 +292,17 @@
     async def _try_confirm(
         self, ats: tuple[str, ...], plan_id: str, name: str
     ) -> Confirmation | None:
-        """Confirm at the first replica that does."""
+        """Confirm at the first replica that succeeds; `None` if none does."""
         for at in ats:
             status, body = await self.request(at, "POST", f"/plans/{plan_id}/confirm", {})
             if status == 200:
                 return self.record_confirmation(body, name)
         return None
 
-    # What is to be seen.
+    # Observed state.
 
     async def replica_status(self, at: str) -> dict[str, Any]:
-        """Return a replica's own words, with the revision that it holds."""
+        """Return a replica's reported status and revision; empty if it does not answer."""
         status, body = await self.request(at, "GET", "/status")
         if status == 401:
             status, body = await self.request(at, "GET", "/status", key=BOOTSTRAP_KEY)
@@ -311,7 +311,7 @@
         return {**body["replica"], "revision": body["revision"], "routers": body["routers"]}
 
     async def all_vote(self, ats: tuple[str, ...]) -> bool:
-        """Tell whether these replicas say that there are three voters and one leader."""
+        """Return whether these replicas report three voters and the same leader."""
         told = [await self.replica_status(at) for at in ats]
         leaders = {each.get("leader") for each in told}
         return all(len(each.get("voters", ())) == 3 and not each["learners"] for each in told) and (
@@ -319,34 +319,34 @@
         )
 
     async def leader(self, ats: tuple[str, ...] = REPLICAS) -> str:
-        """Return the leader on which these replicas agree."""
+        """Wait until these replicas agree on a leader; return it."""
         await wait_until(lambda: self.all_vote(ats), DEADLINE_S, "a leader")
         return (await self.replica_status(ats[0]))["leader"]
 
     async def have_leader_among(self, ats: tuple[str, ...]) -> bool:
-        """Tell whether one of these replicas leads and all of them know it."""
+        """Return whether these replicas agree on a leader that is one of them."""
         named = {(await self.replica_status(at)).get("leader") for at in ats}
         return len(named) == 1 and named <= set(ats)
 
     async def router_state(self, name: str) -> dict[str, Any]:
-        """Return a router's own words; empty while it lets no operator in."""
+        """Return a router's reported state; empty while it accepts no operators."""
         status, body = await self.request(name, "GET", "/router")
         return body if status == 200 else {}
 
     async def is_in_force(self, names: list[str], revision: int) -> bool:
-        """Tell whether these routers enforce at least a revision."""
+        """Return whether these routers enforce at least this revision."""
         states = await asyncio.gather(*(self.router_state(name) for name in names))
         return all(state.get("revision_in_force", 0) >= revision for state in states)
 
     async def wait_in_force(self, names: list[str], revision: int) -> float:
-        """Wait until these routers enforce a revision; return how long it took."""
+        """Wait until these routers enforce a revision; return the seconds it took."""
         started_s = read_clock()
         what = f"revision {revision} in force"
         await wait_until(lambda: self.is_in_force(names, revision), DEADLINE_S, what)
         return read_clock() - started_s
 
     async def _watch_routers(self) -> None:
-        """Note over and over what each router enforces."""
+        """Record the revisions that each router enforces, by polling."""
         while True:
             for name, seen in list(self.observed_revisions.items()):
                 process = self.harness.processes.get(name)
@@ -358,13 +358,13 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def applied_revisions(self, name: str) -> list[int]:
-        """Return every revision that a router ever put in force, from its log."""
+        """Return every revision that a router has applied, from its log."""
         lines = self.harness.processes[name].log_path.read_text(encoding="utf-8").splitlines()
         events = [json.loads(line) for line in lines if APPLIED in line]
         return [event["revision"] for event in events if event["event"] == APPLIED]
 
     async def trail(self, at: str) -> list[AuditEntry]:
-        """Return a replica's whole audit trail."""
+        """Return a replica's complete audit trail."""
         entries: list[AuditEntry] = []
         while True:
             after = entries[-1].sequence if entries else 0
@@ -376,13 +376,13 @@
             entries += [decode_entry(raw) for raw in body["entries"]]
 
     async def find_faults_at(self, at: str) -> list[str]:
-        """Compare what a replica shows with all that the operators were told."""
+        """Compare a replica's state with all confirmations; return the differences."""
         _status, body = await self.request(at, "GET", "/configuration?kind=operators")
         entries = await self.trail(at)
         return [f"{at}: {fault}" for fault in outcome_faults(self.confirmed, body, entries)]
 
     async def find_faults(self, ats: tuple[str, ...] = REPLICAS) -> list[str]:
-        """Name all that replicas and routers show amiss, once the replicas have caught up."""
+        """Wait for the replicas to catch up; return all faults of replicas and routers."""
         last = self.confirmed[-1].revision
 
         async def caught_up() -> bool:
@@ -404,7 +404,7 @@
 
 
 class FaultTestCase(TestCase):
-    """A test with a cluster of its own, which is ended with the test."""
+    """A test case with its own cluster, which is stopped after the test."""
 
     timeout = 150
     snapshot_every_entries = 1000
--- a/packages/commands/src/damaskwind/commands/tests/fault_oracle.py
+++ b/packages/commands/src/damaskwind/commands/tests/fault_oracle.py
@@ -1,4 +1,4 @@
-"""What operators were told, and what is then amiss in what a replica shows."""
+"""Confirmations received by operators, and checks of a replica's state against them."""
 
 from collections.abc import Sequence
 from itertools import pairwise
@@ -30,12 +30,12 @@
 
 
 def viewer_intent(name: str) -> dict[str, Any]:
-    """Return the intent that adds an operator who may only look."""
+    """Return the intent that adds an operator with read access only."""
     return {"operators": {name: {"key_hash": hash_key(f"dw-{name}"), "roles": ["viewer"]}}}
 
 
 def find_decreases(revisions: Sequence[int]) -> list[tuple[int, int]]:
-    """Return each revision that a lower one followed, with that one.
+    """Return each pair of successive revisions in which the second is lower.
 
     >>> descents([1, 2, 2, 1, 3])
     [(2, 1)]
@@ -46,7 +46,7 @@
 def outcome_faults(
     confirmed: Sequence[Confirmation], shown: dict[str, Any], trail: Sequence[AuditEntry]
 ) -> list[str]:
-    """Name every outcome that is lost, doubled, out of order or was never told."""
+    """Return every outcome that is lost, duplicated, out of order or never confirmed."""
     viewers = shown["operators"].keys() - set(OPERATORS)
     named = [told.name for told in confirmed if told.name != FIRST_CHANGE]
     faults = [f"'{name}' is lost" for name in named if name not in viewers]
--- a/packages/commands/src/damaskwind/commands/tests/test_daemon.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Tests of the daemon's command line, run as a real process."""
+"""Tests of the daemon's command line in a separate process."""
 
 import subprocess
 import sys
--- a/packages/commands/src/damaskwind/commands/tests/test_demonstration.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_demonstration.py
@@ -1,4 +1,4 @@
-"""Test of the demonstration, run as its users run it."""
+"""Test of the demonstration, run through its command line."""
 
 import re
 import subprocess
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control.py
@@ -1,6 +1,6 @@
-"""Proof with real processes: a leader that is cut off in silence.
+"""Fault test with real processes: a silently partitioned leader.
 
-Delays are printed, never asserted: the machine that runs this may be busy.
+Delays are printed but not asserted, since the machine may be busy.
 """
 
 from damaskwind.commands.tests.fault_cluster import (
@@ -16,10 +16,10 @@
 
 
 class SilentLeaderTest(FaultTestCase):
-    """Three replicas and eight routers, one of them alone with the leader."""
+    """Three replicas and eight routers, one of which is partitioned together with the leader."""
 
     async def has_stepped_down(self, leader):
-        """Tell whether a replica has ceased to call itself current or leader."""
+        """Return whether a replica reports neither to be current nor to lead."""
         told = await self.cluster.replica_status(leader)
         return not told["is_current"] and told["role"] != "leader"
 
@@ -30,7 +30,7 @@
         leader = await cluster.leader()
         others = tuple(name for name in REPLICAS if name != leader)
         routers = await cluster.start_routers(7)
-        # Without gossip: whatever it learns comes over a stream of a replica.
+        # It does not gossip, so it learns everything from a replica's stream.
         await cluster.start_router("stranded", DOMAINS[REPLICAS.index(leader)])
         before = await cluster.add_viewer(others[0], "before")
         await cluster.wait_in_force([*routers, "stranded"], before.revision)
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_disks.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_disks.py
@@ -1,4 +1,4 @@
-"""Proof with real processes: a lost disk, and a second VM lost right after its repair."""
+"""Fault tests with real processes: a lost disk, and a second VM lost right after its repair."""
 
 import asyncio
 import signal
@@ -17,12 +17,12 @@
 
 
 class LostDiskTest(FaultTestCase):
-    """Three replicas with snapshots, so that a newcomer gets both snapshot and log."""
+    """Three replicas with snapshots, so that a new member receives both snapshot and log."""
 
     snapshot_every_entries = 15
 
     async def identity_of(self, name, at):
-        """Return the identity under which a replica votes, as another one says."""
+        """Return the identity under which a replica votes, as reported by another one."""
         voters = (await self.cluster.replica_status(at)).get("voters", ())
         return {voter["replica_id"]: voter["identity"] for voter in voters}.get(name)
 
@@ -39,7 +39,7 @@
         cluster.lose_disk(lost)
         await cluster.add_viewer_anywhere((leader, other), "while-away")
 
-        # Without its disk one VM counts for nothing: a second one may not be lost now.
+        # The VM without its disk does not count, so the loss of a second one loses the majority.
         plan_id = await cluster.plan(other, viewer_intent("refused"))
         await cluster.kill(leader)
         status, body = await cluster.request(other, "POST", f"/plans/{plan_id}/confirm", {})
@@ -61,11 +61,11 @@
 
     @asyncio_test
     async def test_changes_while_leaders_are_starved_are_known_when_sent_again(self):
-        """A change of a fresh cluster ended as "the outcome is not known yet" on a busy machine.
+        """Changes whose leader loses its lease end with "the outcome is not known yet".
 
-        A leader that gets no processor for longer than its lease loses it with a change in hand,
-        which is then answered 504 and is safe to send again: one of sixty changes with six
-        leaders stopped for 1.6 s each. The changes that only fill the log are sent again since.
+        A leader without processor time for longer than its lease loses it during a change, which is
+        then answered 504 and is safe to resend: one of sixty changes, with six leaders stopped for
+        1.6 s each. So changes that only fill the log are resent.
         """
         cluster = self.cluster
         await cluster.start_replicas()
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
@@ -1,4 +1,4 @@
-"""Proof with real processes: a failure domain that is cut off, with routers in it."""
+"""Fault test with real processes: a partitioned failure domain with routers in it."""
 
 import treq
 
@@ -13,31 +13,31 @@
     """Three replicas; routers gossip within their own failure domain only."""
 
     async def is_ready(self, name):
-        """Tell whether a router would be given requests by the balancer."""
+        """Return whether a router passes the balancer's readiness check."""
         address = self.cluster.harness.processes[name].ready["http_address"]
         answer = await to_future(treq.get(f"http://{address}/readyz", persistent=False))
         return answer.code == 200
 
     async def is_behind(self, name):
-        """Tell whether a router says that it may be behind."""
+        """Return whether a router reports that it may be behind."""
         return (await self.cluster.router_state(name)).get("may_be_behind")
 
     async def has_lost_majority(self, replica):
-        """Tell whether a replica that is cut off has noticed: its belief lasts for a second."""
+        """Return whether a partitioned replica has noticed, which takes a second."""
         return not (await self.cluster.replica_status(replica))["is_current"]
 
     async def has_recent_report(self, replica, router, revision):
-        """Tell whether a router that enforces a revision has just reported to a replica."""
+        """Return whether a replica has a recent report of a router that enforces a revision."""
         routers = (await self.cluster.replica_status(replica))["routers"]
         just_now = [each for each in routers if each["age_s"] < JUST_NOW_S]
         return (router, revision) in [(each["router_id"], each["revision"]) for each in just_now]
 
     async def cut_off(self, domain):
-        """Cut the replica of a domain off first, then the rest, so that it knows the least."""
+        """Partition a domain, its replica first, so that the replica is behind its routers."""
         cluster = self.cluster
         replica = REPLICAS[DOMAINS.index(domain)]
         others = tuple(name for name in REPLICAS if name != replica)
-        # Reset rather than silent, so that the router turns to the others at once.
+        # Reset instead of silent, so that the router switches to another replica at once.
         cluster.refuse("inside", replica)
         cluster.isolate(replica, except_to=("inside", "newcomer"))
         known = await cluster.add_viewer_anywhere(others, "known-inside")
@@ -60,7 +60,7 @@
         told = await cluster.replica_status(replica)
         self.assertLess(told["revision"], known.revision)
         await wait_until(
-            lambda: self.has_lost_majority(replica), DEADLINE_S, "a replica that vouches no more"
+            lambda: self.has_lost_majority(replica), DEADLINE_S, "a replica without a majority"
         )
 
         seeds = [cluster.harness.processes["inside"].ready["datagram_address"]]
@@ -71,12 +71,16 @@
         await cluster.wait_in_force(["newcomer"], known.revision)
         self.assertEqual(cluster.applied_revisions("newcomer"), [known.revision])
         self.assertTrue(await self.is_behind("newcomer"))
-        await wait_until(lambda: self.is_ready("newcomer"), DEADLINE_S, "a newcomer that serves")
-        await wait_until(lambda: self.is_behind("inside"), DEADLINE_S, "word of the cut")
+        await wait_until(
+            lambda: self.is_ready("newcomer"), DEADLINE_S, "a new router that is ready"
+        )
+        await wait_until(
+            lambda: self.is_behind("inside"), DEADLINE_S, "a router that reports the partition"
+        )
         await wait_until(
             lambda: self.has_recent_report(replica, "inside", known.revision),
             DEADLINE_S,
-            "the router that follows a replica behind itself",
+            "a report of a router that is ahead of its replica",
         )
         self.assertTrue(await self.is_ready("inside"))
         state = await cluster.router_state("inside")
@@ -87,10 +91,12 @@
         await cluster.wait_in_force(names, unknown.revision)
         for name in names:
             await wait_until(
-                lambda name=name: self.is_sure(name), DEADLINE_S, "routers sure of being current"
+                lambda name=name: self.is_sure(name),
+                DEADLINE_S,
+                "routers that report to be current",
             )
         self.assertEqual(await cluster.find_faults(), [])
 
     async def is_sure(self, name):
-        """Tell whether a router says that it is current."""
+        """Return whether a router reports that it is current."""
         return (await self.cluster.router_state(name)).get("may_be_behind") is False
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_operators.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_operators.py
@@ -1,4 +1,4 @@
-"""Proofs with real processes: operators who race, and one who loses an answer."""
+"""Fault tests with real processes: concurrent operators, and a lost answer to an operator."""
 
 import asyncio
 
@@ -17,10 +17,10 @@
 
 
 class OperatorsTest(FaultTestCase):
-    """Three replicas, and operators who race or lose an answer."""
+    """Three replicas, with operators that race or lose an answer."""
 
     async def race(self, number):
-        """Let two operators plan on one revision and confirm at once, through two replicas."""
+        """Let two operators plan on the same revision and confirm concurrently at two replicas."""
         cluster = self.cluster
         sides = []
         for operator, at in (("mei", REPLICAS[number % 3]), ("anis", REPLICAS[(number + 1) % 3])):
@@ -52,7 +52,7 @@
         self.assertEqual(await self.cluster.find_faults(), [])
 
     async def confirm_with_lost_answer(self, at, name):
-        """Confirm through a link that passes the request on and no answer back."""
+        """Confirm through a link that forwards the request and drops the answer."""
         cluster = self.cluster
         target = cluster.harness.processes[at].ready["operator_address"]
         plan_id = await cluster.plan(at, viewer_intent(name))
@@ -65,14 +65,14 @@
             _status, body = await cluster.request(at, "GET", f"/plans/{plan_id}")
             return "outcome" in body
 
-        await wait_until(is_closed, DEADLINE_S, "the confirmation to be taken")
+        await wait_until(is_closed, DEADLINE_S, "the confirmation to be committed")
         self.assertFalse(lost.done())
         link.cut()
         self.assertEqual(await lost, (0, {}))
         return plan_id
 
     async def resend(self, at, plan_id, name):
-        """Resend a confirmation, which must give the first outcome."""
+        """Resend a confirmation, which must return the first outcome."""
         path = f"/plans/{plan_id}/confirm"
         status, body = await self.cluster.request(at, "POST", path, {})
         self.assertEqual((status, body.get("repeated")), (200, True), body)
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_restart.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_restart.py
@@ -1,4 +1,4 @@
-"""Proof with real processes: kill -9 of everything, then a restart.
+"""Fault test with real processes: `kill -9` of everything, then a restart.
 
 `benchmarks/control_restart.py` does the same after 1,000 changes.
 """
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_answers.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_answers.py
@@ -1,7 +1,7 @@
-"""Proof with real processes: crossed, late, cut and short answers reach nobody as whole.
+"""Fault test with real processes: no broken answer of a target reaches a caller as complete.
 
-Many callers at once, each with a text of its own, so that each knows the whole
-answer that it must get; the targets break their answers by seeded draws.
+Answers are mixed up, late, truncated or too short, by seeded draws at the targets. Many concurrent
+callers each send a unique text, so that each knows the complete answer to expect.
 """
 
 import asyncio
@@ -27,8 +27,8 @@
 UNLIMITED_COUNT = 1_000_000
 ENGINES = ("engine-0", "engine-1")
 SERVICES = ("edge-0", "edge-1")
-# A late answer's bytes that come inside a body with too great a length make it whole on the
-# wire, which nobody between could see. So the two kinds are not shown on one connection.
+# The bytes of a late answer can complete a body whose announced length is too large, which no
+# proxy can detect. So these two kinds of faults are not combined on one connection.
 SHORT = ("cut_answer", "wrong_length", "others_id", "reset_after_read", "no_end_marker")
 LATE = ("late_extra", "others_id", "reset_after_read", "no_end_marker")
 FAULTS = frozenset(SHORT + LATE)
@@ -47,7 +47,7 @@
         self.outcomes = Counter()
 
     async def start(self):
-        """Start two routers over two engines and two services that break their answers."""
+        """Start two routers, two engines and two services that break their answers."""
         fleet = self.fleet
         await fleet.start_routers(2, policy={"load_factor": 4.0, "ejection_share": 0.0})
         engines = [{"target_id": name, "token_interval_s": 0.005} for name in ENGINES]
@@ -56,14 +56,14 @@
         await fleet.wait_until_ready()
 
     async def arm_all(self, faults):
-        """Let all targets show these faults and no others."""
+        """Arm these faults, and no others, at all targets."""
         for target in (*ENGINES, *SERVICES):
             await self.fleet.arm_fault(target, "")
             for fault in faults:
                 await self.fleet.arm_fault(target, fault, UNLIMITED_COUNT, FAULT_PROBABILITY)
 
     def check_failure(self, what, answer):
-        """Check that an answer that isn't whole says so."""
+        """Check that an incomplete answer is recognizable as such."""
         self.outcomes[f"{what} failed"] += 1
         if answer.status != 200:
             self.assertGreaterEqual(answer.status, 500, answer)
@@ -74,7 +74,7 @@
         self.assertFalse(answer.is_complete, answer)
 
     async def stream(self, address, name):
-        """Ask for a stream: whole and the caller's own, or cut without an end."""
+        """Request a stream; it must be complete and the caller's own, or visibly truncated."""
         text = f"stream {name}"
         answer = await self.fleet.chat(address, text, SIZE_TOKENS)
         expected = expected_chat(text, SIZE_TOKENS)
@@ -93,7 +93,7 @@
         self.outcomes["stream whole"] += 1
 
     async def whole(self, address, name):
-        """Ask for a whole answer to a chat."""
+        """Request a chat answer without streaming."""
         text = f"whole {name}"
         answer = await self.fleet.chat(address, text, SIZE_TOKENS, stream=False)
         if answer.status != 200 or not answer.is_complete:
@@ -122,7 +122,7 @@
         await self.service(address, name, LARGE_BYTES)
 
     async def caller(self, number, phase):
-        """Ask for everything in turn, over and over, at both routers."""
+        """Send all kinds of requests in turn, alternating between the routers."""
         addresses = list(self.fleet.routers.values())
         kinds = (self.stream, self.whole, self.service, self.large)
         for turn in range(ROUNDS):
@@ -130,7 +130,7 @@
             await kinds[(number // 2 + turn) % len(kinds)](address, f"{phase} {number}/{turn}")
 
     async def check_counts(self):
-        """Check that the targets ran no call twice and that every fault was shown."""
+        """Check that the targets ran no call twice and that every fault occurred."""
         by_body = await self.fleet.total_counts("runs_by_body")
         for number in range(CALLERS):
             for phase, turn, size_bytes in product(PHASES, range(ROUNDS), (0, LARGE_BYTES)):
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_chats.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_chats.py
@@ -1,4 +1,4 @@
-"""Proof with real processes: a chat through eight routers in turn finds its cache."""
+"""Test with real processes: a chat through eight routers in turn hits its prefix cache."""
 
 from damaskwind.commands.tests.data_path_fleet import (
     DOMAINS,
@@ -43,8 +43,8 @@
         for number in range(TURNS):
             messages.append({"role": "user", "content": f"turn {number} of a long talk"})
             router = f"router-{number % 8}"
-            # On a starved machine an engine may announce itself later than its lease
-            # lasts; a router that has dropped it for that moment is no subject here.
+            # On a busy machine an engine may renew its lease too late. A router that has dropped
+            # it for that moment is not what this test checks.
             await fleet.wait_until_ready([router])
             text, usage, request_id = await self.turn(router, messages)
             asked = [Message(one["role"], one["content"]) for one in messages]
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_domains.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_domains.py
@@ -1,7 +1,7 @@
-"""Proof with real processes: behind a cut, a failure domain serves with what it has.
+"""Fault test with real processes: a partitioned failure domain serves with its own targets.
 
-The cut is the others' silence: their routers and targets are stopped in the
-middle of whatever they do, and nobody answers for the claim holders.
+The partition is simulated by silence: the routers and targets of the other domains are stopped
+with SIGSTOP, and the claim holders are unreachable.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
         await fleet.wait_until_ready()
         names = ("router-1", "router-2", "targets-1", "targets-2")
         away = [fleet.harness.processes[name] for name in names]
-        # Silence from all other domains, as behind a cut: their processes just stop.
+        # The other domains fall silent, as in a partition.
         for process in away:
             process.send(signal.SIGSTOP)
         try:
@@ -45,7 +45,7 @@
             self.assertTrue(self.is_complete_answer(f"healed {router}", answer), answer)
 
     async def serve_alone(self):
-        """Check that the one router left serves with the targets of its domain."""
+        """Check that the remaining router serves with the targets of its domain."""
         fleet, address = self.fleet, self.fleet.routers["router-0"]
         at_once = [fleet.chat(address, f"early {n}", SHORT_TOKENS) for n in range(CUT_OFF_CHATS)]
         for number, answer in enumerate(await asyncio.gather(*at_once)):
@@ -54,7 +54,7 @@
         async def is_alone():
             return (await fleet.state("router-0"))["routers"] == ["router-0"]
 
-        await wait_until(is_alone, 20, "a router that knows that it is alone")
+        await wait_until(is_alone, 20, "a router that sees no other routers")
         self.assertTrue((await fleet.state("router-0"))["ready"])
         for number in range(CUT_OFF_CHATS):
             answer = await fleet.chat(address, f"alone {number}", SHORT_TOKENS)
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
@@ -1,4 +1,4 @@
-"""Proof with real processes: a router that is told to stop cuts nothing and takes nothing new."""
+"""Test with real processes: a draining router finishes its streams and accepts nothing new."""
 
 import asyncio
 import json
@@ -13,10 +13,10 @@
 
 STREAMS = 200
 STREAM_TOKENS = 160
-# Streams of 40 s outlast the drain delay also where all two hundred take half a minute to begin.
+# Streams of 40 s outlast the drain delay even if starting all two hundred takes half a minute.
 TOKEN_S = 0.25
 PROBE_S = 0.02
-# A balancer waits no longer than this for an answer.
+# The balancer's timeout for an answer.
 PROBE_LIMIT_S = 10.0
 
 
@@ -30,7 +30,7 @@
         texts.append(text)
 
     async def one_stream(self, client, number, begun, texts):
-        """Begin a stream and read it to its end."""
+        """Start a stream and read it to its end."""
         stream = await client.chat.completions.create(
             model="damask",
             messages=[{"role": "user", "content": f"stream {number}"}],
@@ -40,10 +40,10 @@
         await self.read_stream(stream, begun, texts)
 
     def probe(self, router, told):
-        """Ask for readiness, as the platform's balancer does, until nobody listens.
+        """Check readiness like the platform's balancer, until the listener is closed.
 
-        In a thread of its own: beside two hundred streams that this process reads, a probe
-        of the same loop waited 24.8 s for its turn on a starved machine, longer than the drain.
+        Runs in its own thread: on the event loop that reads two hundred streams, a check waited
+        24.8 s on a busy machine, longer than the drain.
         """
         while told[-1:] != [0]:
             status = self.readiness(self.fleet.routers[router])
@@ -52,7 +52,7 @@
             sleep(PROBE_S)
 
     def readiness(self, address):
-        """Return the status of one probe; 0 when nobody takes or answers it."""
+        """Return the status of one readiness check; 0 if it is refused or not answered."""
         connection = HTTPConnection(address, timeout=PROBE_LIMIT_S)
         try:
             connection.request("GET", "/readyz")
@@ -63,7 +63,7 @@
             connection.close()
 
     async def open_connection(self, router):
-        """Open a connection by hand, which stays open after its answer."""
+        """Open a raw connection, which stays open after an answer."""
         host, port = self.fleet.routers[router].split(":")
         return await asyncio.open_connection(host, int(port))
 
@@ -105,7 +105,7 @@
         self.assertEqual(told, [200, 503, 0], "readiness fails first, then the listener closes")
         self.assertIsNone(router.exit_code)
         before = (await fleet.total_counts("events"))["run"]
-        # One connection idle, one with an answer in progress: neither brings new work.
+        # Neither an idle connection nor one with an answer in progress may bring a new request.
         idle_writer.write(self.raw_chat("new on an idle one", 1))
         busy_writer.write(self.raw_chat("new behind a stream", 1))
         self.assertEqual(await asyncio.wait_for(idle.read(), 20), b"")
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_leaving.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_leaving.py
@@ -1,7 +1,7 @@
-"""Proof with real processes: who leaves gets no new work, also when nobody hears the leave.
+"""Fault test with real processes: leaving targets get no new requests, even if the leave is lost.
 
-Traffic goes on through all routers meanwhile; the engines note what came to
-them after they began to leave.
+Traffic continues through all routers; the engines record the requests that arrive after they
+started to leave.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from damaskwind.runtime.bridge import asyncio_test
 from damaskwind.runtime.clock import read_clock
 
-# Small domains keep no lease much shorter: see `lease_floor_s` of the membership.
+# Small domains don't allow a much shorter lease; see `lease_floor_s` of the membership.
 LEASE_S = 10.0
 PROPAGATION_S = 2.0
 OBSERVED_S = LEASE_S + 4.0
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
@@ -1,7 +1,7 @@
-"""Proof with real processes: engines that flap or die, a router that is lost.
+"""Fault test with real processes: engines that flap or are killed, and a lost router.
 
-Traffic goes on meanwhile. Each caller knows its whole answer, so that what is
-lost is told from what must go on.
+Traffic continues meanwhile. Each caller knows its complete answer, which distinguishes answers
+that may be lost from those that must continue.
 """
 
 import asyncio
@@ -80,7 +80,7 @@
         self.assertEqual(max((await fleet.total_counts("runs_by_id")).values()), 1)
 
     def all_at_engines(self, texts):
-        """Return a condition: so many long streams run at the engines."""
+        """Return a condition that holds when all of these streams run at the engines."""
 
         async def holds():
             total_counts = await self.fleet.total_counts("runs_by_body")
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_once.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_once.py
@@ -1,8 +1,8 @@
-"""Proof with real processes: no call runs twice, whatever breaks at whichever stage.
+"""Fault test with real processes: no call runs twice, whichever stage of it fails.
 
-Callers send calls that are not idempotent through routers in three failure
-domains, with and without a key, while links, targets and callers break by a
-seeded schedule. What the services counted is the oracle.
+Callers send calls that are not idempotent through routers in three failure domains, with and
+without an idempotency key, while links, targets and callers fail by a seeded schedule. The
+services' counts are the oracle.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 
 class Call(NamedTuple):
-    """One call that a caller wants done, by its unique body."""
+    """One call, identified by its unique body."""
 
     body: bytes
     key: str
@@ -46,7 +46,7 @@
 
 
 class Seen(NamedTuple):
-    """A call and what its caller got: the first answer, then those to resends."""
+    """A call and its answers: the first one, then those to resends."""
 
     call: Call
     answers: list[Answer]
@@ -64,7 +64,7 @@
         self.seen: list[Seen] = []
 
     async def start(self):
-        """Start the holders, three routers and three services behind links."""
+        """Start the claim holders, three routers and three services behind links."""
         fleet = self.fleet
         await fleet.start_replicas()
         await fleet.start_routers(3, policy={"ejection_base_s": 0.5, "retry_share": 0.5})
@@ -79,7 +79,7 @@
         await wait_until(self.grants_keys, 40, "holders that grant keys")
 
     async def grants_keys(self):
-        """Tell whether each router gets a majority of holders."""
+        """Return whether each router reaches a majority of the claim holders."""
         answers = [
             await self.fleet.call(address, b"warm-%d" % number, f"warm-{number}")
             for number, address in enumerate(self.fleet.routers.values())
@@ -87,18 +87,18 @@
         return all(answer.status == 200 for answer in answers)
 
     def make_call(self, stage, number, query):
-        """Draw a call: with or without a key, through the routers in a drawn order."""
+        """Make a call with or without a key, through the routers in random order."""
         name = f"{stage}-{number}"
         routers = self.random.sample(sorted(self.fleet.routers), 3)
         key = f"key-{name}" if number % 2 else ""
         return Call(name.encode(), key, query, tuple(routers))
 
     def should_resend(self, answer):
-        """Tell whether a caller with a key would ask again."""
+        """Return whether a caller with a key resends after this answer."""
         return not answer.is_complete or answer.status >= 409
 
     async def send_call(self, call, through_links=False):
-        """Send a call; with a key also again, through the other domains' routers."""
+        """Send a call; one with a key is resent through the other domains' routers."""
         first = self.fleet.routers[call.routers[0]]
         if through_links:
             first = str(self.fleet.network.links[f"caller>{call.routers[0]}"].address)
@@ -110,7 +110,7 @@
         self.seen.append(Seen(call, answers))
 
     async def stage(self, name, query="", through_links=False, breaking=None):
-        """Send a stage's calls in a few lanes, while `breaking` goes on."""
+        """Send the calls of a stage with a few workers, while `breaking` runs."""
         calls = [self.make_call(name, number, query) for number in range(CALLS_PER_STAGE)]
         stop = asyncio.ensure_future(breaking()) if breaking else None
 
@@ -126,14 +126,14 @@
         self.fleet.network.heal()
 
     async def cut_callers(self, names):
-        """Reset what callers have open, more often than a slow call takes."""
+        """Reset the callers' connections at intervals shorter than a slow call."""
         while True:
             await asyncio.sleep(self.random.uniform(0.05, 0.8 * SLOW_S))
             for name in names:
                 self.fleet.network.links[name].cut()
 
     async def drop_sent_answers(self, names):
-        """Hold all answers to callers back, and reset once the routers have given them."""
+        """Drop all answers to callers, and reset the links once the routers have sent them."""
         links = [self.fleet.network.links[name] for name in names]
 
         async def are_idle():
@@ -149,7 +149,7 @@
                 link.cut()
 
     async def refuse_intermittently(self):
-        """Let links refuse and reset for a while, so that nothing gets through."""
+        """Let random links reset and refuse connections for short periods."""
         links = [self.fleet.network.links[name] for name in SERVICES]
         try:
             while True:
@@ -163,7 +163,7 @@
                 link.accepting = True
 
     async def lose_answers(self, names):
-        """Let calls through and hold their answers back, then reset."""
+        """Forward calls but drop their answers, then reset the links."""
         links = [self.fleet.network.links[name] for name in names]
         while True:
             link = self.random.choice(links)
@@ -178,14 +178,14 @@
             await self.fleet.arm_fault(target, fault, count)
 
     async def run_stages(self):
-        """Break every stage of a call in turn."""
+        """Break each stage of a call in turn."""
         callers = [f"caller>{name}" for name in self.fleet.routers]
         await self.stage("unbroken")
         await self.arm_all("refuse", 4)
         await self.stage("refused")
         await self.stage("before-send", breaking=self.refuse_intermittently)
-        # As many as there are calls: with two a service, the calls without a key, which wait
-        # for no claim, met all the resets of two services, and those with one none (3 of 14).
+        # As many as there are calls: with two per service, the calls without a key, which wait for
+        # no claim, took all the resets of two services and those with a key none (3 of 14).
         await self.arm_all("reset_after_read", CALLS_PER_STAGE)
         await self.stage("after-send")
         await self.stage(
@@ -208,7 +208,7 @@
         )
 
     async def kill_router(self):
-        """Kill a router while it waits for answers; callers resend through the others."""
+        """Kill a router that waits for answers; callers resend through the others."""
         calls = [self.make_call("killed", number, "?delay_s=1") for number in range(6)]
         calls = [
             call._replace(routers=("router-2", "router-0", "router-1"), key=f"key-{call.body}")
@@ -225,13 +225,13 @@
         await asyncio.gather(*doing)
 
     def is_expected_answer(self, call, answer):
-        """Tell whether an answer is the one that this call must get."""
+        """Return whether an answer is the expected one for this call."""
         size_bytes = LARGE_BYTES if "size_bytes" in call.query else 0
         expected = expected_service_answer(1, "POST", "/tags", call.body, size_bytes)
         return answer.is_complete and json.loads(answer.body) == expected
 
     async def check(self):
-        """Hold every answer against what the services counted."""
+        """Check every answer against the services' counts; return the verdict counts."""
         by_id = await self.fleet.total_counts("runs_by_id")
         by_key = await self.fleet.total_counts("runs_by_key")
         by_body = await self.fleet.total_counts("runs_by_body")
@@ -258,7 +258,7 @@
         return verdicts
 
     def check_coverage(self, faults, verdicts):
-        """Make sure that every stage was broken and every kind of answer seen."""
+        """Check that every stage failed and that every kind of answer occurred."""
         for fault in ("refuse", "reset_after_read", "cut_answer", "wrong_length", "others_id"):
             self.assertGreater(faults[fault], 0, fault)
         for verdict in ("not-run", "may-have-run", "ran", "lost"):
--- a/packages/commands/src/damaskwind/commands/tests/test_operator.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' command line against served replicas."""
+"""Tests of the operators' command line against replicas served in this process."""
 
 import asyncio
 import json
@@ -38,7 +38,7 @@
 
 
 def router_app():
-    """Return an application that answers as a router does."""
+    """Return an application that answers like a router."""
     answers = {
         ("GET", "/router"): '{"router_id":"router-2","revision_in_force":1}',
         ("GET", "/targets"): '{"targets":[{"target_id":"e1"}]}',
--- a/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
@@ -1,4 +1,4 @@
-"""Tests of verifying several replicas' trails against each other."""
+"""Tests of verifying the audit trails of several replicas against each other."""
 
 from unittest import TestCase
 
@@ -16,7 +16,7 @@
 
 
 class FakeClient:
-    """Replicas that show entries in pages of three."""
+    """A client of replicas that return entries in pages of three."""
 
     def __init__(self, *trails):
         self.endpoints = parse_endpoints(",".join(f"10.0.0.{i}:1" for i in range(len(trails))))
--- a/packages/commands/src/damaskwind/commands/tests/test_operator_with_replicas.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator_with_replicas.py
@@ -85,7 +85,7 @@
         return told["outcome"]["revision"], told["repeated"]
 
     async def confirm_somewhere(self, plan_id):
-        """Confirm as an operator would who resends until the outcome is known."""
+        """Try to confirm at all replicas; return whether it succeeded."""
         done = await self.run_command("confirm", plan_id)
         return done.returncode == ExitCode.OK
 
@@ -134,7 +134,7 @@
             self.assertNotIn(secret, logs)
 
     async def leader_number(self):
-        """Return the leader's number from one on, so that it counts as true."""
+        """Return the leader's index plus one, so that a known leader is truthy."""
         index = await self.leader()
         return None if index is None else index + 1
 
--- a/packages/commands/src/damaskwind/commands/tests/test_request_trace.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_request_trace.py
@@ -1,4 +1,4 @@
-"""Tests of the story that logs tell of one request."""
+"""Tests of tracing one request through log lines."""
 
 import json
 import subprocess
@@ -14,7 +14,7 @@
 
 
 def line(time_s, node, event, **fields):
-    """Return one line as a process writes it."""
+    """Return one log line as a process writes it."""
     table = {"time_s": time_s, "level": "info", "node": node, "event": event, **fields}
     return json.dumps(table).encode() + b"\n"
 
--- a/packages/commands/src/damaskwind/commands/tests/test_role_imports.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_role_imports.py
@@ -1,4 +1,4 @@
-"""Each role starts without packages that it has no use for; they would cost memory."""
+"""Tests that each role imports no unused packages, which would cost memory."""
 
 import subprocess
 import sys
