--- a/packages/commands/src/damaskwind/commands/demonstration.py
+++ b/packages/commands/src/damaskwind/commands/demonstration.py
@@ -1,4 +1,4 @@
-"""Run the demonstration: a small fleet in one process and a chat through it."""
+"""Run the demonstration: a small fleet in one process, and a chat sent through it."""
 
 import asyncio
 import json
@@ -24,12 +24,12 @@
     "List them by age, oldest first.",
 )
 _END_MARKER = "[DONE]"
-_EXIT_FINE = 0
+_EXIT_OK = 0
 _EXIT_FAILED = 1
 
 
 class Turn(NamedTuple):
-    """What came back for one turn of the chat."""
+    """The answer to one turn of the chat, with its token counts."""
 
     request_id: str
     text: str
@@ -44,7 +44,7 @@
 
 
 def _read_turn(request_id: str, body: bytes) -> Turn:
-    """Put the chunks of a streamed answer together; it must be whole."""
+    """Join the chunks of a streamed answer; raise `DamaskwindError` if it is incomplete."""
     events = _events(body)
     if not events or events[-1] != _END_MARKER:
         raise DamaskwindError(f"the answer to {request_id} was cut short")
@@ -59,7 +59,7 @@
     return Turn(request_id, "".join(words), usage["prompt_tokens"], cached_tokens)
 
 
-async def _ask(fleet: DemonstrationFleet, messages: list[dict[str, str]]) -> Turn:
+async def _stream_turn(fleet: DemonstrationFleet, messages: list[dict[str, str]]) -> Turn:
     """Stream one turn of the chat through the router."""
     body = {
         "model": "damask",
@@ -81,8 +81,8 @@
     return _read_turn(request_id, answer)
 
 
-def _shown(turn: Turn, record: dict[str, Any]) -> str:
-    """Say which engine answered, how much was cached, and why it was chosen."""
+def _turn_summary(turn: Turn, record: dict[str, Any]) -> str:
+    """Describe which engine answered, why it was chosen and how many tokens were cached."""
     choice = record["choices"][-1]
     return (
         f"   {choice['target_id']} answered; {turn.cached_tokens} of {turn.prompt_tokens} prompt"
@@ -92,18 +92,18 @@
 
 
 async def _chat(fleet: DemonstrationFleet) -> None:
-    """Hold the chat, a turn after the other, and show what happened to each."""
+    """Send the turns of the chat one by one and print how each was routed."""
     messages = [{"role": "system", "content": _SYSTEM_PROMPT}]
     for question in _QUESTIONS:
         messages.append({"role": "user", "content": question})
-        turn = await _ask(fleet, messages)
+        turn = await _stream_turn(fleet, messages)
         messages.append({"role": "assistant", "content": turn.text})
-        record = await fleet.ask(f"/operator/v1/requests/{turn.request_id}")
-        print(f"-- {question}\n   {turn.text.strip()}\n{_shown(turn, record)}", flush=True)
+        record = await fleet.request_router(f"/operator/v1/requests/{turn.request_id}")
+        print(f"-- {question}\n   {turn.text.strip()}\n{_turn_summary(turn, record)}", flush=True)
 
 
-def _introduce(fleet: DemonstrationFleet) -> None:
-    """Print where the fleet is and a line to copy."""
+def _print_connection_info(fleet: DemonstrationFleet) -> None:
+    """Print the fleet's addresses and keys, and a curl command to try."""
     body = json.dumps({"model": "damask", "messages": [{"role": "user", "content": "Hello"}]})
     print(f"confirmed plan {fleet.plan['id']}: {len(fleet.plan['difference'])} changes in force")
     print(f"router: {fleet.url}   caller key: {CALLER_KEY}   operator key: {OPERATOR_KEY}")
@@ -116,24 +116,24 @@
 
 
 async def _wait_for_interrupt() -> None:
-    """Wait until the user presses Ctrl-C."""
-    asked = asyncio.Event()
+    """Wait for SIGINT or SIGTERM."""
+    interrupted = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, asked.set)
+        loop.add_signal_handler(number, interrupted.set)
     print("serving until Ctrl-C", flush=True)
-    await asked.wait()
+    await interrupted.wait()
 
 
 async def run_demonstration(once: bool) -> int:
-    """Start the fleet, hold the chat, and serve on unless `once`.
+    """Start the fleet and run the chat; unless `once`, keep serving until interrupted.
 
-    Returns the exit code: non-zero if anything failed.
+    Return the exit code, which is non-zero if anything failed.
     """
     fleet = DemonstrationFleet()
     try:
         await fleet.start()
-        _introduce(fleet)
+        _print_connection_info(fleet)
         await _chat(fleet)
         if not once:
             await _wait_for_interrupt()
@@ -142,4 +142,4 @@
         return _EXIT_FAILED
     finally:
         await fleet.stop()
-    return _EXIT_FINE
+    return _EXIT_OK
--- a/packages/commands/src/damaskwind/commands/operator_audit.py
+++ b/packages/commands/src/damaskwind/commands/operator_audit.py
@@ -1,7 +1,7 @@
 """Fetch the audit trail and verify its chain on the operator's own machine.
 
-Each replica is asked for its whole trail. Each chain is verified by itself, and
-entries of the same number must be the same on all replicas.
+The complete trail of each replica is fetched. Each hash chain is verified by itself, and
+entries with the same sequence number must be identical on all replicas.
 """
 
 from collections.abc import Iterator
@@ -21,11 +21,11 @@
 
 __all__ = ["TrailReport", "fetch_entries", "parse_head", "verify_endpoints"]
 
-_PAGE = 500
+_PAGE_SIZE = 500
 
 
 class TrailReport(NamedTuple):
-    """What verifying one replica's trail gave."""
+    """The result of verifying one replica's trail."""
 
     endpoint: str
     verdict: ChainVerdict
@@ -34,12 +34,12 @@
 
     @property
     def holds(self) -> bool:
-        """Tell whether the trail was read and holds."""
+        """Whether the trail was fetched and is free of faults."""
         return not self.error and not self.verdict.faults
 
 
 def parse_head(text: str) -> ChainHead | None:
-    """Read `SEQUENCE:HASH`, the head that an earlier check printed."""
+    """Parse `SEQUENCE:HASH`, a head printed by an earlier verification."""
     if not text:
         return None
     sequence, _, entry_hash = text.partition(":")
@@ -51,15 +51,15 @@
 def fetch_entries(
     client: OperatorClient, endpoint: Endpoint, after: int = 0
 ) -> Iterator[AuditEntry]:
-    """Yield a replica's entries after a number, a page at a time.
+    """Yield a replica's entries after a sequence number, fetching them page by page.
 
-    Raise `RequestFailedError` when the replica does not answer, and
-    `MessageError` when an entry is none.
+    Raise `RequestFailedError` if the replica does not answer, and
+    `MessageError` if an entry is malformed.
     """
     while True:
-        path = f"/operator/v1/audit?after={after}&limit={_PAGE}"
-        answer = client.ask_one(endpoint, "GET", path)
-        if not answer.is_good:
+        path = f"/operator/v1/audit?after={after}&limit={_PAGE_SIZE}"
+        answer = client.request_one(endpoint, "GET", path)
+        if not answer.is_success:
             error: Any = answer.body.get("error", {})
             message = error.get("message", f"status {answer.status}")
             raise RequestFailedError(ExitCode.REFUSED, message, answer.body)
@@ -72,16 +72,16 @@
         after = entries[-1].sequence
 
 
-class _Reading(NamedTuple):
-    """One replica's entries as they were read: runs without a gap."""
+class _FetchedTrail(NamedTuple):
+    """One replica's entries, as runs of consecutive sequence numbers."""
 
     endpoint: str
     runs: list[list[AuditEntry]]
     error: str
 
 
-def _read(client: OperatorClient, endpoint: Endpoint) -> _Reading:
-    """Read a replica's entries and part them where numbers are left out."""
+def _fetch_trail(client: OperatorClient, endpoint: Endpoint) -> _FetchedTrail:
+    """Fetch a replica's entries and split them at gaps in the sequence numbers."""
     runs: list[list[AuditEntry]] = []
     try:
         for entry in fetch_entries(client, endpoint):
@@ -89,57 +89,57 @@
                 runs.append([])
             runs[-1].append(entry)
     except (RequestFailedError, MessageError) as error:
-        return _Reading(str(endpoint), [], str(error))
-    return _Reading(str(endpoint), runs, "")
+        return _FetchedTrail(str(endpoint), [], str(error))
+    return _FetchedTrail(str(endpoint), runs, "")
 
 
-def _differences(reading: _Reading, seen: dict[int, str]) -> Iterator[str]:
-    """Name the entries that differ from what another replica showed first."""
-    for run in reading.runs:
+def _differences(trail: _FetchedTrail, hashes: dict[int, str]) -> Iterator[str]:
+    """Yield the entries whose hash differs from that of a replica read earlier."""
+    for run in trail.runs:
         for entry in run:
-            if seen.setdefault(entry.sequence, entry.entry_hash) != entry.entry_hash:
+            if hashes.setdefault(entry.sequence, entry.entry_hash) != entry.entry_hash:
                 yield f"entry {entry.sequence}: differs from another replica's"
 
 
-def _gap_faults(reading: _Reading, seen: dict[int, str]) -> Iterator[str]:
-    """Name the gaps that no other replica fills or that it fills with another chain."""
-    for before, after in pairwise(reading.runs):
+def _gap_faults(trail: _FetchedTrail, hashes: dict[int, str]) -> Iterator[str]:
+    """Yield the gaps that no replica fills, or that one fills with a different chain."""
+    for before, after in pairwise(trail.runs):
         first, last = before[-1].sequence + 1, after[0].sequence - 1
-        if any(number not in seen for number in range(first, last + 1)):
+        if any(number not in hashes for number in range(first, last + 1)):
             yield f"entries {first} to {last}: held by no replica that was asked"
-        elif after[0].previous_hash != seen[last]:
+        elif after[0].previous_hash != hashes[last]:
             yield f"entry {last + 1}: not chained to the entry before it"
 
 
 def _report(
-    reading: _Reading, known: ChainHead | None, differing: list[str], seen: dict[int, str]
+    trail: _FetchedTrail, known: ChainHead | None, differing: list[str], hashes: dict[int, str]
 ) -> TrailReport:
-    """Verify the runs of one replica and sum up."""
-    if reading.error:
-        return TrailReport(reading.endpoint, ChainVerdict(0, None, ()), 0, reading.error)
+    """Verify the runs of one replica and return its report."""
+    if trail.error:
+        return TrailReport(trail.endpoint, ChainVerdict(0, None, ()), 0, trail.error)
     faults = list(differing)
-    for run in reading.runs:
+    for run in trail.runs:
         faults += verify_chain(run).faults
-    # The runs are sound or named above; the known head is looked for over all of them.
-    entries = [entry for run in reading.runs for entry in run]
+    # Faults within runs are reported above; the known head may be in any run.
+    entries = [entry for run in trail.runs for entry in run]
     faults += head_faults(entries, known)
-    faults += _gap_faults(reading, seen)
+    faults += _gap_faults(trail, hashes)
     head = ChainHead(entries[-1].sequence, entries[-1].entry_hash) if entries else None
     first_sequence = entries[0].sequence if entries else 0
     verdict = ChainVerdict(len(entries), head, tuple(faults))
-    return TrailReport(reading.endpoint, verdict, first_sequence)
+    return TrailReport(trail.endpoint, verdict, first_sequence)
 
 
 def verify_endpoints(client: OperatorClient, known: ChainHead | None) -> list[TrailReport]:
     """Verify the trail of every endpoint.
 
-    A replica that was away for long, or that joined late, may lack entries that
-    others have; that is a fault only when none of those asked has them.
+    A replica that was down for long, or that joined late, may lack entries that others have;
+    a gap is a fault only if no queried replica fills it.
     """
-    seen: dict[int, str] = {}
-    readings = [_read(client, endpoint) for endpoint in client.endpoints]
-    differing = [list(_differences(reading, seen)) for reading in readings]
+    hashes: dict[int, str] = {}
+    trails = [_fetch_trail(client, endpoint) for endpoint in client.endpoints]
+    differing = [list(_differences(trail, hashes)) for trail in trails]
     return [
-        _report(reading, known, faults, seen)
-        for reading, faults in zip(readings, differing, strict=True)
+        _report(trail, known, faults, hashes)
+        for trail, faults in zip(trails, differing, strict=True)
     ]
--- a/packages/commands/src/damaskwind/commands/operator_client.py
+++ b/packages/commands/src/damaskwind/commands/operator_client.py
@@ -1,8 +1,8 @@
-"""Ask control replicas or routers over HTTP, one endpoint after the other.
+"""HTTP client for control replicas and routers, with failover between endpoints.
 
-An endpoint that can't be reached, or that can't commit now, is passed over for
-the next one. A request that may already have been taken is only sent again
-when resending is safe; what is then left unknown is said to be unknown.
+If an endpoint is unreachable or can't commit at the moment, the next one is tried. A request
+that may have been accepted is resent only if resending is safe; otherwise its outcome is
+reported as unknown.
 """
 
 import socket
@@ -32,9 +32,9 @@
 
 
 class ExitCode(IntEnum):
-    """What the process ends with."""
+    """Exit codes of the command line."""
 
-    FINE = 0
+    OK = 0
     REFUSED = 1
     BAD_USAGE = 2
     OUTCOME_UNKNOWN = 3
@@ -45,7 +45,7 @@
 
 
 class RequestFailedError(DamaskwindError):
-    """No endpoint gave a good answer; `exit_code` tells a refusal from an unknown outcome."""
+    """No endpoint succeeded; `exit_code` distinguishes a refusal from an unknown outcome."""
 
     def __init__(self, exit_code: ExitCode, message: str, body: dict[str, Any]) -> None:
         super().__init__(message)
@@ -55,7 +55,7 @@
 
 
 class Endpoint(NamedTuple):
-    """Where a process listens."""
+    """The scheme, host and port at which a process listens."""
 
     scheme: str
     host: str
@@ -66,21 +66,21 @@
 
 
 class Answer(NamedTuple):
-    """An answer's status and its body read as JSON; 0 when there was none."""
+    """The status and the decoded JSON body of an answer; status 0 means no answer."""
 
     endpoint: Endpoint
     status: int
     body: dict[str, Any]
-    may_have_been_taken: bool = False
+    may_have_been_accepted: bool = False
 
     @property
-    def is_good(self) -> bool:
-        """Tell whether the request was done."""
+    def is_success(self) -> bool:
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
 def parse_endpoints(text: str) -> list[Endpoint]:
-    """Read a comma list of endpoints; raise `UsageError` when one is malformed.
+    """Parse a comma-separated list of endpoints; raise `UsageError` if one is malformed.
 
     >>> [str(endpoint) for endpoint in parse_endpoints("10.0.0.1:80,https://10.0.0.2:443")]
     ['http://10.0.0.1:80', 'https://10.0.0.2:443']
@@ -106,7 +106,7 @@
         self._key = key
         self._timeout_s = timeout_s
 
-    def ask(
+    def request_first(
         self,
         method: str,
         path: str,
@@ -114,52 +114,51 @@
         safe_to_resend: bool = True,
         search: bool = False,
     ) -> dict[str, Any]:
-        """Return the body of the first good answer; raise `RequestFailedError` otherwise.
+        """Return the body of the first successful answer; raise `RequestFailedError` otherwise.
 
-        With `search`, an endpoint that knows nothing of what is asked for is
-        passed over too.
+        With `search`, the next endpoint is also tried after a 404.
         """
         answers: list[Answer] = []
         for endpoint in self.endpoints:
-            answer = self.ask_one(endpoint, method, path, body)
-            if answer.is_good:
+            answer = self.request_one(endpoint, method, path, body)
+            if answer.is_success:
                 return answer.body
             answers.append(answer)
-            if not _tries_next(answer, safe_to_resend, search):
+            if not _should_try_next(answer, safe_to_resend, search):
                 break
-        raise _failure(answers)
+        raise _make_failure(answers)
 
-    def ask_one(self, endpoint: Endpoint, method: str, path: str, body: Any = None) -> Answer:
-        """Ask one endpoint once; never raise for what the network does."""
+    def request_one(self, endpoint: Endpoint, method: str, path: str, body: Any = None) -> Answer:
+        """Send one request to one endpoint; network errors become an answer with status 0."""
         kind = HTTPSConnection if endpoint.scheme == "https" else HTTPConnection
         connection = kind(endpoint.host, endpoint.port, timeout=self._timeout_s)
-        may_have_been_taken = False
+        may_have_been_accepted = False
         try:
             connection.connect()
-            may_have_been_taken = method != "GET"
+            may_have_been_accepted = method != "GET"
             connection.request(method, path, _encoded(body), self._headers(body))
             response = connection.getresponse()
             content = response.read(_ANSWER_LIMIT_BYTES)
         except (OSError, HTTPException) as error:
-            return Answer(endpoint, 0, _network_error(endpoint, error), may_have_been_taken)
+            return Answer(endpoint, 0, _network_error(endpoint, error), may_have_been_accepted)
         finally:
             connection.close()
-        is_unknown = may_have_been_taken and response.status == _GATEWAY_TIMEOUT
+        is_unknown = may_have_been_accepted and response.status == _GATEWAY_TIMEOUT
         return Answer(endpoint, response.status, _decoded(content), is_unknown)
 
     def _headers(self, body: Any) -> dict[str, str]:
-        """Return the headers of a request."""
+        """Return the authorization and content headers of a request."""
         headers = {"authorization": f"Bearer {self._key}", "accept": "application/json"}
         return headers if body is None else {**headers, "content-type": "application/json"}
 
 
 def _encoded(body: Any) -> bytes | None:
-    """Return a body as JSON."""
+    """Encode a body as JSON."""
     return None if body is None else msgspec.json.encode(body)
 
 
 def _decoded(content: bytes) -> dict[str, Any]:
-    """Return an answer's body; an empty table when it is not one."""
+    """Decode an answer's body; return an empty table if it is not valid JSON."""
     try:
         body = msgspec.json.decode(content)
     except msgspec.DecodeError:
@@ -168,25 +167,29 @@
 
 
 def _network_error(endpoint: Endpoint, error: Exception) -> dict[str, Any]:
-    """Return the body that stands for no answer."""
+    """Return the error body that represents a missing answer."""
     reason = "timed out" if isinstance(error, TimeoutError | socket.timeout) else str(error)
     return {"error": {"code": "no_answer", "message": f"{endpoint}: {reason or repr(error)}"}}
 
 
-def _tries_next(answer: Answer, safe_to_resend: bool, search: bool) -> bool:
-    """Tell whether another endpoint should be asked after this answer."""
-    if answer.may_have_been_taken:
+def _should_try_next(answer: Answer, safe_to_resend: bool, search: bool) -> bool:
+    """Return whether to try the next endpoint after this answer."""
+    if answer.may_have_been_accepted:
         return safe_to_resend
     if answer.status == _NOT_FOUND:
         return search
     return answer.status in (0, _SERVICE_UNAVAILABLE)
 
 
-def _failure(answers: list[Answer]) -> RequestFailedError:
-    """Sum up the answers: unknown if any may have been taken, unless one settled it."""
+def _make_failure(answers: list[Answer]) -> RequestFailedError:
+    """Combine the answers into one error.
+
+    The outcome is unknown if any endpoint may have accepted the request, unless the last answer
+    is definite.
+    """
     last = answers[-1]
-    settled = not last.may_have_been_taken and last.status not in (0, _SERVICE_UNAVAILABLE)
-    unknown = [answer for answer in answers if answer.may_have_been_taken]
+    settled = not last.may_have_been_accepted and last.status not in (0, _SERVICE_UNAVAILABLE)
+    unknown = [answer for answer in answers if answer.may_have_been_accepted]
     shown = last if settled or not unknown else unknown[-1]
     code = ExitCode.REFUSED if settled or not unknown else ExitCode.OUTCOME_UNKNOWN
     error = shown.body.get("error", {})
--- a/packages/commands/src/damaskwind/commands/operator_trace.py
+++ b/packages/commands/src/damaskwind/commands/operator_trace.py
@@ -1,4 +1,4 @@
-"""The command `damaskwind trace`: from a request's id to what the logs say of it."""
+"""The command `damaskwind trace`, which finds the log lines related to a request."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -12,29 +12,29 @@
 
 
 def trace(request_id: str, *files: Path, json: bool = False) -> int:
-    """Show what the logs of several VMs say of one request, and around it.
+    """Show the log lines of one request from several VMs, and related lines around it.
 
     :param request_id: the request's id
-    :param files: logs of routers and replicas
+    :param files: log files of routers and replicas
     :param json: print JSON for scripts
     """
     if not files:
         print("trace: name at least one log", file=sys.stderr)
         return ExitCode.BAD_USAGE
     try:
-        found = trace_request(request_id, _lines_of(files))
+        result = trace_request(request_id, _read_files(files))
     except OSError as error:
         print(f"{error.filename}: {error.strerror}", file=sys.stderr)
         return ExitCode.BAD_USAGE
-    if not found.request:
+    if not result.request:
         print(f"no line of request '{request_id}' in {len(files)} files", file=sys.stderr)
         return ExitCode.REFUSED
-    print(as_json(found._asdict()) if json else trace_text(found))
-    return ExitCode.FINE
+    print(as_json(result._asdict()) if json else trace_text(result))
+    return ExitCode.OK
 
 
-def _lines_of(files: Iterable[Path]) -> Iterator[LogLine | None]:
-    """Read files one after the other, line by line."""
+def _read_files(files: Iterable[Path]) -> Iterator[LogLine | None]:
+    """Yield the decoded lines of all files, in order."""
     for file in files:
         with file.open("rb") as lines:
             yield from read_lines(lines)
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
@@ -1,4 +1,4 @@
-"""Proof with real processes: a router that is told to stop cuts nothing and takes nothing new."""
+"""Test with real processes: a draining router finishes its streams and accepts nothing new."""
 
 import asyncio
 import json
@@ -13,15 +13,15 @@
 
 STREAMS = 200
 STREAM_TOKENS = 160
-# Streams of 40 s outlast the drain delay also where all two hundred take half a minute to begin.
+# Streams of 40 s outlast the drain delay even if starting all two hundred takes half a minute.
 TOKEN_S = 0.25
 PROBE_S = 0.02
-# A balancer waits no longer than this for an answer.
+# The balancer's timeout for an answer.
 PROBE_LIMIT_S = 10.0
 
 
 class DrainTest(FleetTestCase):
-    async def listen(self, stream, begun, texts):
+    async def read_stream(self, stream, begun, texts):
         """Read a stream to its end."""
         text = ""
         async for chunk in stream:
@@ -30,20 +30,20 @@
         texts.append(text)
 
     async def one_stream(self, client, number, begun, texts):
-        """Begin a stream and read it to its end."""
+        """Start a stream and read it to its end."""
         stream = await client.chat.completions.create(
             model="damask",
             messages=[{"role": "user", "content": f"stream {number}"}],
             stream=True,
             max_tokens=STREAM_TOKENS,
         )
-        await self.listen(stream, begun, texts)
+        await self.read_stream(stream, begun, texts)
 
     def probe(self, router, told):
-        """Ask for readiness, as the platform's balancer does, until nobody listens.
+        """Check readiness like the platform's balancer, until the listener is closed.
 
-        In a thread of its own: beside two hundred streams that this process reads, a probe
-        of the same loop waited 24.8 s for its turn on a starved machine, longer than the drain.
+        Runs in its own thread: on the event loop that reads two hundred streams, a check waited
+        24.8 s on a busy machine, longer than the drain.
         """
         while told[-1:] != [0]:
             status = self.readiness(self.fleet.routers[router])
@@ -52,7 +52,7 @@
             sleep(PROBE_S)
 
     def readiness(self, address):
-        """Return the status of one probe; 0 when nobody takes or answers it."""
+        """Return the status of one readiness check; 0 if it is refused or not answered."""
         connection = HTTPConnection(address, timeout=PROBE_LIMIT_S)
         try:
             connection.request("GET", "/readyz")
@@ -62,8 +62,8 @@
         finally:
             connection.close()
 
-    async def open_kept(self, router):
-        """Open a connection by hand, which stays open after its answer."""
+    async def open_connection(self, router):
+        """Open a raw connection, which stays open after an answer."""
         host, port = self.fleet.routers[router].split(":")
         return await asyncio.open_connection(host, int(port))
 
@@ -83,15 +83,15 @@
         fields = {"token_interval_s": TOKEN_S, "max_running_requests": 128}
         engines = [{"target_id": f"engine-{number}", **fields} for number in range(4)]
         await fleet.start_targets("targets", engines, [])
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         begun, texts, told = set(), [], []
         client = self.client("router-1")
         streams = [
             asyncio.ensure_future(self.one_stream(client, number, begun, texts))
             for number in range(STREAMS)
         ]
-        idle, idle_writer = await self.open_kept("router-1")
-        busy, busy_writer = await self.open_kept("router-1")
+        idle, idle_writer = await self.open_connection("router-1")
+        busy, busy_writer = await self.open_connection("router-1")
         busy_writer.write(self.raw_chat("kept", STREAM_TOKENS))
         await wait_until(lambda: len(begun) == STREAMS, 30, "two hundred begun streams")
         await busy.readuntil(b"data: ")
@@ -104,8 +104,8 @@
         await asyncio.wait_for(probing, 30)
         self.assertEqual(told, [200, 503, 0], "readiness fails first, then the listener closes")
         self.assertIsNone(router.exit_code)
-        before = (await fleet.counted("events"))["run"]
-        # One connection idle, one with an answer in progress: neither brings new work.
+        before = (await fleet.total_counts("events"))["run"]
+        # Neither an idle connection nor one with an answer in progress may bring a new request.
         idle_writer.write(self.raw_chat("new on an idle one", 1))
         busy_writer.write(self.raw_chat("new behind a stream", 1))
         self.assertEqual(await asyncio.wait_for(idle.read(), 20), b"")
@@ -118,5 +118,5 @@
         expected = [expected_chat(f"stream {number}", STREAM_TOKENS) for number in range(STREAMS)]
         self.assertEqual(sorted(texts), sorted(expected))
         self.assertEqual(await router.wait(60), 0)
-        self.assertEqual((await fleet.counted("events"))["run"], before)
+        self.assertEqual((await fleet.total_counts("events"))["run"], before)
         self.assertEqual(before, STREAMS + 1)
--- a/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
@@ -1,4 +1,4 @@
-"""Tests of verifying several replicas' trails against each other."""
+"""Tests of verifying the audit trails of several replicas against each other."""
 
 from unittest import TestCase
 
@@ -16,13 +16,13 @@
 
 
 class FakeClient:
-    """Replicas that show entries in pages of three."""
+    """A client of replicas that return entries in pages of three."""
 
     def __init__(self, *trails):
         self.endpoints = parse_endpoints(",".join(f"10.0.0.{i}:1" for i in range(len(trails))))
         self.trails = dict(zip(self.endpoints, trails, strict=True))
 
-    def ask_one(self, endpoint, method, path, body=None):
+    def request_one(self, endpoint, method, path, body=None):
         trail = self.trails[endpoint]
         if trail is None:
             return Answer(endpoint, 0, {"error": {"message": "refused"}})
--- a/packages/commands/src/damaskwind/commands/tests/test_request_trace.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_request_trace.py
@@ -1,4 +1,4 @@
-"""Tests of the story that logs tell of one request."""
+"""Tests of tracing one request through log lines."""
 
 import json
 import subprocess
@@ -14,7 +14,7 @@
 
 
 def line(time_s, node, event, **fields):
-    """Return one line as a process writes it."""
+    """Return one log line as a process writes it."""
     table = {"time_s": time_s, "level": "info", "node": node, "event": event, **fields}
     return json.dumps(table).encode() + b"\n"
 
@@ -84,7 +84,7 @@
             Path(files[0]).write_bytes(ENDED)
             Path(files[1]).write_bytes(b"".join(LOGS[:5]))
             done = self.run_trace("abc", *files)
-            self.assertEqual(done.returncode, ExitCode.FINE, done.stderr)
+            self.assertEqual(done.returncode, ExitCode.OK, done.stderr)
             self.assertIn("replica lost", done.stdout)
             found = json.loads(self.run_trace("abc", *files, "--json").stdout)
             self.assertEqual(found["request"][0]["node"], "r1")
