--- a/benchmarks/measuring/tests/test_promises.py
+++ b/benchmarks/measuring/tests/test_promises.py
@@ -17,9 +17,9 @@
     """Return the counts of one engine that took the turn `runs` times."""
     oracle = Oracle()
     for _ in range(runs):
-        oracle.run("router-1.a", "", prompt_digest(TURN))
+        oracle.record_run("router-1.a", "", prompt_digest(TURN))
     if late:
-        oracle.arrived("router-1.late", oracle.grace_s + 0.1)
+        oracle.record_arrival("router-1.late", oracle.grace_s + 0.1)
     return {"engine": oracle.snapshot()}
 
 
@@ -74,7 +74,7 @@
         """Return the promises that one call breaks."""
         oracle = Oracle()
         for _ in range(runs):
-            oracle.run("id", outcome.call.key, "body")
+            oracle.record_run("id", outcome.call.key, "body")
         counts = {"service": oracle.snapshot()}
         return [breach.promise for breach in find_breaches([], [outcome], counts, MODEL, ROOT)]
 
--- a/packages/commands/src/damaskwind/commands/tests/data_path_fleet.py
+++ b/packages/commands/src/damaskwind/commands/tests/data_path_fleet.py
@@ -27,7 +27,7 @@
 from damaskwind.standins.answers import expected_answer
 from damaskwind.standins.faulty_network import FaultyNetwork
 from damaskwind.standins.harness import Harness, HarnessError, wait_until
-from damaskwind.standins.impairment import Direction, Impairment
+from damaskwind.standins.impairment import Impairment, LinkImpairment
 
 __all__ = ["ACCOUNT_KEY", "DOMAINS", "LEASE_S", "LOST", "Answer"]
 __all__ += ["DataPathFleet", "expected_chat", "stream_text"]
@@ -54,7 +54,7 @@
 
 
 LOST = Answer()
-SILENCE = Direction(Impairment(blackhole=True), Impairment(blackhole=True))
+SILENCE = LinkImpairment(Impairment(blackhole=True), Impairment(blackhole=True))
 
 
 def make_configuration(**policy: Any) -> dict[str, Any]:
--- a/packages/commands/src/damaskwind/commands/tests/fault_cluster.py
+++ b/packages/commands/src/damaskwind/commands/tests/fault_cluster.py
@@ -34,7 +34,7 @@
 from damaskwind.runtime.settings import parse_address
 from damaskwind.standins.faulty_network import FaultyNetwork
 from damaskwind.standins.harness import Harness, HarnessError, wait_until
-from damaskwind.standins.impairment import Direction, Impairment
+from damaskwind.standins.impairment import Impairment, LinkImpairment
 
 __all__ = ["DEADLINE_S", "DOMAINS", "REPLICAS", "FaultCluster", "FaultTestCase", "viewer_intent"]
 
@@ -46,7 +46,7 @@
 DOMAINS = ("bangsar-hall", "cyberjaya-a", "shah-alam-b")
 REPLICAS = tuple(f"control-{index}" for index in range(3))
 BOOTSTRAP_KEY = "dw-bootstrap-secret"
-BLACK = Direction(Impairment(blackhole=True), Impairment(blackhole=True))
+BLACK = LinkImpairment(Impairment(blackhole=True), Impairment(blackhole=True))
 NO_ANSWER = (ConnectError, ConnectingCancelledError, ConnectionClosed, CancelledError)
 NO_ANSWER += (RequestNotSent, RequestTransmissionFailed, ResponseFailed, TimeoutError)
 ANY_PORT = "127.0.0.1:0"
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_operators.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_operators.py
@@ -11,9 +11,9 @@
 from damaskwind.runtime.bridge import asyncio_test
 from damaskwind.runtime.settings import parse_address
 from damaskwind.standins.harness import wait_until
-from damaskwind.standins.impairment import Direction, Impairment
+from damaskwind.standins.impairment import Impairment, LinkImpairment
 
-ANSWER_LOST = Direction(to_caller=Impairment(blackhole=True))
+ANSWER_LOST = LinkImpairment(to_caller=Impairment(blackhole=True))
 
 
 class OperatorsTest(FaultTestCase):
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_once.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_once.py
@@ -21,7 +21,7 @@
 from damaskwind.runtime.bridge import asyncio_test, to_deferred
 from damaskwind.runtime.settings import parse_address
 from damaskwind.standins.harness import wait_until
-from damaskwind.standins.impairment import Direction, Impairment
+from damaskwind.standins.impairment import Impairment, LinkImpairment
 from damaskwind.standins.service import expected_service_answer
 
 SEED = 20261202
@@ -33,7 +33,7 @@
 SLOW_S = 0.25
 ARRIVAL_S = 0.3
 SERVICES = ("edge-0", "edge-1", "edge-2")
-SILENT = Direction(to_caller=Impairment(blackhole=True))
+SILENT = LinkImpairment(to_caller=Impairment(blackhole=True))
 
 
 class Call(NamedTuple):
@@ -170,7 +170,7 @@
             link.impair(SILENT)
             await asyncio.sleep(self.random.uniform(0.1, 0.3))
             link.cut()
-            link.impair(Direction())
+            link.impair(LinkImpairment())
 
     async def arm_all(self, fault, count):
         """Arm one fault at every service."""
--- a/packages/control/src/damaskwind/control/orders/tests/test_sender.py
+++ b/packages/control/src/damaskwind/control/orders/tests/test_sender.py
@@ -12,7 +12,7 @@
 from damaskwind.control.state.order_book import TargetOrder
 from damaskwind.runtime.bridge import asyncio_test, to_deferred
 from damaskwind.standins.engine import EngineStandin
-from damaskwind.standins.harness import own_host, wait_until
+from damaskwind.standins.harness import unique_loopback_host, wait_until
 from damaskwind.standins.settings import EngineSettings, FencingMode
 
 TIMING = DeliveryTiming(lease_s=0.3, attempt_timeout_s=1.0, backoff_first_s=0.05)
@@ -28,7 +28,9 @@
         self.tasks = []
 
     async def engine(self, fencing, port=0):
-        settings = EngineSettings("engine-1", host=own_host(), port=port, fencing=fencing)
+        settings = EngineSettings(
+            "engine-1", host=unique_loopback_host(), port=port, fencing=fencing
+        )
         engine = EngineStandin(settings, reactor)
         await engine.start()
         self.addCleanup(lambda: to_deferred(engine.stop()))
@@ -94,7 +96,7 @@
         engine = await self.engine(FencingMode.CHECKED)
         port = engine.address.port
         await engine.stop()
-        self.orders = [self.order(1, f"{own_host()}:{port}")]
+        self.orders = [self.order(1, f"{unique_loopback_host()}:{port}")]
         self.start_sender("a", 1)
         await asyncio.sleep(TIMING.initial_wait_s + 0.2)
         restarted = await self.engine(FencingMode.CHECKED, port)
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_suspension.py
@@ -24,7 +24,7 @@
 class SuspendedRouterTest(ForwarderTestCase):
     async def start(self):
         self.clock = JumpingClock()
-        in_force = self.clock.in_force()
+        in_force = self.clock.installed()
         in_force.__enter__()
         self.addCleanup(in_force.__exit__, None, None, None)
         await super().start()
@@ -91,10 +91,10 @@
     def test_timers_due_during_a_suspension_fire_at_the_next_wake(self):
         clock, fired, loop = JumpingClock(), [], ClockLoop()
         self.addCleanup(loop.close)
-        with clock.in_force():
+        with clock.installed():
             begun_s = time.perf_counter()
             loop.call_later(AWAY_S, fired.append, "due")
-            loop.call_later(0.05, lambda: setattr(clock, "ahead_s", AWAY_S))
+            loop.call_later(0.05, lambda: setattr(clock, "offset_s", AWAY_S))
             loop.call_later(0.1, lambda: None)
             woken_before_s = last_woken_s()
             loop.run_until_complete(asyncio.sleep(AWAY_S))
--- a/packages/router/src/damaskwind/router/tests/bench.py
+++ b/packages/router/src/damaskwind/router/tests/bench.py
@@ -176,6 +176,6 @@
         for target in [*self.engines, *self.services]:
             await target.stop()
         posting = [target.announcer for target in (*self.engines, *self.services)]
-        await self.until(lambda: not any(announcer._posting for announcer in posting))
+        await self.until(lambda: not any(announcer._is_posting for announcer in posting))
         for router in [*self.peers, self.router]:
             await router.stop()
--- a/packages/router/src/damaskwind/router/tests/request_histories.py
+++ b/packages/router/src/damaskwind/router/tests/request_histories.py
@@ -143,11 +143,11 @@
 class RequestsAgainstCounts(RuleBasedStateMachine):
     """The dispatcher with all its components, and targets that count runs."""
 
-    made = 0
+    run_count = 0
 
     def __init__(self):
         super().__init__()
-        RequestsAgainstCounts.made += 1
+        RequestsAgainstCounts.run_count += 1
         self.clock = Clock()
         random = Random(7)
         self.directory = TargetDirectory("r", "d", ("d",), POLICY, self.clock, random)
--- a/packages/router/src/damaskwind/router/tests/test_target_signals.py
+++ b/packages/router/src/damaskwind/router/tests/test_target_signals.py
@@ -41,11 +41,11 @@
     async def check_one_pauses(self, bench, targets, ask):
         """Let one target ask for a pause; all requests are served by others meanwhile."""
         pausing = targets[0]
-        pausing.asks_rest_s = REST_S
+        pausing.requested_pause_s = REST_S
         statuses = [(await ask(bench)).code for _ in range(30)]
         self.assertEqual(set(statuses), {200})
         self.assertEqual(pausing.oracle.events["refused"], 1)
-        pausing.asks_rest_s = 0.0
+        pausing.requested_pause_s = 0.0
         await asyncio.sleep(REST_S)
         for _ in range(30):
             await ask(bench)
@@ -54,7 +54,7 @@
     async def check_all_pause(self, bench, targets, ask):
         """Let all targets ask for a pause; callers are refused immediately with Retry-After."""
         for target in targets:
-            target.asks_rest_s = REST_S
+            target.requested_pause_s = REST_S
         await ask(bench)
         refused = sum(target.oracle.events["refused"] for target in targets)
         started_s = bench.router.directory._clock.seconds()
@@ -69,7 +69,7 @@
     async def check_one_leaves(self, bench, targets, ask):
         """Let one target announce leaving in its answers; it gets no requests after that."""
         leaving = targets[0]
-        leaving.says_leaving = True
+        leaving.signals_leaving = True
         for _ in range(30):
             self.assertEqual((await ask(bench)).code, 200)
         self.assertEqual(leaving.oracle.events["run"], 1)
@@ -112,12 +112,12 @@
     @asyncio_test
     async def test_operators_see_the_signal_and_a_new_incarnation_has_none(self):
         bench = await self.bench(engines=1)
-        bench.engines[0].asks_rest_s = 30.0
+        bench.engines[0].requested_pause_s = 30.0
         await self.chat(bench)
         self.assertEqual(await self.signals(bench), ["rest"])
-        bench.engines[0].asks_rest_s = 0.0
+        bench.engines[0].requested_pause_s = 0.0
         await bench.engines[0].stop()
-        await bench.engines[0].come_back()
+        await bench.engines[0].start_next_incarnation()
         while await self.signals(bench) != ["nothing"]:
             await asyncio.sleep(0.05)
         self.assertEqual((await self.chat(bench)).code, 200)
--- a/packages/standins/src/damaskwind/standins/announcing.py
+++ b/packages/standins/src/damaskwind/standins/announcing.py
@@ -57,32 +57,32 @@
         self._settings = settings
         self._template = template
         self._read_load = read_load
-        self._turn = xxhash.xxh3_64_intdigest(template.target_id.encode())
+        self._next_router_index = xxhash.xxh3_64_intdigest(template.target_id.encode())
         self._timer: Any = None
         self._sequence = 0
-        self._posting = False
-        self._again = False
-        self._wait_s = settings.interval_s
-        self._active = False
+        self._is_posting = False
+        self._needs_repost = False
+        self._next_wait_s = settings.interval_s
+        self._is_active = False
         self.incarnation = settings.incarnation or time.time_ns() // 1_000_000
         self.routers: list[str] = list(settings.routers)
         self.state = TargetState.SERVING
         self.models = template.models
-        self.accepted = 0
-        self.said: TargetState | None = None
-        self.said_leaving_s: float | None = None
+        self.accepted_count = 0
+        self.accepted_state: TargetState | None = None
+        self.leaving_accepted_s: float | None = None
         agent = Agent(reactor, pool=HTTPConnectionPool(reactor, persistent=False))
         self._client = HTTPClient(agent)
 
     def start(self, address: Address) -> None:
         """Begin to announce the target at `address`."""
         self._template = self._template._replace(address=address)
-        self._active = True
+        self._is_active = True
         self.announce_now()
 
     def stop(self) -> None:
         """Announce no more; nothing is said about it, as in a crash."""
-        self._active = False
+        self._is_active = False
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -91,13 +91,13 @@
         """Begin again as the next incarnation."""
         self.incarnation += 1
         self._sequence = 0
-        self.said_leaving_s = None
+        self.leaving_accepted_s = None
         self.state = TargetState.SERVING
         self.start(address)
 
-    async def said_goodbye(self) -> None:
+    async def wait_until_leaving_accepted(self) -> None:
         """Wait until a router has taken the announcement of the leave."""
-        while self.said is not TargetState.LEAVING:
+        while self.accepted_state is not TargetState.LEAVING:
             await asyncio.sleep(_POLL_S)
 
     def announce_now(self) -> None:
@@ -105,26 +105,26 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if not self._active:
+        if not self._is_active:
             return
-        if self._posting:
-            self._again = True
+        if self._is_posting:
+            self._needs_repost = True
             return
-        self._posting = True
-        self._post_in_turn().addBoth(self._posted)
+        self._is_posting = True
+        self._post_round_robin().addBoth(self._schedule_next)
 
-    def _posted(self, result: Any) -> None:
+    def _schedule_next(self, result: Any) -> None:
         """Plan the next announcement."""
-        self._posting = False
-        if not self._active:
+        self._is_posting = False
+        if not self._is_active:
             return
-        if self._again:
-            self._again = False
+        if self._needs_repost:
+            self._needs_repost = False
             self.announce_now()
             return
-        self._timer = self._reactor.callLater(self._wait_s, self._due)
+        self._timer = self._reactor.callLater(self._next_wait_s, self._on_timer)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         """Announce because the interval has passed."""
         self._timer = None
         self.announce_now()
@@ -141,24 +141,24 @@
         )
 
     @inlineCallbacks
-    def _post_in_turn(self) -> Deferred:
+    def _post_round_robin(self) -> Deferred:
         """Post to the next router, and past it while routers do not take it."""
         for _ in range(len(self.routers)):
-            if not self._active or not self.routers:
+            if not self._is_active or not self.routers:
                 return
-            router = self.routers[self._turn % len(self.routers)]
-            self._turn += 1
+            router = self.routers[self._next_router_index % len(self.routers)]
+            self._next_router_index += 1
             try:
-                posted = self.next_announcement()
-                taken = yield self._post(router, posted)
+                announcement = self.next_announcement()
+                is_accepted = yield self._post(router, announcement)
             except Exception:
                 # Whatever went wrong, the balancer would give another router.
                 continue
-            if taken:
-                self.accepted += 1
-                self.said = posted.state
-                if self.said is TargetState.LEAVING and self.said_leaving_s is None:
-                    self.said_leaving_s = self._reactor.seconds()
+            if is_accepted:
+                self.accepted_count += 1
+                self.accepted_state = announcement.state
+                if self.accepted_state is TargetState.LEAVING and self.leaving_accepted_s is None:
+                    self.leaving_accepted_s = self._reactor.seconds()
                 return
 
     @inlineCallbacks
@@ -178,6 +178,6 @@
         answer = yield response.content()
         if response.code != 200:
             return False
-        asked_s = float(json.loads(answer)["next_announcement_s"])
-        self._wait_s = max(self._settings.interval_s, asked_s)
+        requested_s = float(json.loads(answer)["next_announcement_s"])
+        self._next_wait_s = max(self._settings.interval_s, requested_s)
         return True
--- a/packages/standins/src/damaskwind/standins/batching.py
+++ b/packages/standins/src/damaskwind/standins/batching.py
@@ -36,28 +36,28 @@
     ) -> None:
         self.request_id = request_id
         self.chain = chain[:-1]
-        self.whole_chain = chain
+        self.full_chain = chain
         self.answer = answer
         self.priority = priority
         self.user = user
         self.prompt_tokens = sum(prefix.tokens for prefix in self.chain)
         self.cached_tokens = 0
-        self.prompt_left_tokens = self.prompt_tokens
-        self.produced = 0
+        self.remaining_prompt_tokens = self.prompt_tokens
+        self.produced_tokens = 0
         self.finished = False
         self.cancelled = False
         self.expires_s = float("inf")
         self.listener: Callable[[int, str | None], None] | None = None
 
     @property
-    def brought_tokens(self) -> int:
+    def initial_work_tokens(self) -> int:
         """Count the work that the request brought: what was not cached, and its answer."""
         return self.prompt_tokens - self.cached_tokens + len(self.answer)
 
     @property
     def load_tokens(self) -> int:
         """Count the work that is left."""
-        return self.prompt_left_tokens + len(self.answer) - self.produced
+        return self.remaining_prompt_tokens + len(self.answer) - self.produced_tokens
 
 
 class _Sample(NamedTuple):
@@ -105,9 +105,9 @@
 
     def load(self) -> LoadReport:
         """Return the load of now."""
-        in_hand = self._running + self._waiting
+        active = self._running + self._waiting
         return LoadReport(
-            load_tokens=sum(generation.load_tokens for generation in in_hand),
+            load_tokens=sum(generation.load_tokens for generation in active),
             capacity_tokens=self._settings.capacity_tokens,
             running_requests=len(self._running),
             waiting_requests=len(self._waiting),
@@ -121,10 +121,10 @@
             loads[generation.user] += generation.load_tokens
         return loads
 
-    def largest_tokens(self) -> int:
+    def max_initial_work_tokens(self) -> int:
         """Return the work that the largest request in hand brought with it."""
-        in_hand = self._running + self._waiting
-        return max((generation.brought_tokens for generation in in_hand), default=0)
+        active = self._running + self._waiting
+        return max((generation.initial_work_tokens for generation in active), default=0)
 
     def lagged_load(self) -> LoadReport:
         """Return the load as it was a lag ago."""
@@ -167,18 +167,18 @@
             generation = self._waiting.pop(0)
             digests = [prefix.digest for prefix in generation.chain]
             generation.cached_tokens = self._cache.matched_tokens(digests)
-            generation.prompt_left_tokens -= generation.cached_tokens
+            generation.remaining_prompt_tokens -= generation.cached_tokens
             self._running.append(generation)
 
     def _step(self) -> None:
         """Run one step of the batch and plan the next."""
         self._timer = None
-        ready = [running for running in self._running if running.prompt_left_tokens == 0]
+        ready = [running for running in self._running if running.remaining_prompt_tokens == 0]
         self._compute_prompts()
         ready += [
             running
             for running in self._running
-            if running.prompt_left_tokens == 0 and running not in ready
+            if running.remaining_prompt_tokens == 0 and running not in ready
         ]
         for generation in ready:
             self._produce(generation)
@@ -192,25 +192,25 @@
         """Spend the step's budget on prompts, in order of entry."""
         budget = int(self._settings.prefill_tokens_per_s * self._settings.token_interval_s)
         for generation in self._running:
-            if generation.prompt_left_tokens == 0:
+            if generation.remaining_prompt_tokens == 0:
                 continue
-            spent = min(max(budget, 0), generation.prompt_left_tokens)
-            generation.prompt_left_tokens -= spent
+            spent = min(max(budget, 0), generation.remaining_prompt_tokens)
+            generation.remaining_prompt_tokens -= spent
             budget -= spent
-            if generation.prompt_left_tokens == 0:
+            if generation.remaining_prompt_tokens == 0:
                 self._cache.store(generation.chain)
 
     def _produce(self, generation: Generation) -> None:
         """Give a generation its next token, or its end."""
         if generation.cancelled:
             return
-        index = generation.produced
+        index = generation.produced_tokens
         if index < len(generation.answer):
-            generation.produced += 1
+            generation.produced_tokens += 1
             if generation.listener is not None:
                 generation.listener(index, generation.answer[index])
-        if generation.produced == len(generation.answer) and not generation.cancelled:
+        if generation.produced_tokens == len(generation.answer) and not generation.cancelled:
             generation.finished = True
-            self._cache.store(generation.whole_chain)
+            self._cache.store(generation.full_chain)
             if generation.listener is not None:
-                generation.listener(generation.produced, None)
+                generation.listener(generation.produced_tokens, None)
--- a/packages/standins/src/damaskwind/standins/cache_events.py
+++ b/packages/standins/src/damaskwind/standins/cache_events.py
@@ -8,7 +8,7 @@
 
 __all__ = ["CacheEventLog"]
 
-_KEPT_EVENTS = 5000
+_MAX_EVENTS = 5000
 
 
 class _Event(NamedTuple):
@@ -23,28 +23,28 @@
 class CacheEventLog:
     """Keep the last events and show them after `delay_s`, a share of them never."""
 
-    def __init__(self, delay_s: float, loss_share: float, source: random.Random) -> None:
+    def __init__(self, delay_s: float, loss_share: float, rng: random.Random) -> None:
         self._delay_s = delay_s
         self._loss_share = loss_share
-        self._source = source
-        self._next = 1
-        self._events: deque[_Event] = deque(maxlen=_KEPT_EVENTS)
+        self._rng = rng
+        self._next_sequence = 1
+        self._events: deque[_Event] = deque(maxlen=_MAX_EVENTS)
 
     def record(self, now_s: float, kind: str, prefix: CachedPrefix) -> None:
         """Note an event; a lost one still takes a number."""
-        sequence = self._next
-        self._next += 1
-        if self._source.random() >= self._loss_share:
+        sequence = self._next_sequence
+        self._next_sequence += 1
+        if self._rng.random() >= self._loss_share:
             self._events.append(_Event(sequence, now_s, kind, prefix))
 
     def read(self, now_s: float, after: int) -> dict[str, Any]:
         """Return the events after a number, where to go on, and how many are lost."""
-        shown = [
+        visible = [
             event
             for event in self._events
             if event.sequence > after and event.time_s <= now_s - self._delay_s
         ]
-        last = shown[-1].sequence if shown else after
+        last = visible[-1].sequence if visible else after
         events = [
             {
                 "sequence": event.sequence,
@@ -52,6 +52,6 @@
                 "digest": event.prefix.digest,
                 "tokens": event.prefix.tokens,
             }
-            for event in shown
+            for event in visible
         ]
-        return {"next": last, "lost": last - after - len(shown), "events": events}
+        return {"next": last, "lost": last - after - len(visible), "events": events}
--- a/packages/standins/src/damaskwind/standins/crashing_target.py
+++ b/packages/standins/src/damaskwind/standins/crashing_target.py
@@ -4,7 +4,7 @@
 live: all its connections are reset, its port refuses, and after a while it
 listens again, under a new id.
 
-    target = MortalTarget(names, lambda request: b"poison" in request.body)
+    target = CrashingTarget(names, lambda request: b"poison" in request.body)
     await target.start()
 """
 
@@ -20,12 +20,12 @@
 from damaskwind.runtime.clock import read_clock
 from damaskwind.standins.scripted_target import ReceivedRequest, ScriptedTarget, plain
 
-__all__ = ["Arrival", "MortalTarget"]
+__all__ = ["Arrival", "CrashingTarget"]
 
 # A reset in place of an orderly end, as when a process dies with data in hand.
 RESET_LINGER = struct.pack("ii", 1, 0)
 
-_NUMBERS = count(1)
+_TARGET_NUMBERS = count(1)
 
 
 class Arrival(NamedTuple):
@@ -35,10 +35,10 @@
     is_fatal: bool
 
 
-class MortalTarget(ScriptedTarget):
-    """Answer after `work_s`, or end `fatal_after_s` after a fatal request began.
+class CrashingTarget(ScriptedTarget):
+    """Answer after `work_s`, or end `crash_delay_s` after a fatal request began.
 
-    `ends_s` are the times at which it ended. `target_id` changes with each life.
+    `crashes_s` are the times at which it ended. `target_id` changes with each life.
     """
 
     def __init__(
@@ -46,59 +46,59 @@
         names: HeaderNames,
         is_fatal: Callable[[ReceivedRequest], bool],
         work_s: float = 0.2,
-        fatal_after_s: float = 0.06,
-        away_s: float = 2.0,
+        crash_delay_s: float = 0.06,
+        restart_delay_s: float = 2.0,
     ) -> None:
         super().__init__(names, default=self._run)
         self.arrivals: list[Arrival] = []
-        self.ends_s: list[float] = []
-        self.is_alive = False
+        self.crashes_s: list[float] = []
+        self.is_running = False
         self.target_id = ""
         self.address: Address | None = None
         self._is_fatal = is_fatal
         self._work_s = work_s
-        self._fatal_after_s = fatal_after_s
-        self._away_s = away_s
+        self._crash_delay_s = crash_delay_s
+        self._restart_delay_s = restart_delay_s
         self._writers: set[asyncio.StreamWriter] = set()
-        self._dying: asyncio.Task | None = None
+        self._crash_task: asyncio.Task | None = None
 
     async def start(self, port: int = 0) -> Address:
         """Begin a life; the address stays the same."""
         self.address = await super().start(self.address.port if self.address else port)
-        self.target_id = f"i-{next(_NUMBERS):06x}"
-        self.is_alive = True
+        self.target_id = f"i-{next(_TARGET_NUMBERS):06x}"
+        self.is_running = True
         return self.address
 
     async def stop(self) -> None:
         """End for good."""
-        if self._dying is not None:
-            self._dying.cancel()
-            await asyncio.gather(self._dying, return_exceptions=True)
+        if self._crash_task is not None:
+            self._crash_task.cancel()
+            await asyncio.gather(self._crash_task, return_exceptions=True)
         await super().stop()
 
     async def _run(self, writer: asyncio.StreamWriter, request: ReceivedRequest) -> None:
         is_fatal = self._is_fatal(request)
         self.arrivals.append(Arrival(read_clock(), is_fatal))
         self._writers.add(writer)
-        if is_fatal and self._dying is None:
-            self._dying = asyncio.ensure_future(self._die())
+        if is_fatal and self._crash_task is None:
+            self._crash_task = asyncio.ensure_future(self._crash())
         await asyncio.sleep(self._work_s if not is_fatal else 60.0)
         await plain()(writer, request)
 
-    async def _die(self) -> None:
+    async def _crash(self) -> None:
         """End under what is in hand, and come back."""
-        await asyncio.sleep(self._fatal_after_s)
-        self.is_alive = False
-        self.ends_s.append(read_clock())
+        await asyncio.sleep(self._crash_delay_s)
+        self.is_running = False
+        self.crashes_s.append(read_clock())
         self._server.close()
         for writer in self._writers:
-            handle = writer.get_extra_info("socket")
+            sock = writer.get_extra_info("socket")
             if not writer.is_closing():
-                handle.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER)
             writer.transport.abort()
         self._writers.clear()
         for task in list(self._tasks):
             task.cancel()
-        await asyncio.sleep(self._away_s)
-        self._dying = None
+        await asyncio.sleep(self._restart_delay_s)
+        self._crash_task = None
         await self.start()
--- a/packages/standins/src/damaskwind/standins/engine.py
+++ b/packages/standins/src/damaskwind/standins/engine.py
@@ -42,7 +42,7 @@
 
 __all__ = ["EngineStandin", "canonical_messages"]
 
-_SWEEP_INTERVAL_S = 0.5
+_EXPIRY_INTERVAL_S = 0.5
 _ANSWER_FAULTS = (
     Fault.OTHERS_ID,
     Fault.OTHERS_TEXT,
@@ -78,27 +78,27 @@
         self.settings = settings
         self.oracle = Oracle()
         self.reactor = reactor
-        source = random.Random(f"{settings.seed}/{settings.target_id}")
-        self.faults = FaultPlan(source)
-        self.events = CacheEventLog(settings.event_delay_s, settings.event_loss_share, source)
+        rng = random.Random(f"{settings.seed}/{settings.target_id}")
+        self.faults = FaultPlan(rng)
+        self.events = CacheEventLog(settings.event_delay_s, settings.event_loss_share, rng)
         self.cache = PrefixCache(settings.cache_tokens, self._record_event)
         self.batch = Batch(reactor, settings, self.cache)
-        self._held: dict[str, Generation] = {}
-        self._sweeper = LoopingCall(self._sweep)
-        self._sweeper.clock = reactor
+        self._generations: dict[str, Generation] = {}
+        self._expiry_loop = LoopingCall(self._expire_generations)
+        self._expiry_loop.clock = reactor
         self.models: tuple[ModelOffer, ...] = settings.models
         self.role = "serving"
         self.highest_fencing_number = 0
         self._leaving_since_s = float("inf")
-        self.asks_rest_s = 0.0
-        self.says_leaving = False
+        self.requested_pause_s = 0.0
+        self.signals_leaving = False
         app = Klein()
         self._install_routes(app)
         install_management(app, self)
         install_control(app, self)
         self._listener = Listener(reactor, app, settings.host, settings.port)
         self.announcer = Announcer(
-            reactor, settings.announce, self._announcement(), self.batch.lagged_load
+            reactor, settings.announce, self._make_announcement(), self.batch.lagged_load
         )
 
     @property
@@ -106,7 +106,7 @@
         """Return where the engine listens, also while it is down."""
         return self._listener.address
 
-    def _announcement(self) -> TargetAnnouncement:
+    def _make_announcement(self) -> TargetAnnouncement:
         """Return the announcement without what changes."""
         settings = self.settings
         return TargetAnnouncement(
@@ -127,25 +127,25 @@
     async def start(self) -> None:
         """Listen and begin to announce."""
         self._listener.start()
-        self._sweeper.start(_SWEEP_INTERVAL_S, now=False)
+        self._expiry_loop.start(_EXPIRY_INTERVAL_S, now=False)
         self.announcer.start(announced_address(self.settings, self.address))
 
     async def stop(self) -> None:
         """Stop at once, cutting what is in progress, and say nothing about it."""
         self.announcer.stop()
-        if self._sweeper.running:
-            self._sweeper.stop()
+        if self._expiry_loop.running:
+            self._expiry_loop.stop()
         self.batch.stop()
-        self._held.clear()
+        self._generations.clear()
         await self._listener.stop()
 
-    async def come_back(self, keep_cache: bool = True) -> None:
+    async def start_next_incarnation(self, keep_cache: bool = True) -> None:
         """Start again on the same port as the next incarnation."""
         if not keep_cache:
             self.cache.clear()
         self._leaving_since_s = float("inf")
         self._listener.start()
-        self._sweeper.start(_SWEEP_INTERVAL_S, now=False)
+        self._expiry_loop.start(_EXPIRY_INTERVAL_S, now=False)
         self.announcer.restart(announced_address(self.settings, self.address))
 
     def leave(self, quiet: bool = False) -> None:
@@ -169,7 +169,7 @@
     @property
     def leave_taken_after_s(self) -> float | None:
         """Return how long after the leave began a router had taken it, `None` when none has."""
-        taken_s = self.announcer.said_leaving_s
+        taken_s = self.announcer.leaving_accepted_s
         return None if taken_s is None else round(taken_s - self._leaving_since_s, 3)
 
     @property
@@ -181,14 +181,14 @@
         """Note a cache event."""
         self.events.record(self.reactor.seconds(), kind, prefix)
 
-    def _sweep(self) -> None:
+    def _expire_generations(self) -> None:
         """Let go of generations that nobody came back for."""
         now_s = self.reactor.seconds()
-        for request_id, generation in list(self._held.items()):
+        for request_id, generation in list(self._generations.items()):
             if generation.expires_s <= now_s:
-                del self._held[request_id]
+                del self._generations[request_id]
                 if not generation.finished:
-                    self.oracle.note("abandoned")
+                    self.oracle.count_event("abandoned")
                     self.batch.cancel(generation)
 
     def _install_routes(self, app: Klein) -> None:
@@ -199,12 +199,12 @@
 
     def refuse(self, request: Any, status: int, message: str) -> bytes:
         """Refuse a request for certain."""
-        self.oracle.note("refused")
+        self.oracle.count_event("refused")
         request.setResponseCode(status)
         request.setHeader("x-verdict", "not-run")
         return answer_json(request, {"error": {"message": message, "code": "refused"}})
 
-    def _loaded(self, name: ModelName) -> bool:
+    def _is_loaded(self, name: ModelName) -> bool:
         """Tell whether a model, version and adapter are loaded."""
         return any(
             offer.model == name.model
@@ -216,7 +216,7 @@
     def _chat(self, request: Any) -> Any:
         """Take a chat."""
         leaving_for_s = self.reactor.seconds() - self._leaving_since_s
-        self.oracle.arrived(request.getHeader("x-request-id") or "", leaving_for_s)
+        self.oracle.record_arrival(request.getHeader("x-request-id") or "", leaving_for_s)
         try:
             body = json.loads(request.content.read())
             messages = canonical_messages(body["messages"])
@@ -225,27 +225,27 @@
             )
         except (ValueError, KeyError, TypeError):
             return self.refuse(request, 400, "malformed body")
-        if self.role != "serving" or not self._loaded(name):
+        if self.role != "serving" or not self._is_loaded(name):
             return self.refuse(request, 404, "not loaded here")
-        if self.faults.take(Fault.REFUSE):
+        if self.faults.consume(Fault.REFUSE):
             self.oracle.faults[Fault.REFUSE] += 1
             return self.refuse(request, 503, "no room")
-        if self.asks_rest_s:
-            request.setHeader("retry-after", str(self.asks_rest_s))
+        if self.requested_pause_s:
+            request.setHeader("retry-after", str(self.requested_pause_s))
             return self.refuse(request, 503, "wants no requests")
-        generation = self._generation(request, body, name, messages)
+        generation = self._make_generation(request, body, name, messages)
         key = _header(request, "idempotency-key")
-        self.oracle.run(generation.request_id, key, generation.chain[-1].digest)
-        self._held[generation.request_id] = generation
+        self.oracle.record_run(generation.request_id, key, generation.chain[-1].digest)
+        self._generations[generation.request_id] = generation
         return self._answer(request, body, generation)
 
-    def _generation(
+    def _make_generation(
         self, request: Any, body: dict[str, Any], name: ModelName, messages: list[Message]
     ) -> Generation:
         """Make the generation that answers a chat."""
-        asked = body.get("max_completion_tokens") or body.get("max_tokens")
+        requested_tokens = body.get("max_completion_tokens") or body.get("max_tokens")
         digests = prefix_chain(name, messages)
-        size_tokens = int(asked or self.settings.default_answer_tokens)
+        size_tokens = int(requested_tokens or self.settings.default_answer_tokens)
         answer = answer_tokens(self.settings.seed, digests[-1], size_tokens)
         messages = [*messages, Message("assistant", "".join(answer))]
         digests = prefix_chain(name, messages)
@@ -258,65 +258,65 @@
             _header(request, "x-request-id"), chain, answer, priority, str(body.get("user", ""))
         )
 
-    def _taken_faults(self) -> frozenset[Fault]:
+    def _consume_answer_faults(self) -> frozenset[Fault]:
         """Use up the faults that hit the answer at hand."""
-        taken = frozenset(fault for fault in _ANSWER_FAULTS if self.faults.take(fault))
-        self.oracle.faults.update(taken)
-        return taken
+        hit = frozenset(fault for fault in _ANSWER_FAULTS if self.faults.consume(fault))
+        self.oracle.faults.update(hit)
+        return hit
 
     def _answer(self, request: Any, body: dict[str, Any], generation: Generation) -> Any:
         """Run a generation and answer with it, or with a fault instead."""
         self.batch.submit(generation)
         for fault in (Fault.RESET_AFTER_READ, Fault.STALL):
-            if self.faults.take(fault):
+            if self.faults.consume(fault):
                 self.oracle.faults[fault] += 1
                 if fault is Fault.RESET_AFTER_READ:
                     abort_connection(request)
-                return self._wait_for(request, generation, Deferred(), None)
-        faults = self._taken_faults()
+                return self._track_end(request, generation, Deferred(), None)
+        faults = self._consume_answer_faults()
         is_others = bool(faults & {Fault.OTHERS_ID, Fault.OTHERS_TEXT})
         size_tokens = len(generation.answer)
-        limited = body.get("max_completion_tokens") or body.get("max_tokens")
+        has_limit = body.get("max_completion_tokens") or body.get("max_tokens")
         options = ReplyOptions(
             model=body["model"],
-            shown_id="another" if Fault.OTHERS_ID in faults else generation.request_id,
-            shown_answer=(
+            reply_id="another" if Fault.OTHERS_ID in faults else generation.request_id,
+            reply_tokens=(
                 answer_tokens(self.settings.seed, "another", size_tokens)
                 if is_others
                 else generation.answer
             ),
-            finish_reason="length" if limited else "stop",
+            finish_reason="length" if has_limit else "stop",
             include_usage=bool((body.get("stream_options") or {}).get("include_usage")),
-            timing_from_s=read_clock() if self.settings.show_timing else None,
+            timing_start_s=read_clock() if self.settings.show_timing else None,
             faults=faults,
         )
-        self._set_headers(request, options.shown_id)
+        self._set_headers(request, options.reply_id)
         reply = stream_reply if body.get("stream") else whole_reply
-        done, leave = reply(self.reactor, request, generation, options)
-        return self._wait_for(request, generation, done, leave)
+        done, detach = reply(self.reactor, request, generation, options)
+        return self._track_end(request, generation, done, detach)
 
-    def _set_headers(self, request: Any, shown_id: str) -> None:
+    def _set_headers(self, request: Any, reply_id: str) -> None:
         """Set the headers that every answer to a chat carries."""
         load = self.batch.lagged_load()
-        request.setHeader("x-request-id", shown_id)
-        if self.says_leaving:
+        request.setHeader("x-request-id", reply_id)
+        if self.signals_leaving:
             request.setHeader("x-leaving", "1")
         request.setHeader("x-load-tokens", str(load.load_tokens))
         request.setHeader("x-capacity-tokens", str(load.capacity_tokens))
 
-    def _wait_for(self, request: Any, generation: Generation, done: Deferred, leave: Any) -> Any:
+    def _track_end(self, request: Any, generation: Generation, done: Deferred, detach: Any) -> Any:
         """Return `done` and hold the generation for a while after its caller's end."""
 
         def finished(result: Any) -> Any:
             generation.expires_s = self.reactor.seconds() + self.settings.resume_hold_s
-            self.oracle.note("finished")
+            self.oracle.count_event("finished")
             return result
 
         def gone(failure: Any) -> None:
             generation.expires_s = self.reactor.seconds() + self.settings.resume_hold_s
-            self.oracle.note("caller_gone")
-            if leave is not None:
-                leave()
+            self.oracle.count_event("caller_gone")
+            if detach is not None:
+                detach()
 
         done.addCallback(finished)
         request.notifyFinish().addErrback(gone)
@@ -324,30 +324,30 @@
 
     def _resume(self, request: Any, request_id: str) -> Any:
         """Stream the rest of an answer that is still held."""
-        generation = self._held.get(request_id)
+        generation = self._generations.get(request_id)
         from_token = int(request.args.get(b"from_token", [b"0"])[0])
-        if generation is None or generation.cancelled or from_token > generation.produced:
+        if generation is None or generation.cancelled or from_token > generation.produced_tokens:
             request.setResponseCode(404)
             return answer_json(request, {"error": {"message": "not held", "code": "not_held"}})
-        self.oracle.note("resumed")
+        self.oracle.count_event("resumed")
         generation.expires_s = float("inf")
         options = ReplyOptions(
             model=self.models[0].model if self.models else "",
-            shown_id=request_id,
-            shown_answer=generation.answer,
+            reply_id=request_id,
+            reply_tokens=generation.answer,
             finish_reason="stop",
             include_usage=True,
             from_token=from_token,
-            faults=self._taken_faults(),
+            faults=self._consume_answer_faults(),
         )
         self._set_headers(request, request_id)
-        done, leave = stream_reply(self.reactor, request, generation, options)
-        return self._wait_for(request, generation, done, leave)
+        done, detach = stream_reply(self.reactor, request, generation, options)
+        return self._track_end(request, generation, done, detach)
 
     def _cancel(self, request: Any, request_id: str) -> None:
         """Cancel a generation, known or not."""
         request.setResponseCode(204)
-        generation = self._held.pop(request_id, None)
+        generation = self._generations.pop(request_id, None)
         if generation is not None and not generation.finished:
-            self.oracle.note("cancelled")
+            self.oracle.count_event("cancelled")
             self.batch.cancel(generation)
--- a/packages/standins/src/damaskwind/standins/engine_management.py
+++ b/packages/standins/src/damaskwind/standins/engine_management.py
@@ -35,7 +35,7 @@
     if not chain:
         request.setResponseCode(404)
         return b""
-    engine.oracle.note("kv_exported")
+    engine.oracle.count_event("kv_exported")
     request.setHeader("content-type", "application/octet-stream")
     return json.dumps(chain).encode()
 
@@ -48,7 +48,7 @@
         return engine.refuse(request, 400, "malformed cache")
     if not chain or chain[-1].digest != digest:
         return engine.refuse(request, 400, "another prefix")
-    engine.oracle.note("kv_imported")
+    engine.oracle.count_event("kv_imported")
     engine.cache.store(chain)
     request.setResponseCode(204)
     return b""
@@ -60,10 +60,10 @@
     number = int(order["fencing_number"])
     is_old = number < engine.highest_fencing_number
     if is_old and engine.settings.fencing is FencingMode.CHECKED:
-        engine.oracle.note("order_refused")
+        engine.oracle.count_event("order_refused")
         request.setResponseCode(409)
         return answer_json(request, {"highest_fencing_number": engine.highest_fencing_number})
-    engine.oracle.note("order_taken")
+    engine.oracle.count_event("order_taken")
     engine.highest_fencing_number = max(number, engine.highest_fencing_number)
     wanted = order["wanted"]
     engine.role = wanted.get("role", engine.role)
--- a/packages/standins/src/damaskwind/standins/fault_schedule.py
+++ b/packages/standins/src/damaskwind/standins/fault_schedule.py
@@ -3,24 +3,24 @@
 import random
 from typing import NamedTuple
 
-from damaskwind.standins.impairment import Direction, Impairment
+from damaskwind.standins.impairment import Impairment, LinkImpairment
 
 __all__ = ["FAULT_KINDS", "ScheduledFault", "seeded_schedule"]
 
-_BLACK = Impairment(blackhole=True)
+_BLACKHOLE = Impairment(blackhole=True)
 _SLOW = Impairment(delay_s=0.05, jitter_s=0.05)
 _LOSSY = Impairment(drop_share=0.2, reorder_share=0.2)
 _NARROW = Impairment(bytes_per_s=20_000)
 _CORRUPT = Impairment(corrupt_share=0.05)
 
-FAULT_KINDS: dict[str, Direction] = {
-    "blackhole_to_target": Direction(to_target=_BLACK),
-    "blackhole_to_caller": Direction(to_caller=_BLACK),
-    "blackhole": Direction(_BLACK, _BLACK),
-    "slow": Direction(_SLOW, _SLOW),
-    "lossy": Direction(_LOSSY, _LOSSY),
-    "narrow": Direction(_NARROW, _NARROW),
-    "corrupt": Direction(_CORRUPT, _CORRUPT),
+FAULT_KINDS: dict[str, LinkImpairment] = {
+    "blackhole_to_target": LinkImpairment(to_target=_BLACKHOLE),
+    "blackhole_to_caller": LinkImpairment(to_caller=_BLACKHOLE),
+    "blackhole": LinkImpairment(_BLACKHOLE, _BLACKHOLE),
+    "slow": LinkImpairment(_SLOW, _SLOW),
+    "lossy": LinkImpairment(_LOSSY, _LOSSY),
+    "narrow": LinkImpairment(_NARROW, _NARROW),
+    "corrupt": LinkImpairment(_CORRUPT, _CORRUPT),
 }
 
 
@@ -31,11 +31,11 @@
     end_s: float
     link: str
     kind: str
-    direction: Direction
+    direction: LinkImpairment
 
 
 def seeded_schedule(
-    source: random.Random,
+    rng: random.Random,
     links: list[str],
     duration_s: float,
     faults: int,
@@ -52,9 +52,9 @@
     """
     schedule = []
     for _ in range(faults):
-        start_s = source.uniform(0.0, duration_s)
-        end_s = min(start_s + source.uniform(0.1, longest_s), duration_s)
-        kind = source.choice(kinds)
-        link = source.choice(links)
+        start_s = rng.uniform(0.0, duration_s)
+        end_s = min(start_s + rng.uniform(0.1, longest_s), duration_s)
+        kind = rng.choice(kinds)
+        link = rng.choice(links)
         schedule.append(ScheduledFault(start_s, end_s, link, kind, FAULT_KINDS[kind]))
     return sorted(schedule)
--- a/packages/standins/src/damaskwind/standins/faults.py
+++ b/packages/standins/src/damaskwind/standins/faults.py
@@ -42,12 +42,12 @@
 
     >>> plan = FaultPlan(random.Random(1))
     >>> plan.arm(Fault.REFUSE, count=1)
-    >>> plan.take(Fault.REFUSE), plan.take(Fault.REFUSE)
+    >>> plan.consume(Fault.REFUSE), plan.consume(Fault.REFUSE)
     (True, False)
     """
 
-    def __init__(self, source: random.Random) -> None:
-        self._source = source
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._armed: dict[Fault, _Armed] = {}
 
     def arm(self, fault: Fault, count: int = 1, share: float = 1.0) -> None:
@@ -58,12 +58,12 @@
         """Show no more faults."""
         self._armed.clear()
 
-    def take(self, fault: Fault) -> bool:
+    def consume(self, fault: Fault) -> bool:
         """Tell whether the fault hits the request at hand, and use it up."""
         armed = self._armed.get(fault)
         if armed is None or armed.remaining <= 0:
             return False
-        if armed.share < 1.0 and self._source.random() >= armed.share:
+        if armed.share < 1.0 and self._rng.random() >= armed.share:
             return False
         self._armed[fault] = armed._replace(remaining=armed.remaining - 1)
         return True
--- a/packages/standins/src/damaskwind/standins/faulty_network.py
+++ b/packages/standins/src/damaskwind/standins/faulty_network.py
@@ -21,7 +21,7 @@
 from damaskwind.model.targets import Address
 from damaskwind.runtime.bridge import to_future
 from damaskwind.standins.fault_schedule import ScheduledFault
-from damaskwind.standins.impairment import Direction
+from damaskwind.standins.impairment import LinkImpairment
 from damaskwind.standins.tcp_link import TcpLink
 from damaskwind.standins.udp_link import UdpLink
 
@@ -40,21 +40,21 @@
     def add_link(self, name: str, kind: str, target: Address | None = None) -> Any:
         """Open a link; its `address` is what callers are given."""
         kinds = {"tcp": TcpLink, "udp": UdpLink}
-        source = random.Random(f"{self._seed}/{name}")
-        self.links[name] = kinds[kind](self._reactor, target, source)
+        rng = random.Random(f"{self._seed}/{name}")
+        self.links[name] = kinds[kind](self._reactor, target, rng)
         return self.links[name]
 
     def heal(self) -> None:
         """Make every link perfect again."""
         for link in self.links.values():
-            link.impair(Direction())
+            link.impair(LinkImpairment())
 
     def run_schedule(self, schedule: list[ScheduledFault]) -> None:
         """Bring about the faults of a schedule from now on."""
         for fault in schedule:
             link = self.links[fault.link]
             begin = self._reactor.callLater(fault.start_s, link.impair, fault.direction)
-            end = self._reactor.callLater(fault.end_s, link.impair, Direction())
+            end = self._reactor.callLater(fault.end_s, link.impair, LinkImpairment())
             self._timers += [begin, end]
 
     async def stop(self) -> None:
--- a/packages/standins/src/damaskwind/standins/harness.py
+++ b/packages/standins/src/damaskwind/standins/harness.py
@@ -30,7 +30,7 @@
     "HarnessError",
     "die_with_parent",
     "free_addresses",
-    "own_host",
+    "unique_loopback_host",
     "wait_until",
 ]
 
@@ -64,7 +64,7 @@
         await asyncio.sleep(_POLL_S)
 
 
-def own_host() -> str:
+def unique_loopback_host() -> str:
     """Return a loopback address that only this process listens at.
 
     On the common one, a port that was free may be taken by anyone's outgoing
@@ -76,7 +76,7 @@
 
 def free_addresses(count: int) -> list[str]:
     """Return free TCP addresses, for processes that must know each other's before they start."""
-    host = own_host()
+    host = unique_loopback_host()
     sockets = [socket.create_server((host, 0)) for _ in range(count)]
     addresses = [f"{host}:{each.getsockname()[1]}" for each in sockets]
     for each in sockets:
--- a/packages/standins/src/damaskwind/standins/history_runs.py
+++ b/packages/standins/src/damaskwind/standins/history_runs.py
@@ -1,7 +1,7 @@
 """Run a Hypothesis state machine from a seed, also with a bug put in on purpose.
 
 For tests and fuzzing only: no process of the system imports it. A machine counts
-its histories in the class attribute `made`.
+its histories in the class attribute `run_count`.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -79,18 +79,18 @@
 ) -> FuzzResult:
     """Run histories until the time or the count is used up, or one fails."""
     started_s = read_clock()
-    machine.made = 0
+    machine.run_count = 0
     failure = None
     first_failed = None
     batch = 0
-    while read_clock() - started_s < duration_s and machine.made < histories:
-        before = machine.made
+    while read_clock() - started_s < duration_s and machine.run_count < histories:
+        count_before = machine.run_count
         try:
-            run_batch(machine, steps, seed + batch, min(BATCH, histories - before))
+            run_batch(machine, steps, seed + batch, min(BATCH, histories - count_before))
         except Exception as error:  # whatever a history raises is its failure
             notes = "\n".join(getattr(error, "__notes__", ()))
             failure = f"{type(error).__name__}: {error}\n{notes}"
-            first_failed = before
+            first_failed = count_before
             break
         batch += 1
-    return FuzzResult(machine.made, read_clock() - started_s, first_failed, failure)
+    return FuzzResult(machine.run_count, read_clock() - started_s, first_failed, failure)
--- a/packages/standins/src/damaskwind/standins/impairment.py
+++ b/packages/standins/src/damaskwind/standins/impairment.py
@@ -7,7 +7,7 @@
 import random
 from typing import NamedTuple
 
-__all__ = ["Direction", "Impairment", "Shaper"]
+__all__ = ["Impairment", "LinkImpairment", "Shaper"]
 
 _NO_LIMIT = 0.0
 
@@ -30,7 +30,7 @@
     blackhole: bool = False
 
 
-class Direction(NamedTuple):
+class LinkImpairment(NamedTuple):
     """Both directions of a link: from the caller to the target, and back."""
 
     to_target: Impairment = Impairment()
@@ -40,26 +40,26 @@
 class Shaper:
     """Time and change the pieces of one direction."""
 
-    def __init__(self, source: random.Random) -> None:
-        self._source = source
-        self._free_s = 0.0
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
+        self._link_free_s = 0.0
         self._last_due_s = 0.0
         self.impairment = Impairment()
 
-    def _hit(self, share: float) -> bool:
+    def _draw(self, share: float) -> bool:
         """Draw whether something that hits a share happens."""
-        return share > 0.0 and self._source.random() < share
+        return share > 0.0 and self._rng.random() < share
 
-    def drops(self) -> bool:
+    def should_drop(self) -> bool:
         """Draw whether a datagram is lost."""
-        return self.impairment.blackhole or self._hit(self.impairment.drop_share)
+        return self.impairment.blackhole or self._draw(self.impairment.drop_share)
 
     def corrupt(self, data: bytes) -> bytes:
         """Return the data, with one bit flipped when the draw says so."""
-        if not data or not self._hit(self.impairment.corrupt_share):
+        if not data or not self._draw(self.impairment.corrupt_share):
             return data
         changed = bytearray(data)
-        changed[self._source.randrange(len(data))] ^= 1 << self._source.randrange(8)
+        changed[self._rng.randrange(len(data))] ^= 1 << self._rng.randrange(8)
         return bytes(changed)
 
     def due_s(self, now_s: float, size_bytes: int, in_order: bool) -> float:
@@ -69,14 +69,16 @@
         out two delays late, so that later ones overtake it.
         """
         impairment = self.impairment
-        delay_s = impairment.delay_s + impairment.jitter_s * self._source.random()
+        delay_s = impairment.delay_s + impairment.jitter_s * self._rng.random()
         start_s = now_s
         if impairment.bytes_per_s > _NO_LIMIT:
-            start_s = max(now_s, self._free_s)
-            self._free_s = start_s + size_bytes / impairment.bytes_per_s
-            start_s = self._free_s
+            start_s = max(now_s, self._link_free_s)
+            self._link_free_s = start_s + size_bytes / impairment.bytes_per_s
+            start_s = self._link_free_s
         if not in_order:
-            late_s = 2 * max(impairment.delay_s, 0.01) if self._hit(impairment.reorder_share) else 0
-            return start_s + delay_s + late_s
+            reorder_delay_s = (
+                2 * max(impairment.delay_s, 0.01) if self._draw(impairment.reorder_share) else 0
+            )
+            return start_s + delay_s + reorder_delay_s
         self._last_due_s = max(self._last_due_s, start_s + delay_s)
         return self._last_due_s
--- a/packages/standins/src/damaskwind/standins/jumping_clock.py
+++ b/packages/standins/src/damaskwind/standins/jumping_clock.py
@@ -10,22 +10,22 @@
 
 
 class JumpingClock:
-    """The process's clock, `ahead_s` further than it would be."""
+    """The process's clock, `offset_s` further than it would be."""
 
     def __init__(self) -> None:
-        self.ahead_s = 0.0
+        self.offset_s = 0.0
 
     def read(self) -> float:
         """Return the time."""
-        return monotonic_clock() + self.ahead_s
+        return monotonic_clock() + self.offset_s
 
     @contextmanager
-    def in_force(self) -> Iterator[None]:
+    def installed(self) -> Iterator[None]:
         """Have the process go by this clock meanwhile."""
         with clock_in_force(self.read):
             yield
 
-    def suspend(self, for_s: float) -> None:
+    def suspend(self, duration_s: float) -> None:
         """Jump ahead, as the loop notices it at its next wake."""
-        self.ahead_s += for_s
-        note_wake(for_s)
+        self.offset_s += duration_s
+        note_wake(duration_s)
--- a/packages/standins/src/damaskwind/standins/listening.py
+++ b/packages/standins/src/damaskwind/standins/listening.py
@@ -14,7 +14,7 @@
 
 __all__ = ["Listener", "abort_connection", "raw_transport"]
 
-_LINGER_NONE = struct.pack("ii", 1, 0)
+_RESET_LINGER = struct.pack("ii", 1, 0)
 
 
 class _TrackingSite(Site):
@@ -29,7 +29,7 @@
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
         """Build a connection's protocol and remember it."""
-        self.connections = [kept for kept in self.connections if _is_open(kept)]
+        self.connections = [connection for connection in self.connections if _is_open(connection)]
         protocol = super().buildProtocol(addr)
         self.connections.append(protocol)
         return protocol
@@ -88,5 +88,5 @@
     transport = raw_transport(request)
     if transport is None:
         return
-    transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NONE)
+    transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_LINGER)
     transport.abortConnection()
--- a/packages/standins/src/damaskwind/standins/narrow_links.py
+++ b/packages/standins/src/damaskwind/standins/narrow_links.py
@@ -19,7 +19,7 @@
 __all__ = ["NarrowLoop"]
 
 # What a link sends without a turn in between: a few packets.
-PIECE_BYTES = 4_096
+SEGMENT_BYTES = 4_096
 
 
 class _Link:
@@ -33,28 +33,28 @@
         self._bytes_per_s = bytes_per_s
         self._queue: deque[tuple[_NarrowTransport, bytes]] = deque()
         self._is_sending = False
-        self._free_s = 0.0
+        self._next_send_s = 0.0
 
-    def put(self, transport: "_NarrowTransport", data: bytes) -> None:
+    def enqueue(self, transport: "_NarrowTransport", data: bytes) -> None:
         """Take what a connection writes."""
-        for start in range(0, len(data), PIECE_BYTES):
-            self._queue.append((transport, data[start : start + PIECE_BYTES]))
+        for start in range(0, len(data), SEGMENT_BYTES):
+            self._queue.append((transport, data[start : start + SEGMENT_BYTES]))
         self.queued_bytes += len(data)
         if not self._is_sending:
             self._is_sending = True
-            self._free_s = max(self._free_s, self._loop.time())
+            self._next_send_s = max(self._next_send_s, self._loop.time())
             self._send()
 
     def _send(self) -> None:
         """Send the first piece, and the next when the link is free again."""
-        while self._queue and self._free_s <= self._loop.time():
+        while self._queue and self._next_send_s <= self._loop.time():
             transport, data = self._queue.popleft()
             self.queued_bytes -= len(data)
             self.sent_bytes += len(data)
-            self._free_s += len(data) / self._bytes_per_s
-            self._loop.call_at(self._free_s + self._delay_s, transport.carry, data)
+            self._next_send_s += len(data) / self._bytes_per_s
+            self._loop.call_at(self._next_send_s + self._delay_s, transport.write_from_link, data)
         if self._queue:
-            self._loop.call_at(self._free_s, self._send)
+            self._loop.call_at(self._next_send_s, self._send)
         else:
             self._is_sending = False
 
@@ -65,22 +65,22 @@
     def __init__(self, loop: "NarrowLoop", sock: Any, *arguments: Any, **options: Any) -> None:
         host = sock.getsockname()[0]
         self._link = loop.links.get(host)
-        self._waiting_bytes = 0
-        self._is_ending = False
+        self._link_queued_bytes = 0
+        self._close_requested = False
         super().__init__(loop, sock, *arguments, **options)
 
     def is_closing(self) -> bool:
         """Tell whether the connection ends, now or when all has been sent."""
-        return self._is_ending or super().is_closing()
+        return self._close_requested or super().is_closing()
 
     def write(self, data: bytes) -> None:
         """Queue at the link."""
         if self._link is None or not data:
             super().write(data)
             return
-        self._waiting_bytes += len(data)
+        self._link_queued_bytes += len(data)
         self._maybe_pause_protocol()
-        self._link.put(self, bytes(data))
+        self._link.enqueue(self, bytes(data))
 
     def writelines(self, pieces: Any) -> None:
         """Queue all pieces at the link."""
@@ -88,21 +88,21 @@
 
     def get_write_buffer_size(self) -> int:
         """Count what waits at the link too."""
-        return self._waiting_bytes + super().get_write_buffer_size()
+        return self._link_queued_bytes + super().get_write_buffer_size()
 
-    def carry(self, data: bytes) -> None:
+    def write_from_link(self, data: bytes) -> None:
         """Send what the link has let through."""
-        self._waiting_bytes -= len(data)
+        self._link_queued_bytes -= len(data)
         if not self._conn_lost:
             super().write(data)
             self._maybe_resume_protocol()
-        if self._is_ending and not self._waiting_bytes:
+        if self._close_requested and not self._link_queued_bytes:
             super().close()
 
     def close(self) -> None:
         """Close once all that was written has gone."""
-        self._is_ending = True
-        if not self._waiting_bytes:
+        self._close_requested = True
+        if not self._link_queued_bytes:
             super().close()
 
 
--- a/packages/standins/src/damaskwind/standins/network_control.py
+++ b/packages/standins/src/damaskwind/standins/network_control.py
@@ -11,7 +11,7 @@
 from damaskwind.standins.engine_management import answer_json
 from damaskwind.standins.fault_schedule import seeded_schedule
 from damaskwind.standins.faulty_network import FaultyNetwork
-from damaskwind.standins.impairment import Direction, Impairment
+from damaskwind.standins.impairment import Impairment, LinkImpairment
 from damaskwind.standins.listening import Listener
 
 __all__ = ["NetworkProcess"]
@@ -25,12 +25,12 @@
         self._seed = seed
         self._ready_file = ready_file
         app = Klein()
-        app.route("/links", methods=["POST"])(self._add)
-        app.route("/links/<name>/target", methods=["POST"])(self._retarget)
-        app.route("/links/<name>/impair", methods=["POST"])(self._impair)
-        app.route("/links/<name>/<action>", methods=["POST"])(self._act)
-        app.route("/heal", methods=["POST"])(self._heal)
-        app.route("/schedule", methods=["POST"])(self._schedule)
+        app.route("/links", methods=["POST"])(self._add_link)
+        app.route("/links/<name>/target", methods=["POST"])(self._set_target)
+        app.route("/links/<name>/impair", methods=["POST"])(self._impair_link)
+        app.route("/links/<name>/<action>", methods=["POST"])(self._run_action)
+        app.route("/heal", methods=["POST"])(self._heal_network)
+        app.route("/schedule", methods=["POST"])(self._run_schedule)
         self._listener = Listener(reactor, app, "127.0.0.1", 0)
 
     async def start(self) -> None:
@@ -43,32 +43,32 @@
         await self.network.stop()
         await self._listener.stop()
 
-    def _add(self, request: Any) -> bytes:
+    def _add_link(self, request: Any) -> bytes:
         """Open a link and return its address."""
-        order = json.loads(request.content.read())
-        target = parse_address(order["target"]) if order.get("target") else None
-        link = self.network.add_link(order["name"], order["kind"], target)
+        command = json.loads(request.content.read())
+        target = parse_address(command["target"]) if command.get("target") else None
+        link = self.network.add_link(command["name"], command["kind"], target)
         return answer_json(request, {"address": str(link.address)})
 
-    def _retarget(self, request: Any, name: str) -> bytes:
+    def _set_target(self, request: Any, name: str) -> bytes:
         """Point a link at another target."""
-        order = json.loads(request.content.read())
-        self.network.links[name].target = parse_address(order["target"])
+        command = json.loads(request.content.read())
+        self.network.links[name].target = parse_address(command["target"])
         return answer_json(request, {})
 
-    def _impair(self, request: Any, name: str) -> bytes:
+    def _impair_link(self, request: Any, name: str) -> bytes:
         """Change how a link behaves; for UDP perhaps for one `sender` only."""
-        order = json.loads(request.content.read())
-        direction = Direction(
-            Impairment(**order.get("to_target", {})), Impairment(**order.get("to_caller", {}))
+        command = json.loads(request.content.read())
+        link_impairment = LinkImpairment(
+            Impairment(**command.get("to_target", {})), Impairment(**command.get("to_caller", {}))
         )
-        if order.get("sender"):
-            self.network.links[name].impair(direction, order["sender"])
+        if command.get("sender"):
+            self.network.links[name].impair(link_impairment, command["sender"])
         else:
-            self.network.links[name].impair(direction)
+            self.network.links[name].impair(link_impairment)
         return answer_json(request, {})
 
-    def _act(self, request: Any, name: str, action: str) -> bytes:
+    def _run_action(self, request: Any, name: str, action: str) -> bytes:
         """Cut a TCP link, make it half-open, or refuse and accept new connections."""
         link = self.network.links[name]
         actions = {
@@ -80,14 +80,16 @@
         actions[action]()
         return answer_json(request, {})
 
-    def _heal(self, request: Any) -> bytes:
+    def _heal_network(self, request: Any) -> bytes:
         """Make every link perfect again."""
         self.network.heal()
         return answer_json(request, {})
 
-    def _schedule(self, request: Any) -> bytes:
+    def _run_schedule(self, request: Any) -> bytes:
         """Draw and run a schedule; return it."""
-        order = json.loads(request.content.read())
-        schedule = seeded_schedule(random.Random(order.get("seed", self._seed)), **order["draw"])
+        command = json.loads(request.content.read())
+        schedule = seeded_schedule(
+            random.Random(command.get("seed", self._seed)), **command["draw"]
+        )
         self.network.run_schedule(schedule)
         return answer_json(request, schedule)
--- a/packages/standins/src/damaskwind/standins/oracle.py
+++ b/packages/standins/src/damaskwind/standins/oracle.py
@@ -22,7 +22,7 @@
         self.grace_s = grace_s
         self.late: dict[str, float] = {}
 
-    def run(self, request_id: str, key: str, body_digest: str) -> None:
+    def record_run(self, request_id: str, key: str, body_digest: str) -> None:
         """Count that a request was taken."""
         self.events["run"] += 1
         self.runs_by_id[request_id] += 1
@@ -30,13 +30,13 @@
         if key:
             self.runs_by_key[key] += 1
 
-    def arrived(self, request_id: str, leaving_for_s: float) -> None:
+    def record_arrival(self, request_id: str, leaving_for_s: float) -> None:
         """Note a request that came when the target had been leaving for a while."""
         if leaving_for_s > self.grace_s:
             self.events["new_work_after_leaving"] += 1
             self.late[request_id] = round(leaving_for_s, 3)
 
-    def note(self, event: str, count: int = 1) -> None:
+    def count_event(self, event: str, count: int = 1) -> None:
         """Count something else, such as `finished`, `cancelled` or `refused`."""
         self.events[event] += count
 
--- a/packages/standins/src/damaskwind/standins/replies.py
+++ b/packages/standins/src/damaskwind/standins/replies.py
@@ -23,18 +23,18 @@
 
 
 class ReplyOptions(NamedTuple):
-    """How to answer: `shown_id` and `shown_answer` are another's under a fault.
+    """How to answer: `reply_id` and `reply_tokens` are another's under a fault.
 
-    With `timing_from_s`, when the request came, each chunk carries times.
+    With `timing_start_s`, when the request came, each chunk carries times.
     """
 
     model: str
-    shown_id: str
-    shown_answer: list[str]
+    reply_id: str
+    reply_tokens: list[str]
     finish_reason: str
     include_usage: bool = False
     from_token: int = 0
-    timing_from_s: float | None = None
+    timing_start_s: float | None = None
     faults: frozenset[Fault] = frozenset()
 
 
@@ -42,8 +42,8 @@
     """Return the usage of a generation."""
     return {
         "prompt_tokens": generation.prompt_tokens,
-        "completion_tokens": generation.produced,
-        "total_tokens": generation.prompt_tokens + generation.produced,
+        "completion_tokens": generation.produced_tokens,
+        "total_tokens": generation.prompt_tokens + generation.produced_tokens,
         "prompt_tokens_details": {"cached_tokens": generation.cached_tokens},
     }
 
@@ -51,7 +51,7 @@
 def _head(options: ReplyOptions, kind: str) -> dict[str, Any]:
     """Return the fields that every object of an answer begins with."""
     return {
-        "id": f"chatcmpl-{options.shown_id}",
+        "id": f"chatcmpl-{options.reply_id}",
         "object": kind,
         "created": 0,
         "model": options.model,
@@ -69,9 +69,9 @@
 ) -> bytes:
     """Return the event for one delta."""
     choice = {"index": 0, "delta": delta, "finish_reason": finish_reason}
-    if options.timing_from_s is None:
+    if options.timing_start_s is None:
         return _event(options, [choice])
-    timing = {"received_s": options.timing_from_s, "made_s": now_s}
+    timing = {"received_s": options.timing_start_s, "made_s": now_s}
     return _event(options, [choice], timing=timing)
 
 
@@ -97,36 +97,36 @@
         self._generation = generation
         self._options = options
         self.done: Deferred = Deferred()
-        self._open = True
+        self._is_open = True
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Send the tokens that are there already and listen for the rest."""
         self._request.setHeader("content-type", "text/event-stream")
-        self._generation.listener = self.hear
-        for index in range(self._options.from_token, self._generation.produced):
-            self.hear(index, self._generation.answer[index])
+        self._generation.listener = self.on_token
+        for index in range(self._options.from_token, self._generation.produced_tokens):
+            self.on_token(index, self._generation.answer[index])
         if self._generation.finished:
-            self.hear(self._generation.produced, None)
+            self.on_token(self._generation.produced_tokens, None)
 
-    def hear(self, index: int, token: str | None) -> None:
+    def on_token(self, index: int, token: str | None) -> None:
         """Take a token, or the end, of the generation."""
-        if not self._open:
+        if not self._is_open:
             return
         if token is None:
             self._end()
             return
-        delta: dict[str, str] = {"content": self._options.shown_answer[index]}
+        delta: dict[str, str] = {"content": self._options.reply_tokens[index]}
         if index == 0:
             delta["role"] = "assistant"
         self._request.write(_delta(self._options, delta, None, read_clock()))
         is_middle = index + 1 >= (len(self._generation.answer) + 1) // 2
         if Fault.CUT_ANSWER in self._options.faults and is_middle:
-            self._open = False
+            self._is_open = False
             raw_transport(self._request).loseConnection()
 
     def _end(self) -> None:
         """Send the end of the answer."""
-        self._open = False
+        self._is_open = False
         options = self._options
         self._request.write(_delta(options, {}, options.finish_reason))
         if options.include_usage:
@@ -137,9 +137,9 @@
             _send_late_answer(self._clock, self._request)
         self.done.callback(None)
 
-    def leave(self) -> None:
+    def detach(self) -> None:
         """Write no more: the caller has gone."""
-        self._open = False
+        self._is_open = False
 
 
 def stream_reply(
@@ -147,13 +147,13 @@
 ) -> tuple[Deferred, Callable[[], None]]:
     """Stream a generation; return when it is done and how to detach the caller."""
     stream = _Stream(clock, request, generation, options)
-    stream.begin()
-    return stream.done, stream.leave
+    stream.start()
+    return stream.done, stream.detach
 
 
 def _whole_body(generation: Generation, options: ReplyOptions) -> bytes:
     """Return the body of an answer that is not streamed."""
-    message = {"role": "assistant", "content": "".join(options.shown_answer)}
+    message = {"role": "assistant", "content": "".join(options.reply_tokens)}
     choice = {"index": 0, "message": message, "finish_reason": options.finish_reason}
     answer = _head(options, "chat.completion")
     answer |= {"choices": [choice], "usage": _usage(generation)}
@@ -164,9 +164,9 @@
     """Send a body with the faults asked for; tell whether the request is over."""
     if Fault.CUT_ANSWER in faults or Fault.WRONG_LENGTH in faults:
         missing = _MISSING_BYTES if Fault.WRONG_LENGTH in faults else len(body) // 2
-        shown = body if Fault.WRONG_LENGTH in faults else body[: len(body) // 2]
-        request.setHeader("content-length", str(len(shown) + missing))
-        request.write(shown)
+        sent = body if Fault.WRONG_LENGTH in faults else body[: len(body) // 2]
+        request.setHeader("content-length", str(len(sent) + missing))
+        request.write(sent)
         request.loseConnection()
         return False
     request.setHeader("content-length", str(len(body)))
@@ -182,17 +182,17 @@
     """Answer in one piece when the generation ends."""
     done: Deferred = Deferred()
 
-    def hear(index: int, token: str | None) -> None:
+    def on_token(index: int, token: str | None) -> None:
         if token is not None or done.called:
             return
         request.setHeader("content-type", "application/json")
         if send_whole(clock, request, _whole_body(generation, options), options.faults):
             done.callback(None)
 
-    def leave() -> None:
+    def detach() -> None:
         generation.listener = None
 
-    generation.listener = hear
+    generation.listener = on_token
     if generation.finished:
-        hear(generation.produced, None)
-    return done, leave
+        on_token(generation.produced_tokens, None)
+    return done, detach
--- a/packages/standins/src/damaskwind/standins/service.py
+++ b/packages/standins/src/damaskwind/standins/service.py
@@ -63,18 +63,18 @@
         self.oracle = Oracle()
         self._reactor = reactor
         self.faults = FaultPlan(random.Random(f"{settings.seed}/{settings.target_id}"))
-        self._in_hand = 0
+        self._active_calls = 0
         self._lagged = LaggedLoad(settings.load_lag_s, self._load())
         self._leaving_since_s = float("inf")
-        self.asks_rest_s = 0.0
-        self.says_leaving = False
+        self.requested_pause_s = 0.0
+        self.signals_leaving = False
         app = Klein()
         install_control(app, self)
         app.route("/", methods=_METHODS)(self._call)
         app.route("/<path:path>", methods=_METHODS)(self._call)
         self._listener = Listener(reactor, app, settings.host, settings.port)
         self.announcer = Announcer(
-            reactor, settings.announce, self._announcement(), self._lagged_load
+            reactor, settings.announce, self._make_announcement(), self._lagged_load
         )
 
     @property
@@ -84,13 +84,13 @@
 
     def _load(self) -> LoadReport:
         """Return the load of now: requests in hand."""
-        return LoadReport(self._in_hand, _CAPACITY_REQUESTS, self._in_hand, 0, 0.0)
+        return LoadReport(self._active_calls, _CAPACITY_REQUESTS, self._active_calls, 0, 0.0)
 
     def _lagged_load(self) -> LoadReport:
         """Return the load as it was a lag ago."""
         return self._lagged.read(self._reactor.seconds())
 
-    def _announcement(self) -> TargetAnnouncement:
+    def _make_announcement(self) -> TargetAnnouncement:
         """Return the announcement without what changes."""
         settings = self.settings
         return TargetAnnouncement(
@@ -116,7 +116,7 @@
         self.announcer.stop()
         await self._listener.stop()
 
-    async def come_back(self, keep_cache: bool = True) -> None:
+    async def start_next_incarnation(self, keep_cache: bool = True) -> None:
         """Start again on the same port as the next incarnation."""
         self._leaving_since_s = float("inf")
         self._listener.start()
@@ -139,26 +139,26 @@
     @property
     def is_idle(self) -> bool:
         """Tell whether nothing is in hand."""
-        return self._in_hand == 0
+        return self._active_calls == 0
 
     def _call(self, request: Any, path: str = "") -> Any:
         """Take a call, count it and answer after its duration."""
         leaving_for_s = self._reactor.seconds() - self._leaving_since_s
-        self.oracle.arrived(request.getHeader("x-request-id") or "", leaving_for_s)
-        if self.faults.take(Fault.REFUSE):
+        self.oracle.record_arrival(request.getHeader("x-request-id") or "", leaving_for_s)
+        if self.faults.consume(Fault.REFUSE):
             self.oracle.faults[Fault.REFUSE] += 1
             return self._refuse(request)
-        if self.asks_rest_s:
-            request.setHeader("retry-after", str(self.asks_rest_s))
+        if self.requested_pause_s:
+            request.setHeader("retry-after", str(self.requested_pause_s))
             return self._refuse(request)
         body = request.content.read()
-        self.oracle.run(
+        self.oracle.record_run(
             request.getHeader("x-request-id") or "",
             request.getHeader("idempotency-key") or "",
             xxhash.xxh3_128_hexdigest(body),
         )
         for fault in (Fault.RESET_AFTER_READ, Fault.STALL):
-            if self.faults.take(fault):
+            if self.faults.consume(fault):
                 self.oracle.faults[fault] += 1
                 if fault is Fault.RESET_AFTER_READ:
                     abort_connection(request)
@@ -167,7 +167,7 @@
 
     def _refuse(self, request: Any) -> bytes:
         """Refuse a call for certain."""
-        self.oracle.note("refused")
+        self.oracle.count_event("refused")
         request.setResponseCode(503)
         request.setHeader("x-verdict", "not-run")
         return b""
@@ -176,28 +176,28 @@
         """Answer a call when its duration has passed."""
         delay_s = float(request.args.get(b"delay_s", [self.settings.call_duration_s])[0])
         done: Deferred = Deferred()
-        self._change_in_hand(1)
+        self._change_active_calls(1)
         timer = self._reactor.callLater(delay_s, self._answer, request, body, done)
 
         def gone(failure: Any) -> None:
-            self.oracle.note("caller_gone")
+            self.oracle.count_event("caller_gone")
             if timer.active():
                 timer.cancel()
-                self._change_in_hand(-1)
+                self._change_active_calls(-1)
 
         request.notifyFinish().addErrback(gone)
         return done
 
-    def _change_in_hand(self, difference: int) -> None:
+    def _change_active_calls(self, difference: int) -> None:
         """Count a call in or out and note the load."""
-        self._in_hand += difference
+        self._active_calls += difference
         self._lagged.record(self._reactor.seconds(), self._load())
 
     def _answer(self, request: Any, body: bytes, done: Deferred) -> None:
         """Send the answer with the faults that hit it."""
-        self._change_in_hand(-1)
-        self.oracle.note("finished")
-        faults = frozenset(fault for fault in _ANSWER_FAULTS if self.faults.take(fault))
+        self._change_active_calls(-1)
+        self.oracle.count_event("finished")
+        faults = frozenset(fault for fault in _ANSWER_FAULTS if self.faults.consume(fault))
         self.oracle.faults.update(faults)
         request_id = request.getHeader("x-request-id") or ""
         size_bytes = int(request.args.get(b"size_bytes", [b"0"])[0])
@@ -208,7 +208,7 @@
         request.setHeader("content-type", "application/json")
         request.setHeader("x-request-id", "another" if Fault.OTHERS_ID in faults else request_id)
         request.setHeader("x-target", self.settings.target_id)
-        if self.says_leaving:
+        if self.signals_leaving:
             request.setHeader("x-leaving", "1")
         if send_whole(self._reactor, request, json.dumps(answer).encode(), faults):
             done.callback(None)
--- a/packages/standins/src/damaskwind/standins/serving.py
+++ b/packages/standins/src/damaskwind/standins/serving.py
@@ -18,13 +18,13 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        asked = asyncio.Event()
+        stop_requested = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, asked.set)
+            loop.add_signal_handler(number, stop_requested.set)
         try:
             process = build(reactor)
             await process.start()
-            await asked.wait()
+            await stop_requested.wait()
             await process.stop()
             exit_codes[0] = 0
         except Exception as error:
--- a/packages/standins/src/damaskwind/standins/signaling_target.py
+++ b/packages/standins/src/damaskwind/standins/signaling_target.py
@@ -13,75 +13,75 @@
 from damaskwind.runtime.clock import read_clock
 from damaskwind.standins.scripted_target import ReceivedRequest, ScriptedTarget, plain, stream
 
-__all__ = ["Asked", "AskingTarget"]
+__all__ = ["RequestedPause", "SignalingTarget"]
 
 _STREAM_EVENTS = 3
 
 
-class Asked(NamedTuple):
+class RequestedPause(NamedTuple):
     """A wish for rest: when it was said, and until when it holds (monotonic seconds)."""
 
     at_s: float
     until_s: float
 
 
-class AskingTarget(ScriptedTarget):
+class SignalingTarget(ScriptedTarget):
     """Answer after `work_s`; while it asks for rest, turn everybody away at once.
 
-    `arrived_s` are the times of all requests, `asked` the wishes for rest, `said_leaving_s`
-    the times of answers that said that it leaves. With `says_not_run` a request that is turned
+    `arrivals_s` are the times of all requests, `pauses` the wishes for rest, `leaving_answers_s`
+    the times of answers that said that it leaves. With `sends_not_run` a request that is turned
     away has certainly not run.
     """
 
     def __init__(self, names: HeaderNames, work_s: float = 0.02) -> None:
         super().__init__(names, default=self._answer)
-        self.arrived_s: list[float] = []
-        self.asked: list[Asked] = []
-        self.said_leaving_s: list[float] = []
+        self.arrivals_s: list[float] = []
+        self.pauses: list[RequestedPause] = []
+        self.leaving_answers_s: list[float] = []
         self.is_leaving = False
-        self.says_not_run = True
+        self.sends_not_run = True
         self.address: Address | None = None
         self._work_s = work_s
         self._retry_after = b""
-        self._asks_until_s = float("-inf")
+        self._pause_until_s = float("-inf")
 
     async def start(self, port: int = 0) -> Address:
         """Open the socket and return its address."""
         self.address = await super().start(port)
         return self.address
 
-    def ask_for_rest(self, retry_after: bytes, spell_s: float) -> None:
+    def request_pause(self, retry_after: bytes, duration_s: float) -> None:
         """Turn everybody away for a spell, each time with this Retry-After."""
         self._retry_after = retry_after
-        self._asks_until_s = read_clock() + spell_s
+        self._pause_until_s = read_clock() + duration_s
 
-    def most_in_rest(self, on_its_way_s: float) -> int:
-        """Return the most arrivals in one rest, but for its first `on_its_way_s` seconds."""
+    def max_arrivals_in_pause(self, in_flight_s: float) -> int:
+        """Return the most arrivals in one rest, but for its first `in_flight_s` seconds."""
         counts = (
-            sum(asked.at_s + on_its_way_s < at_s < asked.until_s for at_s in self.arrived_s)
-            for asked in self.asked
+            sum(pause.at_s + in_flight_s < at_s < pause.until_s for at_s in self.arrivals_s)
+            for pause in self.pauses
         )
         return max(counts, default=0)
 
     async def _answer(self, writer: asyncio.StreamWriter, request: ReceivedRequest) -> None:
-        self.arrived_s.append(read_clock())
-        if read_clock() < self._asks_until_s:
-            await self._turn_away(writer, request)
+        self.arrivals_s.append(read_clock())
+        if read_clock() < self._pause_until_s:
+            await self._reject(writer, request)
             return
         await asyncio.sleep(self._work_s)
         fields = ()
         if self.is_leaving:
             fields = (self.names.leaving + b": 1",)
-            self.said_leaving_s.append(read_clock())
+            self.leaving_answers_s.append(read_clock())
         if self.names.prompt_parts in request.headers:
             await stream(1, _STREAM_EVENTS, fields=fields)(writer, request)
         else:
             await plain(fields=fields)(writer, request)
 
-    async def _turn_away(self, writer: asyncio.StreamWriter, request: ReceivedRequest) -> None:
+    async def _reject(self, writer: asyncio.StreamWriter, request: ReceivedRequest) -> None:
         fields = [b"retry-after: " + self._retry_after]
-        if self.says_not_run:
+        if self.sends_not_run:
             fields.append(self.names.not_run + b": 1")
         now_s = read_clock()
-        self.asked.append(Asked(now_s, now_s + float(self._retry_after)))
+        self.pauses.append(RequestedPause(now_s, now_s + float(self._retry_after)))
         await plain(503, b"", tuple(fields))(writer, request)
--- a/packages/standins/src/damaskwind/standins/slow_time.py
+++ b/packages/standins/src/damaskwind/standins/slow_time.py
@@ -8,7 +8,7 @@
 process computes counts less.
 
     clock = SlowClock(3.0)
-    with clock.in_force():
+    with clock.installed():
         loop = NarrowLoop(rates, delay_s, clock)
 """
 
@@ -23,18 +23,18 @@
 
 
 class SlowClock:
-    """Seconds that the loop has waited and the process computed, through `slowness`."""
+    """Seconds that the loop has waited and the process computed, through `slowdown`."""
 
-    def __init__(self, slowness: float) -> None:
-        self.slowness = slowness
+    def __init__(self, slowdown: float) -> None:
+        self.slowdown = slowdown
         self.waited_s = 0.0
 
     def monotonic(self) -> float:
         """Return the time in slow seconds."""
-        return (time.process_time() + self.waited_s) / self.slowness
+        return (time.process_time() + self.waited_s) / self.slowdown
 
     @contextmanager
-    def in_force(self) -> Iterator[None]:
+    def installed(self) -> Iterator[None]:
         """Have the process and the loops of asyncio go by this time meanwhile."""
         real, time.monotonic = time.monotonic, self.monotonic
         try:
@@ -53,10 +53,10 @@
 
     def select(self, timeout: float | None = None) -> list:
         """Return what is ready, or nothing after the time in slow seconds."""
-        limit_s = None if timeout is None else max(timeout, 0.0) * self._clock.slowness
-        begun_s = time.perf_counter()
-        ready = super().select(limit_s)
-        waited_s = time.perf_counter() - begun_s
+        timeout_s = None if timeout is None else max(timeout, 0.0) * self._clock.slowdown
+        started_s = time.perf_counter()
+        ready = super().select(timeout_s)
+        waited_s = time.perf_counter() - started_s
         # Beyond the limit the process waited for a processor.
-        self._clock.waited_s += waited_s if limit_s is None else min(waited_s, limit_s)
+        self._clock.waited_s += waited_s if timeout_s is None else min(waited_s, timeout_s)
         return ready
--- a/packages/standins/src/damaskwind/standins/standin_control.py
+++ b/packages/standins/src/damaskwind/standins/standin_control.py
@@ -13,7 +13,7 @@
 from damaskwind.runtime.bridge import to_deferred
 from damaskwind.standins.faults import Fault
 
-__all__ = ["apply_fault", "apply_life", "install_control"]
+__all__ = ["apply_fault", "apply_lifecycle", "install_control"]
 
 _DEFAULT_DOWN_S = 2.0
 
@@ -22,29 +22,29 @@
     """Go away without a word and come back after a while."""
     await standin.stop()
     await asyncio.sleep(down_s)
-    await standin.come_back(keep_cache)
+    await standin.start_next_incarnation(keep_cache)
 
 
-def apply_fault(standin: Any, order: dict[str, Any]) -> None:
+def apply_fault(standin: Any, command: dict[str, Any]) -> None:
     """Arm the fault that an order names, or disarm all when it names none."""
-    if not order.get("fault"):
+    if not command.get("fault"):
         standin.faults.disarm()
         return
-    standin.faults.arm(Fault(order["fault"]), order.get("count", 1), order.get("share", 1.0))
+    standin.faults.arm(Fault(command["fault"]), command.get("count", 1), command.get("share", 1.0))
 
 
-async def apply_life(standin: Any, order: dict[str, Any]) -> None:
+async def apply_lifecycle(standin: Any, command: dict[str, Any]) -> None:
     """Let a stand-in leave, flap, stop or come back."""
-    keep_cache = order.get("keep_cache", True)
-    action = order["action"]
+    keep_cache = command.get("keep_cache", True)
+    action = command["action"]
     if action == "leave":
-        standin.leave(order.get("quiet", False))
+        standin.leave(command.get("quiet", False))
     elif action == "flap":
-        await _flap(standin, order.get("down_s", _DEFAULT_DOWN_S), keep_cache)
+        await _flap(standin, command.get("down_s", _DEFAULT_DOWN_S), keep_cache)
     elif action == "stop":
         await standin.stop()
     elif action == "come_back":
-        await standin.come_back(keep_cache)
+        await standin.start_next_incarnation(keep_cache)
     else:
         raise ValueError(f"unknown action '{action}'")
 
@@ -63,10 +63,11 @@
         return b"{}"
 
     @app.route("/life", methods=["POST"])
-    def life(request: Any) -> bytes:
-        order = json.loads(request.content.read())
+    def lifecycle(request: Any) -> bytes:
+        command = json.loads(request.content.read())
         # Answer first: a stand-in that stops drops the connection of this call.
         asyncio.get_event_loop().call_later(
-            0.0, lambda: to_deferred(apply_life(standin, order)).addErrback(lambda failure: None)
+            0.0,
+            lambda: to_deferred(apply_lifecycle(standin, command)).addErrback(lambda failure: None),
         )
         return b"{}"
--- a/packages/standins/src/damaskwind/standins/target_fleet.py
+++ b/packages/standins/src/damaskwind/standins/target_fleet.py
@@ -17,7 +17,7 @@
 from damaskwind.standins.listening import Listener
 from damaskwind.standins.service import ServiceStandin
 from damaskwind.standins.settings import EngineSettings, ServiceSettings
-from damaskwind.standins.standin_control import apply_fault, apply_life
+from damaskwind.standins.standin_control import apply_fault, apply_lifecycle
 
 __all__ = ["Fleet"]
 
@@ -38,7 +38,7 @@
         self._install_routes(app)
         host, port = parse_address(settings.control_address)
         self._listener = Listener(reactor, app, host, port)
-        self._sampler = LoopingCall(self._sample)
+        self._sampler = LoopingCall(self._record_sample)
         self._sampler.clock = reactor
 
     def _add_engine(self, settings: EngineSettings) -> Any:
@@ -76,7 +76,7 @@
         targets = {name: str(target.address) for name, target in self.targets.items()}
         return {"control_address": str(self._listener.address), "targets": targets}
 
-    def _sample(self) -> None:
+    def _record_sample(self) -> None:
         """Note the load of every engine now, by the clock that processes share."""
         engines = {
             name: target for name, target in self.targets.items() if hasattr(target, "batch")
@@ -95,7 +95,8 @@
                     for name, load in loads.items()
                 },
                 "largest_request_tokens": max(
-                    (engine.batch.largest_tokens() for engine in engines.values()), default=0
+                    (engine.batch.max_initial_work_tokens() for engine in engines.values()),
+                    default=0,
                 ),
                 "down": [name for name, engine in engines.items() if not engine.is_serving],
                 "load_by_user": by_user,
@@ -104,22 +105,22 @@
 
     def _install_routes(self, app: Any) -> None:
         """Add the control routes."""
-        app.route("/oracle", methods=["GET"])(self._oracles)
-        app.route("/samples", methods=["GET"])(self._shown_samples)
+        app.route("/oracle", methods=["GET"])(self._list_oracles)
+        app.route("/samples", methods=["GET"])(self._list_samples)
         app.route("/leave", methods=["POST"])(self._leave_all)
         app.route("/routers", methods=["POST"])(self._set_routers)
-        app.route("/engines", methods=["POST"])(self._join)
-        app.route("/targets/<target_id>/faults", methods=["POST"])(self._fault)
-        app.route("/targets/<target_id>/life", methods=["POST"])(self._life)
+        app.route("/engines", methods=["POST"])(self._start_engine)
+        app.route("/targets/<target_id>/faults", methods=["POST"])(self._arm_fault)
+        app.route("/targets/<target_id>/life", methods=["POST"])(self._change_lifecycle)
 
-    def _oracles(self, request: Any) -> bytes:
+    def _list_oracles(self, request: Any) -> bytes:
         """Return the counts of every target."""
         snapshots = {name: target.oracle.snapshot() for name, target in self.targets.items()}
         for name, target in self.targets.items():
             snapshots[name]["leave_taken_after_s"] = getattr(target, "leave_taken_after_s", None)
         return answer_json(request, snapshots)
 
-    def _shown_samples(self, request: Any) -> bytes:
+    def _list_samples(self, request: Any) -> bytes:
         """Return the loads over time; `from` skips the first ones."""
         first = int(request.args.get(b"from", [b"0"])[0])
         return answer_json(request, self.samples[first:])
@@ -132,7 +133,7 @@
             for target in up:
                 target.leave()
             for target in up:
-                await target.announcer.said_goodbye()
+                await target.announcer.wait_until_leaving_accepted()
             return answer_json(request, {})
 
         return to_deferred(leave())
@@ -145,7 +146,7 @@
             target.announcer.announce_now()
         return answer_json(request, {})
 
-    def _join(self, request: Any) -> Any:
+    def _start_engine(self, request: Any) -> Any:
         """Start one more engine and return its address."""
         checked = check_table(json.loads(request.content.read()), EngineSettings, "engine")
         if checked.mistakes:
@@ -161,13 +162,13 @@
 
         return to_deferred(start())
 
-    def _fault(self, request: Any, target_id: str) -> bytes:
+    def _arm_fault(self, request: Any, target_id: str) -> bytes:
         """Arm a fault at one target."""
         apply_fault(self.targets[target_id], json.loads(request.content.read()))
         return answer_json(request, {})
 
-    def _life(self, request: Any, target_id: str) -> Any:
+    def _change_lifecycle(self, request: Any, target_id: str) -> Any:
         """Let one target leave, flap, stop or come back; answer at once."""
-        order = json.loads(request.content.read())
-        to_deferred(apply_life(self.targets[target_id], order))
+        command = json.loads(request.content.read())
+        to_deferred(apply_lifecycle(self.targets[target_id], command))
         return answer_json(request, {})
--- a/packages/standins/src/damaskwind/standins/tcp_link.py
+++ b/packages/standins/src/damaskwind/standins/tcp_link.py
@@ -9,7 +9,7 @@
 from zope.interface import implementer
 
 from damaskwind.model.targets import Address
-from damaskwind.standins.impairment import Direction, Impairment, Shaper
+from damaskwind.standins.impairment import Impairment, LinkImpairment, Shaper
 
 __all__ = ["TcpLink"]
 
@@ -58,7 +58,7 @@
         while self._can_send() and self._queue[0][0] <= now_s:
             self._send(self._queue.popleft()[1])
         if self._can_send() and self._timer is None:
-            self._timer = self._clock.callLater(self._queue[0][0] - now_s, self._due)
+            self._timer = self._clock.callLater(self._queue[0][0] - now_s, self._on_timer)
 
     @property
     def has_queued(self) -> bool:
@@ -83,7 +83,7 @@
         if was_full and self._queued_bytes <= _QUEUE_LIMIT_BYTES and self.source.connected:
             self.source.resumeProducing()
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         """Send because the time has come."""
         self._timer = None
         self.flush()
@@ -110,7 +110,7 @@
         self.close()
 
 
-class _Side(Protocol):
+class _Endpoint(Protocol):
     """One end of a connection through the link."""
 
     def __init__(self, connection: "_Connection", outgoing: _Pipe) -> None:
@@ -119,7 +119,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         """Join the two ends once both are there."""
-        self._connection.side_made()
+        self._connection.endpoint_connected()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Take bytes from this end to the other."""
@@ -128,7 +128,7 @@
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         """Let the end of this side travel to the other."""
         self._outgoing.put(None)
-        self._connection.side_lost()
+        self._connection.endpoint_lost()
 
 
 class _Connection:
@@ -138,26 +138,26 @@
         self._link = link
         self.to_target = _Pipe(link.clock, link.shapers[0])
         self.to_caller = _Pipe(link.clock, link.shapers[1])
-        self.caller = _Side(self, self.to_target)
-        self.target = _Side(self, self.to_caller)
-        self._lost_sides = 0
+        self.caller = _Endpoint(self, self.to_target)
+        self.target = _Endpoint(self, self.to_caller)
+        self._lost_endpoints = 0
 
-    def side_made(self) -> None:
+    def endpoint_connected(self) -> None:
         """Connect onwards after the caller came; join when both are there."""
         if self.target.transport is None:
-            self._link.connect_onwards(self)
+            self._link.connect_to_target(self)
             return
         if self.caller.transport is not None and self.caller.transport.connected:
             self.to_target.attach(self.caller.transport, self.target.transport)
             self.to_caller.attach(self.target.transport, self.caller.transport)
 
-    def side_lost(self) -> None:
+    def endpoint_lost(self) -> None:
         """Forget the connection when both ends have gone."""
-        self._lost_sides += 1
-        if self._lost_sides == 2:
-            self._link.forget(self)
+        self._lost_endpoints += 1
+        if self._lost_endpoints == 2:
+            self._link.discard(self)
 
-    def sides(self) -> list[Any]:
+    def open_transports(self) -> list[Any]:
         """Return the transports that are open."""
         transports = [self.caller.transport, self.target.transport]
         return [each for each in transports if each is not None and each.connected]
@@ -166,10 +166,10 @@
         """Reset both ends."""
         self.to_target.close()
         self.to_caller.close()
-        for transport in self.sides():
+        for transport in self.open_transports():
             transport.abortConnection()
 
-    def drop_target_side(self) -> None:
+    def reset_target_endpoint(self) -> None:
         """Reset the target's end and leave the caller's open and silent."""
         self.to_target.close()
         self.to_caller.close()
@@ -177,7 +177,7 @@
             self.target.transport.abortConnection()
 
 
-class _Accept(ServerFactory):
+class _CallerFactory(ServerFactory):
     """Take callers."""
 
     noisy = False
@@ -190,7 +190,7 @@
         return self._link.accept()
 
 
-class _Onwards(ClientFactory):
+class _TargetFactory(ClientFactory):
     """Connect to the target for one caller."""
 
     noisy = False
@@ -205,7 +205,7 @@
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
         """Reset the caller: nobody listens behind the link."""
         self._connection.abort()
-        self._connection.side_lost()
+        self._connection.endpoint_lost()
 
 
 class TcpLink:
@@ -215,13 +215,13 @@
     `accepting` false new connections are reset.
     """
 
-    def __init__(self, reactor: Any, target: Address | None, source: random.Random) -> None:
+    def __init__(self, reactor: Any, target: Address | None, rng: random.Random) -> None:
         self.clock = reactor
         self.target = target
         self.accepting = True
-        self.shapers = (Shaper(source), Shaper(source))
+        self.shapers = (Shaper(rng), Shaper(rng))
         self.connections: list[_Connection] = []
-        self._port = reactor.listenTCP(0, _Accept(self), interface="127.0.0.1", backlog=512)
+        self._port = reactor.listenTCP(0, _CallerFactory(self), interface="127.0.0.1", backlog=512)
         self.address = Address("127.0.0.1", self._port.getHost().port)
 
     def accept(self) -> Any:
@@ -232,20 +232,20 @@
         self.connections.append(connection)
         return connection.caller
 
-    def connect_onwards(self, connection: _Connection) -> None:
+    def connect_to_target(self, connection: _Connection) -> None:
         """Connect to the target, or stay silent while the way there is black."""
         if self.shapers[0].impairment.blackhole or self.target is None:
             return
-        self.clock.connectTCP(self.target.host, self.target.port, _Onwards(connection))
+        self.clock.connectTCP(self.target.host, self.target.port, _TargetFactory(connection))
 
-    def impair(self, direction: Direction) -> None:
+    def impair(self, link_impairment: LinkImpairment) -> None:
         """Change how the link behaves from now on."""
-        was_black = self.shapers[0].impairment.blackhole
-        self.shapers[0].impairment = direction.to_target
-        self.shapers[1].impairment = direction.to_caller
+        was_blackhole = self.shapers[0].impairment.blackhole
+        self.shapers[0].impairment = link_impairment.to_target
+        self.shapers[1].impairment = link_impairment.to_caller
         for connection in self.connections:
-            if was_black and connection.target.transport is None:
-                self.connect_onwards(connection)
+            if was_blackhole and connection.target.transport is None:
+                self.connect_to_target(connection)
             connection.to_target.flush()
             connection.to_caller.flush()
 
@@ -261,9 +261,9 @@
     def half_open(self) -> None:
         """Reset every connection at the target's end only."""
         for connection in list(self.connections):
-            connection.drop_target_side()
+            connection.reset_target_endpoint()
 
-    def forget(self, connection: _Connection) -> None:
+    def discard(self, connection: _Connection) -> None:
         """Drop a connection that has ended."""
         if connection in self.connections:
             self.connections.remove(connection)
--- a/packages/standins/src/damaskwind/standins/tests/test_batching.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_batching.py
@@ -27,7 +27,7 @@
         self.clock = Clock()
         self.cache = PrefixCache(10_000)
         self.batch = Batch(self.clock, _SETTINGS, self.cache)
-        self.heard: list[tuple[float, str, str | None]] = []
+        self.received: list[tuple[float, str, str | None]] = []
 
     def _submit(self, name: str, text: str, answer: int, priority: int = 0) -> Generation:
         messages = [Message("user", text), Message("assistant", name)]
@@ -37,7 +37,7 @@
             for digest, message in zip(digests, messages, strict=True)
         ]
         generation = Generation(name, chain, ["tok "] * answer, priority)
-        generation.listener = lambda index, token: self.heard.append(
+        generation.listener = lambda index, token: self.received.append(
             (round(self.clock.seconds(), 3), name, token)
         )
         self.batch.submit(generation)
@@ -49,9 +49,9 @@
     def test_first_token_waits_for_the_prompt_and_the_rest_are_timed(self) -> None:
         self._submit("a", "x" * 796, answer=3)
         self._run(1.0)
-        times = [time_s for time_s, _, token in self.heard if token]
+        times = [time_s for time_s, _, token in self.received if token]
         self.assertEqual(times, [0.25, 0.375, 0.5])
-        self.assertIsNone(self.heard[-1][2])
+        self.assertIsNone(self.received[-1][2])
 
     def test_cached_prompt_is_not_computed_again(self) -> None:
         self._submit("a", "x" * 4000, answer=1)
@@ -67,7 +67,7 @@
         self._submit("batch", "c", answer=1, priority=2)
         self._submit("urgent", "d", answer=1, priority=0)
         self._run(3.0)
-        ends = [name for _, name, token in self.heard if token is None]
+        ends = [name for _, name, token in self.received if token is None]
         self.assertEqual(ends, ["a", "b", "urgent", "batch"])
 
     def test_load_counts_the_work_left_and_reports_it_late(self) -> None:
@@ -85,7 +85,7 @@
         self._submit("c", "c", answer=1)
         self.batch.cancel(first)
         self._run(0.5)
-        self.assertIn("c", [name for _, name, _ in self.heard])
+        self.assertIn("c", [name for _, name, _ in self.received])
         self.assertEqual(self.batch.load().waiting_requests, 0)
 
 
--- a/packages/standins/src/damaskwind/standins/tests/test_engine.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_engine.py
@@ -125,7 +125,7 @@
         engine = await self._start(_SETTINGS._replace(token_interval_s=0.05))
         messages = [Message("user", "long")]
         chat = self._chat(engine, messages, stream=True, max_tokens=1000)
-        pending = treq_task(chat)
+        pending = start_call(chat)
         await until(lambda: engine.batch.load().load_tokens > 0)
         response, _ = await self._call(engine, "DELETE", "/v1/requests/r1")
         self.assertEqual(response.code, 204)
@@ -173,7 +173,7 @@
         engine = await self._start()
         address, incarnation = engine.address, engine.announcer.incarnation
         await engine.stop()
-        await engine.come_back()
+        await engine.start_next_incarnation()
         self.assertEqual((engine.address, engine.announcer.incarnation), (address, incarnation + 1))
         response, _ = await self._chat(engine, [Message("user", "again")])
         self.assertEqual(response.code, 200)
@@ -203,7 +203,7 @@
     return to_deferred(engine.stop())
 
 
-def treq_task(coroutine: Any) -> Any:
+def start_call(coroutine: Any) -> Any:
     """Run a call beside the test."""
     import asyncio
 
--- a/packages/standins/src/damaskwind/standins/tests/test_faulty_network.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_faulty_network.py
@@ -13,9 +13,9 @@
 from damaskwind.runtime.bridge import asyncio_test, to_deferred, to_future
 from damaskwind.standins.faulty_network import FaultyNetwork
 from damaskwind.standins.harness import wait_until
-from damaskwind.standins.impairment import Direction, Impairment, Shaper
+from damaskwind.standins.impairment import Impairment, LinkImpairment, Shaper
 
-_BLACK = Impairment(blackhole=True)
+_BLACKHOLE = Impairment(blackhole=True)
 
 
 class _Echo(Protocol):
@@ -76,7 +76,7 @@
     async def test_passes_everything_in_order_through_delay_and_throttle(self) -> None:
         client = await self._open()
         slow = Impairment(delay_s=0.01, jitter_s=0.01, bytes_per_s=2_000_000)
-        self.link.impair(Direction(slow, slow))
+        self.link.impair(LinkImpairment(slow, slow))
         sent = random.Random(1).randbytes(400_000)
         client.transport.write(sent)
         await wait_until(lambda: len(client.received) >= len(sent), 10)
@@ -85,22 +85,22 @@
     @asyncio_test
     async def test_blackhole_in_one_direction_is_silent_and_heals(self) -> None:
         client = await self._open()
-        self.link.impair(Direction(to_caller=_BLACK))
+        self.link.impair(LinkImpairment(to_caller=_BLACKHOLE))
         client.transport.write(b"hello")
         connection = self.link.connections[0]
         await wait_until(lambda: connection.to_caller.has_queued, 10)
         self.assertEqual((client.received, client.lost), (b"", False))
-        self.link.impair(Direction())
+        self.link.impair(LinkImpairment())
         await wait_until(lambda: client.received == b"hello", 10)
 
     @asyncio_test
     async def test_connects_onwards_only_after_the_blackhole(self) -> None:
         await self._open()
-        self.link.impair(Direction(to_target=_BLACK))
+        self.link.impair(LinkImpairment(to_target=_BLACKHOLE))
         client = await self._connect()
         client.transport.write(b"late")
         self.assertFalse(client.lost)
-        self.link.impair(Direction())
+        self.link.impair(LinkImpairment())
         await wait_until(lambda: client.received == b"late", 10)
 
     @asyncio_test
@@ -135,13 +135,13 @@
         self.addCleanup(lambda: to_deferred(network.stop()))
         link = network.add_link("gossip", "udp", Address("127.0.0.1", ports[0].getHost().port))
         sender = Address("127.0.0.1", ports[1].getHost().port)
-        link.impair(Direction(to_target=_BLACK), str(sender))
+        link.impair(LinkImpairment(to_target=_BLACKHOLE), str(sender))
         for protocol in (blocked, free):
             protocol.transport.write(b"ping", tuple(link.address))
         await wait_until(lambda: free.received == [b"ping"], 10)
-        await wait_until(lambda: link.lost == 1, 10)
+        await wait_until(lambda: link.lost_count == 1, 10)
         self.assertEqual(echo.received, [b"ping"])
-        link.impair(Direction(), str(sender))
+        link.impair(LinkImpairment(), str(sender))
         blocked.transport.write(b"again", tuple(link.address))
         await wait_until(lambda: blocked.received == [b"again"], 10)
 
