--- a/packages/standins/src/damaskwind/standins/__init__.py
+++ b/packages/standins/src/damaskwind/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of what the system meets: engine, service, faulty network."""
+"""Simulated counterparts of the system: engines, services, clocks and faulty networks."""
--- a/packages/standins/src/damaskwind/standins/announcing.py
+++ b/packages/standins/src/damaskwind/standins/announcing.py
@@ -1,4 +1,4 @@
-"""Announce a target to one router after the other, as the balancer would."""
+"""Announce a target to the routers in turn, as through a load balancer."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 
 def announcement_body(announcement: TargetAnnouncement) -> dict[str, Any]:
-    """Return an announcement as the table that goes onto the wire."""
+    """Return the JSON table of an announcement."""
     body = announcement._asdict()
     body["address"] = announcement.address._asdict()
     body["load"] = announcement.load._asdict()
@@ -32,18 +32,19 @@
 
 
 def announced_address(settings: EngineSettings | ServiceSettings, bound: Address) -> Address:
-    """Return the address that a target gives to routers."""
+    """Return the address that a target announces; `bound` is where it listens."""
     text = settings.announced_address
     return parse_address(text) if text else bound
 
 
 class Announcer:
-    """Post a target's announcement at intervals, while it is told to.
+    """Post a target's announcement periodically, from `start` until `stop`.
 
-    It announces at `interval_s`, or later when the router that took the last
-    one asks for that. `routers` may change at any time. Targets begin at
-    different routers, drawn from their id, as a balancer would spread them. A
-    post that fails goes on to the next router at once, until each had its turn.
+    The interval is `interval_s`, or longer if the router that accepted the last
+    announcement requests that. `routers` may change at any time. The first router is
+    chosen by a hash of the target's id, which spreads targets as a load balancer does.
+    If a router does not accept a post, the next router is tried at once, each router
+    at most once.
     """
 
     def __init__(
@@ -75,20 +76,20 @@
         self._client = HTTPClient(agent)
 
     def start(self, address: Address) -> None:
-        """Begin to announce the target at `address`."""
+        """Start to announce the target at `address`."""
         self._template = self._template._replace(address=address)
         self._is_active = True
         self.announce_now()
 
     def stop(self) -> None:
-        """Announce no more; nothing is said about it, as in a crash."""
+        """Stop announcing without a notice, as in a crash."""
         self._is_active = False
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def restart(self, address: Address) -> None:
-        """Begin again as the next incarnation."""
+        """Start to announce the next incarnation."""
         self.incarnation += 1
         self._sequence = 0
         self.leaving_accepted_s = None
@@ -96,12 +97,12 @@
         self.start(address)
 
     async def wait_until_leaving_accepted(self) -> None:
-        """Wait until a router has taken the announcement of the leave."""
+        """Wait until a router has accepted an announcement with the state LEAVING."""
         while self.accepted_state is not TargetState.LEAVING:
             await asyncio.sleep(_POLL_S)
 
     def announce_now(self) -> None:
-        """Announce at once and go on from there."""
+        """Announce at once, or right after the post in progress, and restart the interval."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -114,7 +115,7 @@
         self._post_round_robin().addBoth(self._schedule_next)
 
     def _schedule_next(self, result: Any) -> None:
-        """Plan the next announcement."""
+        """Schedule the next announcement after a post."""
         self._is_posting = False
         if not self._is_active:
             return
@@ -125,12 +126,12 @@
         self._timer = self._reactor.callLater(self._next_wait_s, self._on_timer)
 
     def _on_timer(self) -> None:
-        """Announce because the interval has passed."""
+        """Announce at the end of the interval."""
         self._timer = None
         self.announce_now()
 
     def next_announcement(self) -> TargetAnnouncement:
-        """Return the announcement that is due, with the next sequence number."""
+        """Return the current announcement, with the next sequence number."""
         self._sequence += 1
         return self._template._replace(
             incarnation=self.incarnation,
@@ -142,7 +143,7 @@
 
     @inlineCallbacks
     def _post_round_robin(self) -> Deferred:
-        """Post to the next router, and past it while routers do not take it."""
+        """Post to the routers in turn until one accepts the announcement."""
         for _ in range(len(self.routers)):
             if not self._is_active or not self.routers:
                 return
@@ -152,7 +153,7 @@
                 announcement = self.next_announcement()
                 is_accepted = yield self._post(router, announcement)
             except Exception:
-                # Whatever went wrong, the balancer would give another router.
+                # On any failure, a load balancer would choose another router.
                 continue
             if is_accepted:
                 self.accepted_count += 1
@@ -163,7 +164,7 @@
 
     @inlineCallbacks
     def _post(self, router: str, announcement: TargetAnnouncement) -> Deferred:
-        """Post one announcement; return whether it was taken."""
+        """Post one announcement; return whether the router accepted it."""
         body = json.dumps(announcement_body(announcement)).encode()
         response = yield self._client.post(
             f"http://{router}{_PATH}",
--- a/packages/standins/src/damaskwind/standins/answers.py
+++ b/packages/standins/src/damaskwind/standins/answers.py
@@ -1,7 +1,7 @@
-"""Answers that follow from the seed and the request alone.
+"""Answers as a pure function of the seed and the request.
 
-A test that knows its request knows the whole answer that it must get, token by
-token, from whichever engine and router it came.
+A test can therefore compute the expected answer to a request token by token,
+independently of the engine and router that serve it.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 
 
 def count_tokens(text: str) -> int:
-    """Count the tokens of one message: four bytes each and one for its role.
+    """Return the tokens of one message: one per four bytes, and one for its role.
 
     >>> count_tokens("abcd efg")
     3
@@ -39,7 +39,7 @@
 def expected_answer(
     seed: int, name: ModelName, messages: Iterable[Message], size_tokens: int
 ) -> str:
-    """Return the text that an engine with `seed` answers to a chat.
+    """Return the text of the answer of an engine with `seed` to a chat.
 
     >>> expected_answer(1, ModelName("m", "1"), [Message("user", "hello")], 2)
     'zhs cgf '
--- a/packages/standins/src/damaskwind/standins/batching.py
+++ b/packages/standins/src/damaskwind/standins/batching.py
@@ -1,9 +1,9 @@
 """Continuous batching with token timing, priorities and cancellation.
 
-The batch steps every `token_interval_s` while it has work. In a step the
-prompts still to be computed share one budget of tokens, and each request whose
-prompt is done gets one token. Waiting requests enter by priority, then by
-arrival. The clock is injected.
+The batch steps every `token_interval_s` while it has work. In each step the
+unfinished prompts share one token budget, and each request whose prompt is
+computed gets one token. Waiting requests are admitted by priority, then in order
+of arrival. The clock is injected.
 """
 
 from collections import Counter, deque
@@ -18,12 +18,13 @@
 
 
 class Generation:
-    """One request at an engine: its prompt, its answer and how far it is.
+    """One request at an engine: its prompt, its answer and its progress.
 
-    `chain` ends with the answer as the message that a next turn repeats. The
-    `listener` gets `(index, token)` for each token and `(index, None)` at the
-    end; it is replaced when a stream is resumed. After `expires_s` the engine
-    no longer holds the generation.
+    The argument `chain` ends with the answer, as the message that the next turn of
+    the conversation repeats; the attribute `chain` is the prompt only. The
+    `listener` is called with `(index, token)` for each token and `(index, None)` at
+    the end; it is replaced when a stream is resumed. The engine drops the generation
+    after `expires_s`.
     """
 
     def __init__(
@@ -51,24 +52,24 @@
 
     @property
     def initial_work_tokens(self) -> int:
-        """Count the work that the request brought: what was not cached, and its answer."""
+        """Return the work at admission: the prompt tokens not cached, and the answer."""
         return self.prompt_tokens - self.cached_tokens + len(self.answer)
 
     @property
     def load_tokens(self) -> int:
-        """Count the work that is left."""
+        """Return the remaining work."""
         return self.remaining_prompt_tokens + len(self.answer) - self.produced_tokens
 
 
 class _Sample(NamedTuple):
-    """A load as it stood at a time."""
+    """A load report and its time."""
 
     time_s: float
     report: LoadReport
 
 
 class LaggedLoad:
-    """Show a load as it was `lag_s` ago.
+    """A history of load reports that is read with a delay of `lag_s`.
 
     >>> load = LaggedLoad(lag_s=1.0, empty=LoadReport(0, 10, 0, 0, 0.0))
     >>> load.record(5.0, LoadReport(7, 10, 1, 0, 0.0))
@@ -81,18 +82,18 @@
         self._samples: deque[_Sample] = deque([_Sample(float("-inf"), empty)])
 
     def record(self, now_s: float, report: LoadReport) -> None:
-        """Note the load of now."""
+        """Record the current load."""
         self._samples.append(_Sample(now_s, report))
 
     def read(self, now_s: float) -> LoadReport:
-        """Return the load as it stood a lag ago."""
+        """Return the load at `now_s - lag_s`."""
         while len(self._samples) > 1 and self._samples[1].time_s <= now_s - self._lag_s:
             self._samples.popleft()
         return self._samples[0].report._replace(age_s=self._lag_s)
 
 
 class Batch:
-    """Run generations on one engine."""
+    """The running and waiting generations of one engine."""
 
     def __init__(self, clock: Any, settings: EngineSettings, cache: PrefixCache) -> None:
         self._clock = clock
@@ -104,7 +105,7 @@
         self._lagged = LaggedLoad(settings.load_lag_s, self.load())
 
     def load(self) -> LoadReport:
-        """Return the load of now."""
+        """Return the current load."""
         active = self._running + self._waiting
         return LoadReport(
             load_tokens=sum(generation.load_tokens for generation in active),
@@ -115,23 +116,23 @@
         )
 
     def load_by_user(self) -> Counter[str]:
-        """Return the load of now for each user that the requests name."""
+        """Return the current load by the `user` that requests name, in tokens."""
         loads: Counter[str] = Counter()
         for generation in self._running + self._waiting:
             loads[generation.user] += generation.load_tokens
         return loads
 
     def max_initial_work_tokens(self) -> int:
-        """Return the work that the largest request in hand brought with it."""
+        """Return the largest initial work of the active requests, in tokens."""
         active = self._running + self._waiting
         return max((generation.initial_work_tokens for generation in active), default=0)
 
     def lagged_load(self) -> LoadReport:
-        """Return the load as it was a lag ago."""
+        """Return the load as it was `load_lag_s` ago."""
         return self._lagged.read(self._clock.seconds())
 
     def submit(self, generation: Generation) -> None:
-        """Take a generation; it runs when there is room."""
+        """Queue a generation; it runs once the batch has a free slot."""
         self._waiting.append(generation)
         self._waiting.sort(key=lambda waiting: waiting.priority)
         self._admit()
@@ -140,14 +141,14 @@
             self._timer = self._clock.callLater(self._settings.token_interval_s, self._step)
 
     def cancel(self, generation: Generation) -> None:
-        """Stop a generation; its listener hears no more."""
+        """Cancel a generation; its listener is not called again."""
         generation.cancelled = True
         self._running = [other for other in self._running if other is not generation]
         self._waiting = [other for other in self._waiting if other is not generation]
         self._record()
 
     def stop(self) -> None:
-        """Drop all work at once, as a crash does."""
+        """Cancel all work at once, as a crash does."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -158,11 +159,11 @@
         self._record()
 
     def _record(self) -> None:
-        """Note the load for later reports."""
+        """Record the load for delayed reports."""
         self._lagged.record(self._clock.seconds(), self.load())
 
     def _admit(self) -> None:
-        """Move waiting generations into the batch and look up their prefixes."""
+        """Move waiting generations into free slots and look up their cached prefixes."""
         while self._waiting and len(self._running) < self._settings.max_running_requests:
             generation = self._waiting.pop(0)
             digests = [prefix.digest for prefix in generation.chain]
@@ -171,7 +172,7 @@
             self._running.append(generation)
 
     def _step(self) -> None:
-        """Run one step of the batch and plan the next."""
+        """Run one step of the batch and schedule the next."""
         self._timer = None
         ready = [running for running in self._running if running.remaining_prompt_tokens == 0]
         self._compute_prompts()
@@ -189,7 +190,7 @@
             self._timer = self._clock.callLater(self._settings.token_interval_s, self._step)
 
     def _compute_prompts(self) -> None:
-        """Spend the step's budget on prompts, in order of entry."""
+        """Spend the step's token budget on prompts, in order of admission."""
         budget = int(self._settings.prefill_tokens_per_s * self._settings.token_interval_s)
         for generation in self._running:
             if generation.remaining_prompt_tokens == 0:
@@ -201,7 +202,7 @@
                 self._cache.store(generation.chain)
 
     def _produce(self, generation: Generation) -> None:
-        """Give a generation its next token, or its end."""
+        """Produce the next token of a generation; report its end after the last."""
         if generation.cancelled:
             return
         index = generation.produced_tokens
--- a/packages/standins/src/damaskwind/standins/cache_events.py
+++ b/packages/standins/src/damaskwind/standins/cache_events.py
@@ -1,4 +1,4 @@
-"""Cache events as engines publish them: late, and with gaps."""
+"""A log of cache events as engines publish them: delayed and with gaps."""
 
 import random
 from collections import deque
@@ -12,7 +12,7 @@
 
 
 class _Event(NamedTuple):
-    """One event and when it happened."""
+    """One cache event and its time."""
 
     sequence: int
     time_s: float
@@ -21,7 +21,7 @@
 
 
 class CacheEventLog:
-    """Keep the last events and show them after `delay_s`, a share of them never."""
+    """The last `_MAX_EVENTS` events, readable after `delay_s`; `loss_share` of them are lost."""
 
     def __init__(self, delay_s: float, loss_share: float, rng: random.Random) -> None:
         self._delay_s = delay_s
@@ -31,14 +31,14 @@
         self._events: deque[_Event] = deque(maxlen=_MAX_EVENTS)
 
     def record(self, now_s: float, kind: str, prefix: CachedPrefix) -> None:
-        """Note an event; a lost one still takes a number."""
+        """Record an event; a lost event still consumes a sequence number."""
         sequence = self._next_sequence
         self._next_sequence += 1
         if self._rng.random() >= self._loss_share:
             self._events.append(_Event(sequence, now_s, kind, prefix))
 
     def read(self, now_s: float, after: int) -> dict[str, Any]:
-        """Return the events after a number, where to go on, and how many are lost."""
+        """Return the events after a sequence number, the number to continue from and the loss."""
         visible = [
             event
             for event in self._events
--- a/packages/standins/src/damaskwind/standins/crashing_target.py
+++ b/packages/standins/src/damaskwind/standins/crashing_target.py
@@ -1,8 +1,7 @@
-"""A target that ends under certain requests, and comes back in a new life.
+"""A target that crashes on certain requests and restarts as a new incarnation.
 
-As soon as it runs a request that is fatal to it, its process has only so long to
-live: all its connections are reset, its port refuses, and after a while it
-listens again, under a new id.
+A fatal request crashes the target after a delay: all its connections are reset and
+its port refuses connections. After another delay it listens again, under a new id.
 
     target = CrashingTarget(names, lambda request: b"poison" in request.body)
     await target.start()
@@ -22,23 +21,23 @@
 
 __all__ = ["Arrival", "CrashingTarget"]
 
-# A reset in place of an orderly end, as when a process dies with data in hand.
+# Closes with a reset instead of a FIN, as when a process dies with unread data.
 RESET_LINGER = struct.pack("ii", 1, 0)
 
 _TARGET_NUMBERS = count(1)
 
 
 class Arrival(NamedTuple):
-    """A request that came, whether it is a fatal one, and when (monotonic seconds)."""
+    """A received request: its time (monotonic seconds) and whether it is fatal."""
 
     at_s: float
     is_fatal: bool
 
 
 class CrashingTarget(ScriptedTarget):
-    """Answer after `work_s`, or end `crash_delay_s` after a fatal request began.
+    """Answer after `work_s`, or crash `crash_delay_s` after a fatal request.
 
-    `crashes_s` are the times at which it ended. `target_id` changes with each life.
+    `crashes_s` are the times of the crashes. `target_id` changes with each incarnation.
     """
 
     def __init__(
@@ -63,14 +62,14 @@
         self._crash_task: asyncio.Task | None = None
 
     async def start(self, port: int = 0) -> Address:
-        """Begin a life; the address stays the same."""
+        """Start an incarnation; the address stays the same."""
         self.address = await super().start(self.address.port if self.address else port)
         self.target_id = f"i-{next(_TARGET_NUMBERS):06x}"
         self.is_running = True
         return self.address
 
     async def stop(self) -> None:
-        """End for good."""
+        """Stop without a restart."""
         if self._crash_task is not None:
             self._crash_task.cancel()
             await asyncio.gather(self._crash_task, return_exceptions=True)
@@ -86,7 +85,7 @@
         await plain()(writer, request)
 
     async def _crash(self) -> None:
-        """End under what is in hand, and come back."""
+        """Crash with requests in progress, and restart."""
         await asyncio.sleep(self._crash_delay_s)
         self.is_running = False
         self.crashes_s.append(read_clock())
--- a/packages/standins/src/damaskwind/standins/engine.py
+++ b/packages/standins/src/damaskwind/standins/engine.py
@@ -1,7 +1,7 @@
-"""An engine: what the router meets when it routes a chat.
+"""A simulated inference engine that serves chat completions.
 
-`EngineStandin` serves the engine's side of `docs/PROTOCOLS.md` on loopback and
-counts its own work in `oracle`. It runs inside the caller's reactor:
+`EngineStandin` implements the engine's side of `docs/PROTOCOLS.md` on loopback and
+counts its work in `oracle`. It runs inside the caller's reactor:
 
     engine = EngineStandin(EngineSettings("engine-1"))
     await engine.start()
@@ -54,7 +54,7 @@
 
 
 def canonical_messages(raw: list[dict[str, Any]]) -> list[Message]:
-    """Return the messages of a body, contents that are no text as canonical JSON."""
+    """Return the messages of a body; content that is not a string becomes canonical JSON."""
     messages = []
     for message in raw:
         content = message.get("content", "")
@@ -65,12 +65,16 @@
 
 
 def _header(request: Any, name: str) -> str:
-    """Return a header of a request, empty when it is not there."""
+    """Return a header of a request, or an empty string."""
     return request.getHeader(name) or ""
 
 
 class EngineStandin:
-    """One engine on loopback, seeded; see the module for an example."""
+    """One seeded engine on loopback; see the module for an example.
+
+    While `requested_pause_s` is positive, chats are refused with that Retry-After. With
+    `signals_leaving` every answer carries the header `x-leaving`.
+    """
 
     def __init__(self, settings: EngineSettings, reactor: Any = None) -> None:
         if reactor is None:
@@ -103,11 +107,11 @@
 
     @property
     def address(self) -> Address:
-        """Return where the engine listens, also while it is down."""
+        """Return the address of the engine, which stays the same while it is down."""
         return self._listener.address
 
     def _make_announcement(self) -> TargetAnnouncement:
-        """Return the announcement without what changes."""
+        """Return the template of the announcements."""
         settings = self.settings
         return TargetAnnouncement(
             target_id=settings.target_id,
@@ -125,13 +129,13 @@
         )
 
     async def start(self) -> None:
-        """Listen and begin to announce."""
+        """Start to listen and to announce."""
         self._listener.start()
         self._expiry_loop.start(_EXPIRY_INTERVAL_S, now=False)
         self.announcer.start(announced_address(self.settings, self.address))
 
     async def stop(self) -> None:
-        """Stop at once, cutting what is in progress, and say nothing about it."""
+        """Stop at once, as in a crash: requests are cut off and no leave is announced."""
         self.announcer.stop()
         if self._expiry_loop.running:
             self._expiry_loop.stop()
@@ -149,10 +153,10 @@
         self.announcer.restart(announced_address(self.settings, self.address))
 
     def leave(self, quiet: bool = False) -> None:
-        """Announce the leave; what is in progress goes on.
+        """Announce the leave; requests in progress continue.
 
-        A quiet leave is only noted here, so that every router goes on sending
-        work: it stands for routers that ignore a leave.
+        A quiet leave is recorded but not announced. Routers keep sending work,
+        which simulates routers that ignore a leave.
         """
         if self._leaving_since_s == float("inf"):
             self._leaving_since_s = self.reactor.seconds()
@@ -163,26 +167,26 @@
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether the engine is up and not leaving."""
+        """Return whether the engine is up and not leaving."""
         return self._listener.is_open and self._leaving_since_s == float("inf")
 
     @property
     def leave_taken_after_s(self) -> float | None:
-        """Return how long after the leave began a router had taken it, `None` when none has."""
+        """Return the time from the leave until a router accepted it, or `None` before that."""
         taken_s = self.announcer.leaving_accepted_s
         return None if taken_s is None else round(taken_s - self._leaving_since_s, 3)
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is in hand."""
+        """Return whether no request is queued or running."""
         return self.batch.load().load_tokens == 0
 
     def _record_event(self, kind: str, prefix: CachedPrefix) -> None:
-        """Note a cache event."""
+        """Record a cache event."""
         self.events.record(self.reactor.seconds(), kind, prefix)
 
     def _expire_generations(self) -> None:
-        """Let go of generations that nobody came back for."""
+        """Remove expired generations and cancel those that are unfinished."""
         now_s = self.reactor.seconds()
         for request_id, generation in list(self._generations.items()):
             if generation.expires_s <= now_s:
@@ -192,20 +196,20 @@
                     self.batch.cancel(generation)
 
     def _install_routes(self, app: Klein) -> None:
-        """Add the engine's routes to its application."""
+        """Add the routes for chats to the application."""
         app.route("/v1/chat/completions", methods=["POST"])(self._chat)
         app.route("/v1/requests/<request_id>/resume", methods=["POST"])(self._resume)
         app.route("/v1/requests/<request_id>", methods=["DELETE"])(self._cancel)
 
     def refuse(self, request: Any, status: int, message: str) -> bytes:
-        """Refuse a request for certain."""
+        """Refuse a request and report that it has not run."""
         self.oracle.count_event("refused")
         request.setResponseCode(status)
         request.setHeader("x-verdict", "not-run")
         return answer_json(request, {"error": {"message": message, "code": "refused"}})
 
     def _is_loaded(self, name: ModelName) -> bool:
-        """Tell whether a model, version and adapter are loaded."""
+        """Return whether a model, version and adapter are loaded."""
         return any(
             offer.model == name.model
             and offer.version == name.version
@@ -214,7 +218,7 @@
         )
 
     def _chat(self, request: Any) -> Any:
-        """Take a chat."""
+        """Handle a chat request."""
         leaving_for_s = self.reactor.seconds() - self._leaving_since_s
         self.oracle.record_arrival(request.getHeader("x-request-id") or "", leaving_for_s)
         try:
@@ -242,7 +246,7 @@
     def _make_generation(
         self, request: Any, body: dict[str, Any], name: ModelName, messages: list[Message]
     ) -> Generation:
-        """Make the generation that answers a chat."""
+        """Return the generation that answers a chat."""
         requested_tokens = body.get("max_completion_tokens") or body.get("max_tokens")
         digests = prefix_chain(name, messages)
         size_tokens = int(requested_tokens or self.settings.default_answer_tokens)
@@ -259,13 +263,13 @@
         )
 
     def _consume_answer_faults(self) -> frozenset[Fault]:
-        """Use up the faults that hit the answer at hand."""
+        """Return the faults that hit the current answer, and count each as used."""
         hit = frozenset(fault for fault in _ANSWER_FAULTS if self.faults.consume(fault))
         self.oracle.faults.update(hit)
         return hit
 
     def _answer(self, request: Any, body: dict[str, Any], generation: Generation) -> Any:
-        """Run a generation and answer with it, or with a fault instead."""
+        """Run a generation and send its answer, with the armed faults."""
         self.batch.submit(generation)
         for fault in (Fault.RESET_AFTER_READ, Fault.STALL):
             if self.faults.consume(fault):
@@ -296,7 +300,7 @@
         return self._track_end(request, generation, done, detach)
 
     def _set_headers(self, request: Any, reply_id: str) -> None:
-        """Set the headers that every answer to a chat carries."""
+        """Set the headers common to all answers."""
         load = self.batch.lagged_load()
         request.setHeader("x-request-id", reply_id)
         if self.signals_leaving:
@@ -305,7 +309,7 @@
         request.setHeader("x-capacity-tokens", str(load.capacity_tokens))
 
     def _track_end(self, request: Any, generation: Generation, done: Deferred, detach: Any) -> Any:
-        """Return `done` and hold the generation for a while after its caller's end."""
+        """Return `done`; keep the generation for `resume_hold_s` after its answer or caller."""
 
         def finished(result: Any) -> Any:
             generation.expires_s = self.reactor.seconds() + self.settings.resume_hold_s
@@ -323,7 +327,7 @@
         return done
 
     def _resume(self, request: Any, request_id: str) -> Any:
-        """Stream the rest of an answer that is still held."""
+        """Stream the rest of an answer whose generation has not expired."""
         generation = self._generations.get(request_id)
         from_token = int(request.args.get(b"from_token", [b"0"])[0])
         if generation is None or generation.cancelled or from_token > generation.produced_tokens:
@@ -345,7 +349,7 @@
         return self._track_end(request, generation, done, detach)
 
     def _cancel(self, request: Any, request_id: str) -> None:
-        """Cancel a generation, known or not."""
+        """Cancel a generation; an unknown id is no error."""
         request.setResponseCode(204)
         generation = self._generations.pop(request_id, None)
         if generation is not None and not generation.finished:
--- a/packages/standins/src/damaskwind/standins/engine_management.py
+++ b/packages/standins/src/damaskwind/standins/engine_management.py
@@ -1,4 +1,4 @@
-"""An engine's routes beside the chats: load, cache events, KV cache, orders."""
+"""Management routes of an engine: load, cache events, KV cache and orders."""
 
 import json
 from types import MethodType
@@ -13,24 +13,24 @@
 
 
 def answer_json(request: Any, value: Any) -> bytes:
-    """Return a JSON body and name its type."""
+    """Return a value as a JSON body and set the content type."""
     request.setHeader("content-type", "application/json")
     return json.dumps(value).encode()
 
 
 def _load(engine: Any, request: Any) -> bytes:
-    """Report the load of a while ago."""
+    """Return the load as it was `load_lag_s` ago."""
     return answer_json(request, engine.batch.lagged_load()._asdict())
 
 
 def _cache_events(engine: Any, request: Any) -> bytes:
-    """Report the cache events after a number."""
+    """Return the cache events after a sequence number."""
     after = int(request.args.get(b"after", [b"0"])[0])
     return answer_json(request, engine.events.read(engine.reactor.seconds(), after))
 
 
 def _export_kv(engine: Any, request: Any, digest: str) -> bytes:
-    """Export the cache of a prefix."""
+    """Return the cached chain of a prefix."""
     chain = engine.cache.chain(digest)
     if not chain:
         request.setResponseCode(404)
@@ -41,7 +41,7 @@
 
 
 def _import_kv(engine: Any, request: Any, digest: str) -> bytes:
-    """Import the cache of a prefix."""
+    """Store the chain of a prefix in the cache."""
     try:
         chain = [CachedPrefix(*link) for link in json.loads(request.content.read())]
     except (ValueError, TypeError):
@@ -55,7 +55,7 @@
 
 
 def _order(engine: Any, request: Any) -> bytes:
-    """Take an order for an end state, unless its number is old and that is checked."""
+    """Apply an order; refuse an old fencing number if the engine checks them."""
     order = json.loads(request.content.read())
     number = int(order["fencing_number"])
     is_old = number < engine.highest_fencing_number
@@ -77,7 +77,7 @@
 
 
 def install_management(app: Klein, engine: Any) -> None:
-    """Add the routes to the application of an engine."""
+    """Add the management routes to the application of an engine."""
     routes = (
         ("/load", "GET", _load),
         ("/cache-events", "GET", _cache_events),
@@ -86,6 +86,6 @@
         ("/orders", "POST", _order),
     )
     for path, method, handler in routes:
-        # The name under which werkzeug tells one route from another.
+        # werkzeug identifies a route by its endpoint, so it has to be unique.
         endpoint = f"{method} {path}"
         app.route(path, methods=[method], endpoint=endpoint)(MethodType(handler, engine))
--- a/packages/standins/src/damaskwind/standins/fault_schedule.py
+++ b/packages/standins/src/damaskwind/standins/fault_schedule.py
@@ -1,4 +1,4 @@
-"""A seeded schedule of faults over the links of a network; pure."""
+"""Seeded schedules of link faults, without I/O."""
 
 import random
 from typing import NamedTuple
@@ -25,7 +25,7 @@
 
 
 class ScheduledFault(NamedTuple):
-    """From `start_s` to `end_s` the link behaves as `direction` says."""
+    """A fault of one link: `direction` holds the impairments from `start_s` to `end_s`."""
 
     start_s: float
     end_s: float
@@ -42,7 +42,7 @@
     longest_s: float,
     kinds: tuple[str, ...] = tuple(FAULT_KINDS),
 ) -> list[ScheduledFault]:
-    """Draw a schedule; all faults end within `duration_s`, so that it ends healed.
+    """Draw a schedule; all faults end within `duration_s`, so that all links end unimpaired.
 
     >>> one = seeded_schedule(random.Random(1), ["a", "b"], 10.0, 3, 2.0)
     >>> one == seeded_schedule(random.Random(1), ["a", "b"], 10.0, 3, 2.0)
--- a/packages/standins/src/damaskwind/standins/faults.py
+++ b/packages/standins/src/damaskwind/standins/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a stand-in shows on demand, seeded."""
+"""Faults that a stand-in injects on demand, drawn from a seeded generator."""
 
 import random
 from enum import StrEnum
@@ -8,13 +8,13 @@
 
 
 class Fault(StrEnum):
-    """Name what a target does wrong.
+    """A kind of fault of a target.
 
     `OTHERS_ID` answers with another request's id and text, `OTHERS_TEXT` with
-    another's text under the right id, which no router can see; `CUT_ANSWER` closes
-    the connection in the middle; `WRONG_LENGTH` declares more bytes than it
-    sends; `NO_END_MARKER` ends a stream in order but without `[DONE]`;
-    `RESET_AFTER_READ` runs the request and resets without an answer;
+    another's text under the correct id, which no router can detect; `CUT_ANSWER`
+    closes the connection in the middle of the answer; `WRONG_LENGTH` declares more
+    bytes than it sends; `NO_END_MARKER` ends a stream normally but without `[DONE]`;
+    `RESET_AFTER_READ` runs the request and resets the connection without an answer;
     `LATE_EXTRA` sends a second answer on the idle connection; `REFUSE` refuses
     with `x-verdict: not-run`; `STALL` runs the request and never answers.
     """
@@ -31,7 +31,7 @@
 
 
 class _Armed(NamedTuple):
-    """How many more requests a fault may hit, and which share of them."""
+    """An armed fault: the remaining hits and the probability of each."""
 
     remaining: int
     share: float
@@ -51,15 +51,15 @@
         self._armed: dict[Fault, _Armed] = {}
 
     def arm(self, fault: Fault, count: int = 1, share: float = 1.0) -> None:
-        """Let a fault hit `share` of the requests until it has hit `count`."""
+        """Make a fault hit `share` of the requests until it has hit `count` of them."""
         self._armed[fault] = _Armed(count, share)
 
     def disarm(self) -> None:
-        """Show no more faults."""
+        """Disarm all faults."""
         self._armed.clear()
 
     def consume(self, fault: Fault) -> bool:
-        """Tell whether the fault hits the request at hand, and use it up."""
+        """Return whether the fault hits the current request, and count the hit."""
         armed = self._armed.get(fault)
         if armed is None or armed.remaining <= 0:
             return False
--- a/packages/standins/src/damaskwind/standins/faulty_network.py
+++ b/packages/standins/src/damaskwind/standins/faulty_network.py
@@ -1,4 +1,4 @@
-"""A network between processes that fails on demand.
+"""A network of proxy links that inject faults on demand.
 
 In process:
 
@@ -7,7 +7,7 @@
     link.impair(Direction(to_caller=Impairment(blackhole=True)))
     await network.stop()
 
-As a process of its own, with a control address over HTTP:
+As a process of its own, controlled over HTTP:
 
     python -m damaskwind.standins.faulty_network READY_FILE [SEED]
 """
@@ -29,7 +29,10 @@
 
 
 class FaultyNetwork:
-    """Links by name, each TCP or UDP, on loopback."""
+    """Named TCP and UDP links on loopback.
+
+    Each link draws from a generator seeded by `seed` and its name.
+    """
 
     def __init__(self, reactor: Any, seed: int = 1) -> None:
         self._reactor = reactor
@@ -38,19 +41,19 @@
         self._timers: list[Any] = []
 
     def add_link(self, name: str, kind: str, target: Address | None = None) -> Any:
-        """Open a link; its `address` is what callers are given."""
+        """Open a link to `target`; callers connect to its `address`."""
         kinds = {"tcp": TcpLink, "udp": UdpLink}
         rng = random.Random(f"{self._seed}/{name}")
         self.links[name] = kinds[kind](self._reactor, target, rng)
         return self.links[name]
 
     def heal(self) -> None:
-        """Make every link perfect again."""
+        """Remove all impairments."""
         for link in self.links.values():
             link.impair(LinkImpairment())
 
     def run_schedule(self, schedule: list[ScheduledFault]) -> None:
-        """Bring about the faults of a schedule from now on."""
+        """Inject the faults of a schedule; its times count from now."""
         for fault in schedule:
             link = self.links[fault.link]
             begin = self._reactor.callLater(fault.start_s, link.impair, fault.direction)
@@ -71,7 +74,7 @@
     from damaskwind.standins.serving import serve_until_signal
 
     def build(reactor: Any) -> Any:
-        # Imported once the asyncio reactor is there: klein brings in the default one.
+        # Imported only now, since importing klein installs the default reactor if there is none.
         from damaskwind.standins.network_control import NetworkProcess
 
         return NetworkProcess(reactor, arguments[0], seed)
--- a/packages/standins/src/damaskwind/standins/fleet.py
+++ b/packages/standins/src/damaskwind/standins/fleet.py
@@ -2,9 +2,9 @@
 
     python -m damaskwind.standins.fleet SETTINGS.toml
 
-The settings hold a `[fleet]` table, `[[fleet.engines]]` and
-`[[fleet.services]]`. A control address serves the counts of all targets, the
-load of every engine over time, and orders to single targets.
+The settings consist of a `[fleet]` table, `[[fleet.engines]]` and
+`[[fleet.services]]`. The control address returns the counts of all targets and the
+load of every engine over time, and accepts commands to single targets.
 """
 
 import sys
@@ -20,7 +20,7 @@
 
 
 class FleetSettings(NamedTuple):
-    """The stand-ins of one process; `announce` holds for all of them."""
+    """The stand-ins of one process; `announce` applies to all of them."""
 
     engines: tuple[EngineSettings, ...] = ()
     services: tuple[ServiceSettings, ...] = ()
@@ -31,7 +31,7 @@
 
 
 def read_fleet_settings(path: Path) -> FleetSettings:
-    """Read and check a settings file; raise `SettingsError` with every mistake."""
+    """Read and validate a settings file; raise `SettingsError` with all mistakes."""
     raw = tomllib.loads(path.read_text(encoding="utf-8"))
     checked = check_table(raw.get("fleet"), FleetSettings, "fleet")
     if checked.mistakes:
@@ -44,7 +44,7 @@
     from damaskwind.standins.serving import serve_until_signal
 
     def build(reactor: Any) -> Any:
-        # Imported once the asyncio reactor is there: klein brings in the default one.
+        # Imported only now, since importing klein installs the default reactor if there is none.
         from damaskwind.standins.target_fleet import Fleet
 
         return Fleet(settings, reactor)
--- a/packages/standins/src/damaskwind/standins/harness.py
+++ b/packages/standins/src/damaskwind/standins/harness.py
@@ -1,7 +1,7 @@
-"""Start real daemons as processes, for tests and benchmarks only.
+"""Start the daemons as real processes, for tests and benchmarks only.
 
-Each process writes its addresses into a ready file. The harness waits on
-conditions with deadlines and ends only what it started, by process id.
+Each process writes its addresses to a ready file. The harness polls conditions
+with deadlines and ends only the processes that it started, by process id.
 
     harness = Harness(folder)
     router = await harness.start_router("router-1", {"node": ..., "router": ...})
@@ -43,7 +43,7 @@
 
 
 class HarnessError(Exception):
-    """A process did not do in time what was waited for."""
+    """A process failed to start, or a condition did not hold before its deadline."""
 
 
 async def wait_until(
@@ -51,7 +51,10 @@
     deadline_s: float = READY_DEADLINE_S,
     what: str = "the condition",
 ) -> Any:
-    """Wait until a condition, plain or awaitable, holds; return its value."""
+    """Poll a condition, plain or awaitable, until it is true; return its value.
+
+    Raise `HarnessError`, which names `what`, after `deadline_s`.
+    """
     end_s = read_clock() + deadline_s
     while True:
         value = condition()
@@ -65,17 +68,17 @@
 
 
 def unique_loopback_host() -> str:
-    """Return a loopback address that only this process listens at.
+    """Return a loopback address of this process, derived from its id.
 
-    On the common one, a port that was free may be taken by anyone's outgoing
-    connection before a process listens there, or while it is down.
+    On 127.0.0.1 an outgoing connection of any process may take a free port before
+    the intended process listens on it, or while that process is down.
     """
     pid = os.getpid()
     return f"127.{64 + pid // 65536 % 64}.{pid // 256 % 256}.{pid % 256}"
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return free TCP addresses, for processes that must know each other's before they start."""
+    """Return free TCP addresses, for processes that need each other's address before they start."""
     host = unique_loopback_host()
     sockets = [socket.create_server((host, 0)) for _ in range(count)]
     addresses = [f"{host}:{each.getsockname()[1]}" for each in sockets]
@@ -85,12 +88,12 @@
 
 
 def die_with_parent() -> None:
-    """Let the kernel end a child whose parent was killed."""
+    """Make the kernel kill this child process when its parent dies."""
     ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class DaemonProcess:
-    """One process that the harness started; `ready` holds its addresses."""
+    """A process started by the harness; `ready` is the content of its ready file."""
 
     def __init__(self, name: str, command: list[str], folder: Path) -> None:
         self.name = name
@@ -102,7 +105,7 @@
 
     @property
     def is_started(self) -> bool:
-        """Tell whether the process was started."""
+        """Return whether the process was started."""
         return self._process is not None
 
     @property
@@ -112,11 +115,11 @@
 
     @property
     def exit_code(self) -> int | None:
-        """Return the exit code, `None` while it runs."""
+        """Return the exit code, or `None` while the process runs."""
         return self._process.poll()
 
     def log_tail(self) -> str:
-        """Return the end of what the process logged."""
+        """Return the last `_LOG_TAIL_CHARS` characters of the log."""
         return self.log_path.read_text(encoding="utf-8", errors="replace")[-_LOG_TAIL_CHARS:]
 
     async def start(self) -> None:
@@ -134,7 +137,7 @@
         self.ready = json.loads(self.ready_path.read_text(encoding="utf-8"))
 
     def _is_ready(self) -> bool:
-        """Tell whether the ready file is there; raise when the process ended."""
+        """Return whether the ready file exists; raise if the process has ended."""
         if self.exit_code is not None:
             raise HarnessError(f"{self.name} ended with {self.exit_code}:\n{self.log_tail()}")
         return self.ready_path.exists()
@@ -145,44 +148,44 @@
             self._process.send_signal(number)
 
     async def wait(self, deadline_s: float = STOP_DEADLINE_S) -> int:
-        """Wait for the end of the process and return its exit code."""
+        """Wait until the process ends and return its exit code."""
         await wait_until(lambda: self.exit_code is not None, deadline_s, f"end of {self.name}")
         return self.exit_code
 
     async def kill(self) -> None:
-        """End the process at once, as a lost VM would."""
+        """Kill the process, which simulates the loss of a VM."""
         self.send(signal.SIGKILL)
         await self.wait()
         self._process.wait()
 
     async def terminate(self, deadline_s: float = STOP_DEADLINE_S) -> int:
-        """Ask for a graceful end and return the exit code."""
+        """Request a graceful shutdown and return the exit code."""
         self.send(signal.SIGTERM)
         return await self.wait(deadline_s)
 
 
 class Harness:
-    """The processes of one test, in one folder."""
+    """The processes of one test; their files are in `folder`."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = Path(folder)
         self.processes: dict[str, DaemonProcess] = {}
 
     async def _start(self, name: str, command: list[str]) -> DaemonProcess:
-        """Start a process under a name."""
+        """Start a process and register it under `name`."""
         process = DaemonProcess(name, command, self.folder)
         self.processes[name] = process
         await process.start()
         return process
 
     def write_settings(self, name: str, table: dict[str, Any]) -> Path:
-        """Write a settings file."""
+        """Write a settings file and return its path."""
         path = self.folder / f"{name}.toml"
         path.write_text(to_toml(table), encoding="utf-8")
         return path
 
     async def _start_daemon(self, role: str, name: str, table: dict[str, Any]) -> DaemonProcess:
-        """Start `damaskwindd` in a role with settings of which the ready file is set here."""
+        """Start `damaskwindd` in a role; the path of the ready file is added to its settings."""
         ready = {"ready_file": str(self.folder / f"{name}.ready")}
         table = {**table, role: {**table[role], **ready}}
         path = self.write_settings(name, table)
@@ -197,7 +200,7 @@
         return await self._start_daemon("control", name, table)
 
     async def start_fleet(self, name: str, fleet: dict[str, Any]) -> DaemonProcess:
-        """Start stand-ins with the table `fleet`."""
+        """Start a fleet of stand-ins with the table `fleet`."""
         table = {**fleet, "ready_file": str(self.folder / f"{name}.ready")}
         path = self.write_settings(name, {"fleet": table})
         return await self._start(
@@ -205,18 +208,18 @@
         )
 
     async def start_network(self, name: str, seed: int = 1) -> DaemonProcess:
-        """Start a faulty network of its own process."""
+        """Start a faulty network as a process of its own."""
         ready = str(self.folder / f"{name}.ready")
         command = [sys.executable, "-m", "damaskwind.standins.faulty_network", ready, str(seed)]
         return await self._start(name, command)
 
     async def restart(self, name: str) -> DaemonProcess:
-        """Start a process that has ended again, with the same settings."""
+        """Restart a process that has ended, with the same settings."""
         await self.processes[name].start()
         return self.processes[name]
 
     async def stop(self) -> None:
-        """End every process that was started here."""
+        """Kill every process that was started here."""
         for process in self.processes.values():
             if process.is_started:
                 await process.kill()
--- a/packages/standins/src/damaskwind/standins/history_runs.py
+++ b/packages/standins/src/damaskwind/standins/history_runs.py
@@ -1,4 +1,4 @@
-"""Run a Hypothesis state machine from a seed, also with a bug put in on purpose.
+"""Run Hypothesis state machines from a seed, optionally with an injected bug.
 
 For tests and fuzzing only: no process of the system imports it. A machine counts
 its histories in the class attribute `run_count`.
@@ -20,7 +20,7 @@
 
 
 class SeededBug(NamedTuple):
-    """A bug put in on purpose: `replacement` stands for an attribute of `owner`."""
+    """An injected bug: `replacement` replaces an attribute of `owner`."""
 
     owner: Any
     attribute: str
@@ -28,7 +28,7 @@
 
 
 class FuzzResult(NamedTuple):
-    """What a run gave: `first_failed` is the first history of the batch that failed."""
+    """Result of a run; `first_failed` is the index of the first history of the failed batch."""
 
     histories: int
     duration_s: float
@@ -39,7 +39,7 @@
 def run_batch(
     machine: type[RuleBasedStateMachine], steps: int, seed: int | None, histories: int
 ) -> None:
-    """Run so many histories; without a seed the same ones every time."""
+    """Run `histories` histories; without a seed they are the same every time."""
     profile = settings(
         max_examples=histories,
         stateful_step_count=steps,
@@ -61,7 +61,7 @@
 
 @contextmanager
 def seeded_bug(bugs: Mapping[str, SeededBug], name: str | None) -> Iterator[None]:
-    """Put a bug in for as long as the context lasts; nothing without a name."""
+    """Inject the named bug while the context is active; `None` injects nothing."""
     if name is None:
         yield
         return
@@ -77,7 +77,7 @@
 def fuzz_histories(
     machine: Any, steps: int, seed: int, duration_s: float, histories: int
 ) -> FuzzResult:
-    """Run histories until the time or the count is used up, or one fails."""
+    """Run histories until `duration_s` or `histories` is exhausted, or one fails."""
     started_s = read_clock()
     machine.run_count = 0
     failure = None
@@ -87,7 +87,7 @@
         count_before = machine.run_count
         try:
             run_batch(machine, steps, seed + batch, min(BATCH, histories - count_before))
-        except Exception as error:  # whatever a history raises is its failure
+        except Exception as error:  # any exception of a history is a failure
             notes = "\n".join(getattr(error, "__notes__", ()))
             failure = f"{type(error).__name__}: {error}\n{notes}"
             first_failed = count_before
--- a/packages/standins/src/damaskwind/standins/impairment.py
+++ b/packages/standins/src/damaskwind/standins/impairment.py
@@ -1,7 +1,7 @@
-"""What a faulty link does to the bytes of one direction; pure.
+"""Model of the impairments of one direction of a link, without I/O.
 
-A `Shaper` turns the size of a piece of data and the time into when it goes
-out, and for datagrams also whether it does, from a seeded generator.
+A `Shaper` computes from the size and arrival time of a piece of data when it is
+sent, and draws from a seeded generator whether a datagram is lost.
 """
 
 import random
@@ -13,12 +13,12 @@
 
 
 class Impairment(NamedTuple):
-    """How one direction of a link behaves; the default is a perfect link.
+    """Impairments of one direction of a link; the default is a perfect link.
 
-    `drop_share`, `reorder_share` and `corrupt_share` count datagrams;
-    `corrupt_share` counts pieces of a TCP stream too. `blackhole` swallows
-    datagrams and holds a stream back without a word, also its end.
-    `bytes_per_s` of 0 means no limit.
+    `drop_share`, `reorder_share` and `corrupt_share` are fractions of the
+    datagrams; `corrupt_share` applies to the pieces of a TCP stream too.
+    `blackhole` drops datagrams silently and withholds a stream, including its
+    end. A `bytes_per_s` of 0 means no limit.
     """
 
     delay_s: float = 0.0
@@ -31,14 +31,14 @@
 
 
 class LinkImpairment(NamedTuple):
-    """Both directions of a link: from the caller to the target, and back."""
+    """Impairments of both directions of a link: from caller to target, and back."""
 
     to_target: Impairment = Impairment()
     to_caller: Impairment = Impairment()
 
 
 class Shaper:
-    """Time and change the pieces of one direction."""
+    """Delay, drop and corrupt the data of one direction."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -47,15 +47,15 @@
         self.impairment = Impairment()
 
     def _draw(self, share: float) -> bool:
-        """Draw whether something that hits a share happens."""
+        """Return true with probability `share`."""
         return share > 0.0 and self._rng.random() < share
 
     def should_drop(self) -> bool:
-        """Draw whether a datagram is lost."""
+        """Return whether a datagram is lost."""
         return self.impairment.blackhole or self._draw(self.impairment.drop_share)
 
     def corrupt(self, data: bytes) -> bytes:
-        """Return the data, with one bit flipped when the draw says so."""
+        """Return the data, with one random bit flipped for `corrupt_share` of the calls."""
         if not data or not self._draw(self.impairment.corrupt_share):
             return data
         changed = bytearray(data)
@@ -63,10 +63,11 @@
         return bytes(changed)
 
     def due_s(self, now_s: float, size_bytes: int, in_order: bool) -> float:
-        """Return when a piece that came now goes out.
+        """Return when a piece that arrived at `now_s` is sent.
 
-        A stream stays in order. A datagram that is drawn for reordering goes
-        out two delays late, so that later ones overtake it.
+        With `in_order`, as for a stream, pieces are never reordered. A datagram
+        drawn for reordering is sent late by twice `delay_s`, or 20 ms if that is
+        longer, so that later datagrams overtake it.
         """
         impairment = self.impairment
         delay_s = impairment.delay_s + impairment.jitter_s * self._rng.random()
--- a/packages/standins/src/damaskwind/standins/jumping_clock.py
+++ b/packages/standins/src/damaskwind/standins/jumping_clock.py
@@ -1,4 +1,4 @@
-"""A clock that jumps ahead, as a VM's does that was suspended meanwhile."""
+"""A clock that jumps ahead, like the clock of a VM that was suspended."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,22 +10,22 @@
 
 
 class JumpingClock:
-    """The process's clock, `offset_s` further than it would be."""
+    """The monotonic clock plus `offset_s`."""
 
     def __init__(self) -> None:
         self.offset_s = 0.0
 
     def read(self) -> float:
-        """Return the time."""
+        """Return the shifted time."""
         return monotonic_clock() + self.offset_s
 
     @contextmanager
     def installed(self) -> Iterator[None]:
-        """Have the process go by this clock meanwhile."""
+        """Use this clock in the process while the context is active."""
         with clock_in_force(self.read):
             yield
 
     def suspend(self, duration_s: float) -> None:
-        """Jump ahead, as the loop notices it at its next wake."""
+        """Jump ahead and report the gap, as the loop does when it wakes."""
         self.offset_s += duration_s
         note_wake(duration_s)
--- a/packages/standins/src/damaskwind/standins/listening.py
+++ b/packages/standins/src/damaskwind/standins/listening.py
@@ -1,4 +1,4 @@
-"""Listen on a port that stays the same over a flap, and break connections."""
+"""HTTP listeners that keep their port across restarts and can reset connections."""
 
 import socket
 import struct
@@ -18,7 +18,7 @@
 
 
 class _TrackingSite(Site):
-    """A site that knows its connections, so that it can drop them."""
+    """A site that tracks its connections, so that they can be dropped."""
 
     protocol = HTTPChannel
     noisy = False
@@ -28,18 +28,18 @@
         self.connections: list[Any] = []
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """Build a connection's protocol and remember it."""
+        """Build and track the protocol of a connection."""
         self.connections = [connection for connection in self.connections if _is_open(connection)]
         protocol = super().buildProtocol(addr)
         self.connections.append(protocol)
         return protocol
 
     def log(self, request: Any) -> None:
-        """Keep no access log."""
+        """Write no access log."""
 
 
 def _is_open(protocol: Any) -> bool:
-    """Tell whether a connection is still open."""
+    """Return whether a connection is open or not yet connected."""
     transport = protocol.transport
     return transport is None or transport.connected
 
@@ -55,11 +55,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether it listens."""
+        """Return whether the port is open."""
         return self._port is not None
 
     def start(self) -> None:
-        """Begin to listen; a port 0 becomes the one that was free."""
+        """Start to listen; port 0 is replaced by a free port, which later starts reuse."""
         if self._port is not None:
             return
         host, port = self.address
--- a/packages/standins/src/damaskwind/standins/narrow_links.py
+++ b/packages/standins/src/damaskwind/standins/narrow_links.py
@@ -1,9 +1,9 @@
-"""An event loop on which each loopback address sends through one narrow link.
+"""An event loop that limits the bandwidth of each loopback address.
 
-All connections of an address share its link, first come, first served, as
-those of a VM do: what one of them writes waits behind all that the others have
-written before, also when that connection has ended since. Addresses without a
-rate send at once. Bytes that a peer sends arrive by the peer's link.
+All connections of an address share one FIFO link, as those of a VM do: a write is
+sent after everything that the other connections wrote before it, even if they have
+been closed since. Addresses without a rate send at once. Received bytes are limited
+by the link of the peer that sends them.
 
     loop = NarrowLoop({"127.77.1.1": 375_000.0}, delay_s=0.002)
 """
@@ -18,12 +18,12 @@
 
 __all__ = ["NarrowLoop"]
 
-# What a link sends without a turn in between: a few packets.
+# Connections sharing a link are interleaved in segments of this size, a few packets.
 SEGMENT_BYTES = 4_096
 
 
 class _Link:
-    """The queue in front of one address's link."""
+    """The send queue of one address."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, bytes_per_s: float, delay_s: float) -> None:
         self._delay_s = delay_s
@@ -36,7 +36,7 @@
         self._next_send_s = 0.0
 
     def enqueue(self, transport: "_NarrowTransport", data: bytes) -> None:
-        """Take what a connection writes."""
+        """Queue the data that a connection writes."""
         for start in range(0, len(data), SEGMENT_BYTES):
             self._queue.append((transport, data[start : start + SEGMENT_BYTES]))
         self.queued_bytes += len(data)
@@ -46,7 +46,7 @@
             self._send()
 
     def _send(self) -> None:
-        """Send the first piece, and the next when the link is free again."""
+        """Send queued segments until the link is busy, then schedule the next send."""
         while self._queue and self._next_send_s <= self._loop.time():
             transport, data = self._queue.popleft()
             self.queued_bytes -= len(data)
@@ -60,7 +60,7 @@
 
 
 class _NarrowTransport(selector_events._SelectorSocketTransport):
-    """A connection whose writes wait for their address's link."""
+    """A connection whose writes are queued at the link of its address."""
 
     def __init__(self, loop: "NarrowLoop", sock: Any, *arguments: Any, **options: Any) -> None:
         host = sock.getsockname()[0]
@@ -70,11 +70,11 @@
         super().__init__(loop, sock, *arguments, **options)
 
     def is_closing(self) -> bool:
-        """Tell whether the connection ends, now or when all has been sent."""
+        """Return whether the connection is closed or closes once all data is sent."""
         return self._close_requested or super().is_closing()
 
     def write(self, data: bytes) -> None:
-        """Queue at the link."""
+        """Queue data at the link; write it at once if the address has none."""
         if self._link is None or not data:
             super().write(data)
             return
@@ -83,15 +83,15 @@
         self._link.enqueue(self, bytes(data))
 
     def writelines(self, pieces: Any) -> None:
-        """Queue all pieces at the link."""
+        """Queue all buffers at the link."""
         self.write(b"".join(pieces))
 
     def get_write_buffer_size(self) -> int:
-        """Count what waits at the link too."""
+        """Return the size of the write buffer, including data queued at the link."""
         return self._link_queued_bytes + super().get_write_buffer_size()
 
     def write_from_link(self, data: bytes) -> None:
-        """Send what the link has let through."""
+        """Write a segment that has passed the link, and close if that was requested."""
         self._link_queued_bytes -= len(data)
         if not self._conn_lost:
             super().write(data)
@@ -100,17 +100,17 @@
             super().close()
 
     def close(self) -> None:
-        """Close once all that was written has gone."""
+        """Close after everything written has been sent."""
         self._close_requested = True
         if not self._link_queued_bytes:
             super().close()
 
 
 class NarrowLoop(asyncio.SelectorEventLoop):
-    """A loop whose connections send by the links of their own addresses.
+    """An event loop whose connections send over the link of their local address.
 
-    `bytes_per_s` gives the rate of each address that has a narrow link, `delay_s`
-    how long bytes are under way behind it. Time passes as `clock` says, if one is given.
+    `bytes_per_s` maps each address with a limited link to its rate, and `delay_s` is
+    the latency of these links. If `clock` is given, the loop's timeouts follow it.
     """
 
     def __init__(
--- a/packages/standins/src/damaskwind/standins/network_control.py
+++ b/packages/standins/src/damaskwind/standins/network_control.py
@@ -1,4 +1,4 @@
-"""A faulty network behind a control address, as a process of its own."""
+"""HTTP control interface of a faulty network that runs as a process of its own."""
 
 import json
 import random
@@ -18,7 +18,7 @@
 
 
 class NetworkProcess:
-    """A network and its control address."""
+    """A faulty network and its control address."""
 
     def __init__(self, reactor: Any, ready_file: str, seed: int) -> None:
         self.network = FaultyNetwork(reactor, seed)
@@ -34,12 +34,12 @@
         self._listener = Listener(reactor, app, "127.0.0.1", 0)
 
     async def start(self) -> None:
-        """Open the control address and write the ready file."""
+        """Listen on the control address and write the ready file."""
         self._listener.start()
         write_ready_file(self._ready_file, {"control_address": str(self._listener.address)})
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the links and the control address."""
         await self.network.stop()
         await self._listener.stop()
 
@@ -57,7 +57,7 @@
         return answer_json(request, {})
 
     def _impair_link(self, request: Any, name: str) -> bytes:
-        """Change how a link behaves; for UDP perhaps for one `sender` only."""
+        """Impair a link; on UDP links optionally for one `sender` only."""
         command = json.loads(request.content.read())
         link_impairment = LinkImpairment(
             Impairment(**command.get("to_target", {})), Impairment(**command.get("to_caller", {}))
@@ -69,7 +69,7 @@
         return answer_json(request, {})
 
     def _run_action(self, request: Any, name: str, action: str) -> bytes:
-        """Cut a TCP link, make it half-open, or refuse and accept new connections."""
+        """Cut a TCP link, make it half-open, or refuse or accept new connections."""
         link = self.network.links[name]
         actions = {
             "cut": link.cut,
@@ -81,12 +81,12 @@
         return answer_json(request, {})
 
     def _heal_network(self, request: Any) -> bytes:
-        """Make every link perfect again."""
+        """Remove the impairments of every link."""
         self.network.heal()
         return answer_json(request, {})
 
     def _run_schedule(self, request: Any) -> bytes:
-        """Draw and run a schedule; return it."""
+        """Draw a fault schedule, start it and return it."""
         command = json.loads(request.content.read())
         schedule = seeded_schedule(
             random.Random(command.get("seed", self._seed)), **command["draw"]
--- a/packages/standins/src/damaskwind/standins/prefix_cache.py
+++ b/packages/standins/src/damaskwind/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A prompt prefix cache of limited memory with least-recently-used eviction."""
+"""A prompt prefix cache of limited size with least-recently-used eviction."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 class CachedPrefix(NamedTuple):
-    """One message of a cached prefix: its digest, its tokens, the prefix before it."""
+    """One message of a cached prefix; `parent` is the digest of the prefix before it."""
 
     digest: str
     tokens: int
@@ -17,14 +17,15 @@
 
 
 def _ignore_event(kind: str, prefix: CachedPrefix) -> None:
-    """Take no notice of an event."""
+    """Ignore a cache event."""
 
 
 class PrefixCache:
-    """Keep prefixes as chains of messages, `limit_tokens` in all.
+    """A cache of message chains that holds at most `limit_tokens` tokens.
 
-    A use touches the end of a chain first and its beginning last, so a parent
-    is always more recent than its children and the oldest entry has none.
+    A use moves the entries of a chain to the recent end from the last to the first,
+    so that a parent is always more recent than its children and the oldest entry has
+    no children.
 
     >>> cache = PrefixCache(10)
     >>> first = [CachedPrefix("a", 4), CachedPrefix("b", 4)]
@@ -50,22 +51,22 @@
         return digest in self._entries
 
     def _matched(self, digests: list[str]) -> list[str]:
-        """Return the longest cached prefix."""
+        """Return the digests of the longest cached prefix."""
         return list(takewhile(self._entries.__contains__, digests))
 
     def peek_tokens(self, digests: list[str]) -> int:
-        """Count the tokens of the longest cached prefix without using it."""
+        """Return the tokens of the longest cached prefix without marking it as used."""
         return sum(self._entries[digest].tokens for digest in self._matched(digests))
 
     def matched_tokens(self, digests: list[str]) -> int:
-        """Count the tokens of the longest cached prefix and mark it as used."""
+        """Return the tokens of the longest cached prefix and mark it as used."""
         matched = self._matched(digests)
         for digest in reversed(matched):
             self._entries.move_to_end(digest)
         return sum(self._entries[digest].tokens for digest in matched)
 
     def store(self, chain: list[CachedPrefix]) -> None:
-        """Store a chain from its first message on and evict what no longer fits."""
+        """Store a chain, which starts with its first message, and evict down to the limit."""
         for prefix in reversed(chain):
             if prefix.digest not in self._entries:
                 self._entries[prefix.digest] = prefix
@@ -76,7 +77,7 @@
             self._evict_oldest()
 
     def chain(self, digest: str) -> list[CachedPrefix]:
-        """Return the whole chain up to `digest`, empty when it is not all there."""
+        """Return the chain that ends with `digest`, or an empty list if part of it is missing."""
         links: list[CachedPrefix] = []
         while digest:
             prefix = self._entries.get(digest)
@@ -87,12 +88,12 @@
         return links[::-1]
 
     def _evict_oldest(self) -> None:
-        """Drop the least recently used entry."""
+        """Evict the least recently used entry."""
         _, prefix = self._entries.popitem(last=False)
         self.used_tokens -= prefix.tokens
         self._on_event("evicted", prefix)
 
     def clear(self) -> None:
-        """Forget everything, as a restart does."""
+        """Evict everything, as a restart does."""
         while self._entries:
             self._evict_oldest()
--- a/packages/standins/src/damaskwind/standins/replies.py
+++ b/packages/standins/src/damaskwind/standins/replies.py
@@ -1,4 +1,4 @@
-"""Write an engine's answers, whole or streamed, with the faults asked for."""
+"""Write an engine's answers, whole or streamed, with the armed faults."""
 
 import json
 from collections.abc import Callable
@@ -23,9 +23,10 @@
 
 
 class ReplyOptions(NamedTuple):
-    """How to answer: `reply_id` and `reply_tokens` are another's under a fault.
+    """How to answer; some faults set `reply_id` and `reply_tokens` of another request.
 
-    With `timing_start_s`, when the request came, each chunk carries times.
+    With `timing_start_s`, the time at which the request was received, each chunk
+    includes timing.
     """
 
     model: str
@@ -39,7 +40,7 @@
 
 
 def _usage(generation: Generation) -> dict[str, Any]:
-    """Return the usage of a generation."""
+    """Return the token usage of a generation."""
     return {
         "prompt_tokens": generation.prompt_tokens,
         "completion_tokens": generation.produced_tokens,
@@ -49,7 +50,7 @@
 
 
 def _head(options: ReplyOptions, kind: str) -> dict[str, Any]:
-    """Return the fields that every object of an answer begins with."""
+    """Return the fields common to all objects of an answer."""
     return {
         "id": f"chatcmpl-{options.reply_id}",
         "object": kind,
@@ -76,7 +77,7 @@
 
 
 def _send_late_answer(clock: Any, request: Any) -> None:
-    """Send one more answer on the connection once it is idle."""
+    """Send an unrequested answer on the connection after the actual one."""
     transport = raw_transport(request)
 
     def send() -> None:
@@ -87,7 +88,7 @@
 
 
 class _Stream:
-    """Pass the tokens of a generation to one caller as they come."""
+    """Stream the tokens of a generation to one caller as they are produced."""
 
     def __init__(
         self, clock: Any, request: Any, generation: Generation, options: ReplyOptions
@@ -100,7 +101,7 @@
         self._is_open = True
 
     def start(self) -> None:
-        """Send the tokens that are there already and listen for the rest."""
+        """Send the tokens produced so far and listen for the rest."""
         self._request.setHeader("content-type", "text/event-stream")
         self._generation.listener = self.on_token
         for index in range(self._options.from_token, self._generation.produced_tokens):
@@ -109,7 +110,7 @@
             self.on_token(self._generation.produced_tokens, None)
 
     def on_token(self, index: int, token: str | None) -> None:
-        """Take a token, or the end, of the generation."""
+        """Send a token, or the end of the answer if `token` is `None`."""
         if not self._is_open:
             return
         if token is None:
@@ -125,7 +126,7 @@
             raw_transport(self._request).loseConnection()
 
     def _end(self) -> None:
-        """Send the end of the answer."""
+        """Send the last events of the answer."""
         self._is_open = False
         options = self._options
         self._request.write(_delta(options, {}, options.finish_reason))
@@ -138,14 +139,14 @@
         self.done.callback(None)
 
     def detach(self) -> None:
-        """Write no more: the caller has gone."""
+        """Stop writing: the caller has disconnected."""
         self._is_open = False
 
 
 def stream_reply(
     clock: Any, request: Any, generation: Generation, options: ReplyOptions
 ) -> tuple[Deferred, Callable[[], None]]:
-    """Stream a generation; return when it is done and how to detach the caller."""
+    """Stream a generation; return a `Deferred` of its end and a function to detach the caller."""
     stream = _Stream(clock, request, generation, options)
     stream.start()
     return stream.done, stream.detach
@@ -161,7 +162,7 @@
 
 
 def send_whole(clock: Any, request: Any, body: bytes, faults: frozenset[Fault]) -> bool:
-    """Send a body with the faults asked for; tell whether the request is over."""
+    """Send a body with the given faults; return whether the answer is complete."""
     if Fault.CUT_ANSWER in faults or Fault.WRONG_LENGTH in faults:
         missing = _MISSING_BYTES if Fault.WRONG_LENGTH in faults else len(body) // 2
         sent = body if Fault.WRONG_LENGTH in faults else body[: len(body) // 2]
@@ -179,7 +180,7 @@
 def whole_reply(
     clock: Any, request: Any, generation: Generation, options: ReplyOptions
 ) -> tuple[Deferred, Callable[[], None]]:
-    """Answer in one piece when the generation ends."""
+    """Answer when the generation ends; the return value is as for `stream_reply`."""
     done: Deferred = Deferred()
 
     def on_token(index: int, token: str | None) -> None:
--- a/packages/standins/src/damaskwind/standins/scripted_target.py
+++ b/packages/standins/src/damaskwind/standins/scripted_target.py
@@ -1,8 +1,8 @@
-"""A target whose every byte is scripted, for answers that a library would not give.
+"""A target with scripted output, for answers that no HTTP library would send.
 
-A script is a list of steps, one for each request on any connection; after the
-last step the target answers plainly, or by a step of its own. A step gets the writer
-and the request and does with them what it likes; steps for common faults are at the end.
+A script is a list of steps; each request, on any connection, takes the next one. After
+the last step the target uses a default step. A step is called with the writer and the
+request and may write any bytes; functions that build common steps are at the end.
 """
 
 import asyncio
@@ -28,9 +28,9 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A request as the target read it; header names in lower case.
+    """A request as received; header names are in lower case.
 
-    `id_header` is the header that carries the request's id, in both directions.
+    `id_header` names the header with the request's id, in requests and answers.
     """
 
     method: bytes
@@ -44,7 +44,10 @@
 
 
 class ScriptedTarget:
-    """Listen on loopback, keep what came, and answer by the script, then by `default`."""
+    """Listen on loopback, record requests, and answer by the script, then by `default`.
+
+    `ends` records why connections ended.
+    """
 
     def __init__(
         self, names: HeaderNames, host: str = "127.0.0.1", default: Step | None = None
@@ -60,12 +63,12 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def start(self, port: int = 0) -> Address:
-        """Open the socket and return its address."""
+        """Start to listen and return the address."""
         self._server = await asyncio.start_server(self._serve, self._host, port)
         return Address(*self._server.sockets[0].getsockname()[:2])
 
     async def stop(self) -> None:
-        """Close the socket and all connections."""
+        """Stop listening and close all connections."""
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
@@ -88,7 +91,7 @@
         except (ConnectionError, h11.RemoteProtocolError) as error:
             self.ends.append(repr(error))
         except asyncio.CancelledError:
-            # Only `stop` cancels; the stream's own callback would print it as an error.
+            # Only `stop` cancels; if this propagated, asyncio's stream callback would log an error.
             self.ends.append("stopped")
         finally:
             self.ends.append("closed")
@@ -97,7 +100,7 @@
     async def _read(
         self, reader: asyncio.StreamReader, parser: h11.Connection
     ) -> ReceivedRequest | None:
-        """Read one whole request; `None` at the end of the connection."""
+        """Return the next complete request, or `None` at the end of the connection."""
         head, body = None, b""
         while True:
             event = parser.next_event()
@@ -119,7 +122,10 @@
 
 
 def _next_parser(parser: h11.Connection) -> h11.Connection:
-    """Return a parser for the next request; answers are written past the old one."""
+    """Return a parser for the next request.
+
+    Answers bypass h11, so a parser cannot be reused for the next request.
+    """
     rest, _ = parser.trailing_data
     following = h11.Connection(h11.SERVER)
     if rest:
@@ -128,14 +134,14 @@
 
 
 def _head(status: int, request: ReceivedRequest, fields: tuple[bytes, ...]) -> bytes:
-    """Return a status line and headers that echo the request's id."""
+    """Return a status line and headers, including the request's id."""
     request_id = request.headers.get(request.id_header, b"")
     lines = [b"HTTP/1.1 %d X" % status, request.id_header + b": " + request_id, *fields]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def plain(status: int = 200, body: bytes = b"whole", fields: tuple[bytes, ...] = ()) -> Step:
-    """Answer with a framed body."""
+    """Answer with a body of declared length."""
 
     async def step(writer: asyncio.StreamWriter, request: ReceivedRequest) -> None:
         length = b"content-length: %d" % len(body)
@@ -145,7 +151,7 @@
 
 
 def raw(data: bytes, then_close: bool = False) -> Step:
-    """Write these very bytes."""
+    """Write `data` unchanged, then optionally close the connection."""
 
     async def step(writer: asyncio.StreamWriter, request: ReceivedRequest) -> None:
         writer.write(data)
@@ -157,7 +163,7 @@
 
 
 def silent(for_s: float = 60.0) -> Step:
-    """Say nothing for so long, then end the connection."""
+    """Send nothing for `for_s`, then close the connection."""
 
     async def step(writer: asyncio.StreamWriter, request: ReceivedRequest) -> None:
         await asyncio.sleep(for_s)
@@ -167,7 +173,7 @@
 
 
 def event(number: int) -> bytes:
-    """Return one event of a stream."""
+    """Return one server-sent event."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
@@ -176,7 +182,7 @@
 
 
 def stream(first: int, last: int, pause_s: float = 0.0, fields: tuple[bytes, ...] = ()) -> Step:
-    """Stream whole events from `first` to `last` and end the stream."""
+    """Stream complete events from `first` to `last` and end the stream."""
 
     async def step(writer: asyncio.StreamWriter, request: ReceivedRequest) -> None:
         writer.write(_head(200, request, (b"transfer-encoding: chunked", *fields)))
@@ -190,7 +196,7 @@
 
 
 def cut_stream(first: int, last: int, tail: bytes = b"") -> Step:
-    """Stream events and a part of another, then end the connection."""
+    """Stream events and the partial event `tail`, then close the connection."""
 
     async def step(writer: asyncio.StreamWriter, request: ReceivedRequest) -> None:
         writer.write(_head(200, request, (b"transfer-encoding: chunked",)))
--- a/packages/standins/src/damaskwind/standins/service.py
+++ b/packages/standins/src/damaskwind/standins/service.py
@@ -1,7 +1,7 @@
-"""A plain service that counts how often each call ran.
+"""A simulated plain service that counts how often each call ran.
 
-A call is any method on any path. The answer follows from the seed and the
-call. The query may ask for `size_bytes` of body and for a `delay_s`.
+A call is any method on any path. The answer is a function of the seed and the
+call. The query may set the `size_bytes` of a filling and a `delay_s`.
 
     service = ServiceStandin(ServiceSettings("edge-1"))
     await service.start()
@@ -43,7 +43,7 @@
 def expected_service_answer(
     seed: int, method: str, path: str, body: bytes, size_bytes: int = 0
 ) -> dict[str, Any]:
-    """Return what a service with `seed` answers to a call, as a table.
+    """Return the answer of a service with `seed` to a call, as a table.
 
     >>> expected_service_answer(1, "GET", "/purge", b"")["path"]
     '/purge'
@@ -54,7 +54,11 @@
 
 
 class ServiceStandin:
-    """One target of a plain service on loopback; see the module for an example."""
+    """One target of a plain service on loopback; see the module for an example.
+
+    While `requested_pause_s` is positive, calls are refused with that Retry-After. With
+    `signals_leaving` every answer carries the header `x-leaving`.
+    """
 
     def __init__(self, settings: ServiceSettings, reactor: Any = None) -> None:
         if reactor is None:
@@ -79,19 +83,19 @@
 
     @property
     def address(self) -> Address:
-        """Return where the service listens, also while it is down."""
+        """Return the address of the service, which stays the same while it is down."""
         return self._listener.address
 
     def _load(self) -> LoadReport:
-        """Return the load of now: requests in hand."""
+        """Return the current load, in active calls."""
         return LoadReport(self._active_calls, _CAPACITY_REQUESTS, self._active_calls, 0, 0.0)
 
     def _lagged_load(self) -> LoadReport:
-        """Return the load as it was a lag ago."""
+        """Return the load as it was `load_lag_s` ago."""
         return self._lagged.read(self._reactor.seconds())
 
     def _make_announcement(self) -> TargetAnnouncement:
-        """Return the announcement without what changes."""
+        """Return the template of the announcements."""
         settings = self.settings
         return TargetAnnouncement(
             target_id=settings.target_id,
@@ -107,12 +111,12 @@
         )
 
     async def start(self) -> None:
-        """Listen and begin to announce."""
+        """Start to listen and to announce."""
         self._listener.start()
         self.announcer.start(announced_address(self.settings, self.address))
 
     async def stop(self) -> None:
-        """Stop at once, cutting what is in progress, and say nothing about it."""
+        """Stop at once, as in a crash: calls are cut off and no leave is announced."""
         self.announcer.stop()
         await self._listener.stop()
 
@@ -124,11 +128,11 @@
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether the service is up and not leaving."""
+        """Return whether the service is up and not leaving."""
         return self._listener.is_open and self._leaving_since_s == float("inf")
 
     def leave(self, quiet: bool = False) -> None:
-        """Announce the leave unless it is `quiet`; what is in progress goes on."""
+        """Record the leave and announce it unless `quiet`; calls in progress continue."""
         if self._leaving_since_s == float("inf"):
             self._leaving_since_s = self._reactor.seconds()
         if quiet:
@@ -138,11 +142,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is in hand."""
+        """Return whether no call is active."""
         return self._active_calls == 0
 
     def _call(self, request: Any, path: str = "") -> Any:
-        """Take a call, count it and answer after its duration."""
+        """Handle a call: count it and answer after its duration."""
         leaving_for_s = self._reactor.seconds() - self._leaving_since_s
         self.oracle.record_arrival(request.getHeader("x-request-id") or "", leaving_for_s)
         if self.faults.consume(Fault.REFUSE):
@@ -166,14 +170,14 @@
         return self._answer_later(request, body)
 
     def _refuse(self, request: Any) -> bytes:
-        """Refuse a call for certain."""
+        """Refuse a call and report that it has not run."""
         self.oracle.count_event("refused")
         request.setResponseCode(503)
         request.setHeader("x-verdict", "not-run")
         return b""
 
     def _answer_later(self, request: Any, body: bytes) -> Deferred:
-        """Answer a call when its duration has passed."""
+        """Answer a call after its duration; cancel the answer if the caller leaves."""
         delay_s = float(request.args.get(b"delay_s", [self.settings.call_duration_s])[0])
         done: Deferred = Deferred()
         self._change_active_calls(1)
@@ -189,12 +193,12 @@
         return done
 
     def _change_active_calls(self, difference: int) -> None:
-        """Count a call in or out and note the load."""
+        """Adjust the number of active calls and record the load."""
         self._active_calls += difference
         self._lagged.record(self._reactor.seconds(), self._load())
 
     def _answer(self, request: Any, body: bytes, done: Deferred) -> None:
-        """Send the answer with the faults that hit it."""
+        """Send the answer, with the armed faults."""
         self._change_active_calls(-1)
         self.oracle.count_event("finished")
         faults = frozenset(fault for fault in _ANSWER_FAULTS if self.faults.consume(fault))
--- a/packages/standins/src/damaskwind/standins/serving.py
+++ b/packages/standins/src/damaskwind/standins/serving.py
@@ -1,4 +1,4 @@
-"""Run one stand-in process on the asyncio reactor until a signal ends it."""
+"""Run a stand-in process on the asyncio reactor until SIGTERM or SIGINT."""
 
 import asyncio
 import signal
@@ -12,7 +12,7 @@
 
 
 def serve_until_signal(build: Callable[[Any], Any]) -> int:
-    """Build something with `start` and `stop`, run it until SIGTERM or SIGINT."""
+    """Build an object with `start` and `stop`, run it until a signal and return the exit code."""
     reactor = install_reactor()
     exit_codes = [1]
 
--- a/packages/standins/src/damaskwind/standins/settings.py
+++ b/packages/standins/src/damaskwind/standins/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the stand-ins: one table for each engine or plain service."""
+"""Settings of the stand-ins: one table per engine or plain service."""
 
 from typing import NamedTuple
 
@@ -8,10 +8,10 @@
 
 
 class AnnounceSettings(NamedTuple):
-    """How a target announces itself: to one of `routers` (`IP:port`) after the other.
+    """How a target announces itself to `routers` (`IP:port`), one after the other.
 
-    An `incarnation` of 0 takes one from the wall clock, so that it grows with
-    every start of the process.
+    An `incarnation` of 0 is replaced by one from the wall clock, so that it increases
+    with every start of the process.
     """
 
     routers: tuple[str, ...] = ()
@@ -24,14 +24,13 @@
 class EngineSettings(NamedTuple):
     """One engine. Engines with the same `seed` give the same answer to a prompt.
 
-    It announces `announced_address` (`IP:port`) when that is set, which may be
-    a link of a faulty network, and where it listens when not.
-    A running request gets one token every `token_interval_s`; the prompt
-    tokens that are not cached are computed at `prefill_tokens_per_s`, shared
-    by all requests. Load reports are `load_lag_s` old and cache events appear
-    after `event_delay_s`; `event_loss_share` of them never do. With
-    `show_timing` each chunk of a stream says when its token was made, by the
-    monotonic clock that all processes of one machine share.
+    The engine announces `announced_address` (`IP:port`), for instance a link of a
+    faulty network, or where it listens if that is empty. A running request gets one
+    token every `token_interval_s`; prompt tokens that are not cached are computed at
+    `prefill_tokens_per_s`, shared by all requests. Load reports are `load_lag_s` old
+    and cache events appear after `event_delay_s`; `event_loss_share` of them are lost.
+    With `show_timing` each chunk of a stream includes the time at which its token was
+    produced, by the monotonic clock that all processes of a machine share.
     """
 
     target_id: str
--- a/packages/standins/src/damaskwind/standins/signaling_target.py
+++ b/packages/standins/src/damaskwind/standins/signaling_target.py
@@ -1,8 +1,8 @@
-"""A target that asks for rest, or says in its answers that it leaves.
+"""A target that requests pauses by Retry-After, or announces in its answers that it leaves.
 
-target = AskingTarget(names)
+target = SignalingTarget(names)
 address = await target.start()
-target.ask_for_rest(b"3", spell_s=6.0)
+target.request_pause(b"3", duration_s=6.0)
 """
 
 import asyncio
@@ -19,18 +19,18 @@
 
 
 class RequestedPause(NamedTuple):
-    """A wish for rest: when it was said, and until when it holds (monotonic seconds)."""
+    """A requested pause: the time of the answer and the end of the pause (monotonic seconds)."""
 
     at_s: float
     until_s: float
 
 
 class SignalingTarget(ScriptedTarget):
-    """Answer after `work_s`; while it asks for rest, turn everybody away at once.
+    """Answer after `work_s`; while a pause is requested, reject every request at once.
 
-    `arrivals_s` are the times of all requests, `pauses` the wishes for rest, `leaving_answers_s`
-    the times of answers that said that it leaves. With `sends_not_run` a request that is turned
-    away has certainly not run.
+    `arrivals_s` are the times of all requests, `pauses` the requested pauses and
+    `leaving_answers_s` the times of answers with the leaving header. With `sends_not_run`
+    a rejection states that the request has not run.
     """
 
     def __init__(self, names: HeaderNames, work_s: float = 0.02) -> None:
@@ -46,17 +46,17 @@
         self._pause_until_s = float("-inf")
 
     async def start(self, port: int = 0) -> Address:
-        """Open the socket and return its address."""
+        """Start to listen and return the address."""
         self.address = await super().start(port)
         return self.address
 
     def request_pause(self, retry_after: bytes, duration_s: float) -> None:
-        """Turn everybody away for a spell, each time with this Retry-After."""
+        """Reject every request for `duration_s`, each with this Retry-After."""
         self._retry_after = retry_after
         self._pause_until_s = read_clock() + duration_s
 
     def max_arrivals_in_pause(self, in_flight_s: float) -> int:
-        """Return the most arrivals in one rest, but for its first `in_flight_s` seconds."""
+        """Return the most arrivals in one pause, not counting its first `in_flight_s` seconds."""
         counts = (
             sum(pause.at_s + in_flight_s < at_s < pause.until_s for at_s in self.arrivals_s)
             for pause in self.pauses
--- a/packages/standins/src/damaskwind/standins/standin_control.py
+++ b/packages/standins/src/damaskwind/standins/standin_control.py
@@ -1,4 +1,4 @@
-"""The tests' way into a stand-in: its counts, its faults and its life.
+"""HTTP routes by which tests control a stand-in: counts, faults and lifecycle.
 
 `GET /oracle` returns the counts, `POST /faults` arms or disarms a fault,
 `POST /life` takes `leave`, `flap`, `stop` and `come_back`.
@@ -19,14 +19,14 @@
 
 
 async def _flap(standin: Any, down_s: float, keep_cache: bool) -> None:
-    """Go away without a word and come back after a while."""
+    """Stop without announcing a leave and start the next incarnation after `down_s`."""
     await standin.stop()
     await asyncio.sleep(down_s)
     await standin.start_next_incarnation(keep_cache)
 
 
 def apply_fault(standin: Any, command: dict[str, Any]) -> None:
-    """Arm the fault that an order names, or disarm all when it names none."""
+    """Arm the fault named by a command, or disarm all faults if it names none."""
     if not command.get("fault"):
         standin.faults.disarm()
         return
@@ -34,7 +34,7 @@
 
 
 async def apply_lifecycle(standin: Any, command: dict[str, Any]) -> None:
-    """Let a stand-in leave, flap, stop or come back."""
+    """Make a stand-in leave, flap, stop or come back."""
     keep_cache = command.get("keep_cache", True)
     action = command["action"]
     if action == "leave":
@@ -65,7 +65,7 @@
     @app.route("/life", methods=["POST"])
     def lifecycle(request: Any) -> bytes:
         command = json.loads(request.content.read())
-        # Answer first: a stand-in that stops drops the connection of this call.
+        # Answer first: stopping the stand-in drops the connection of this call.
         asyncio.get_event_loop().call_later(
             0.0,
             lambda: to_deferred(apply_lifecycle(standin, command)).addErrback(lambda failure: None),
--- a/packages/standins/src/damaskwind/standins/target_fleet.py
+++ b/packages/standins/src/damaskwind/standins/target_fleet.py
@@ -1,4 +1,4 @@
-"""A number of engines and plain services behind one control address."""
+"""A fleet of engines and plain services with one control address."""
 
 import json
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """A number of targets and the control address over them."""
+    """The targets of one process and their control address."""
 
     def __init__(self, settings: FleetSettings, reactor: Any) -> None:
         self.settings = settings
@@ -64,7 +64,7 @@
         write_ready_file(self.settings.ready_file, self.addresses())
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop the targets and the control address at once."""
         if self._sampler.running:
             self._sampler.stop()
         for target in self.targets.values():
@@ -77,7 +77,7 @@
         return {"control_address": str(self._listener.address), "targets": targets}
 
     def _record_sample(self) -> None:
-        """Note the load of every engine now, by the clock that processes share."""
+        """Record the load of every engine, with the time of the clock shared by all processes."""
         engines = {
             name: target for name, target in self.targets.items() if hasattr(target, "batch")
         }
@@ -114,19 +114,19 @@
         app.route("/targets/<target_id>/life", methods=["POST"])(self._change_lifecycle)
 
     def _list_oracles(self, request: Any) -> bytes:
-        """Return the counts of every target."""
+        """Return the oracle counts of every target."""
         snapshots = {name: target.oracle.snapshot() for name, target in self.targets.items()}
         for name, target in self.targets.items():
             snapshots[name]["leave_taken_after_s"] = getattr(target, "leave_taken_after_s", None)
         return answer_json(request, snapshots)
 
     def _list_samples(self, request: Any) -> bytes:
-        """Return the loads over time; `from` skips the first ones."""
+        """Return the load samples, starting at index `from`."""
         first = int(request.args.get(b"from", [b"0"])[0])
         return answer_json(request, self.samples[first:])
 
     def _leave_all(self, request: Any) -> Any:
-        """Let every target that is up leave; answer once routers have been told."""
+        """Make every serving target leave; answer once a router has accepted each leave."""
 
         async def leave() -> bytes:
             up = [target for target in self.targets.values() if target.is_serving]
@@ -139,7 +139,7 @@
         return to_deferred(leave())
 
     def _set_routers(self, request: Any) -> bytes:
-        """Tell every target which routers the balancer now gives."""
+        """Set the routers to which all targets announce themselves."""
         routers = json.loads(request.content.read())["routers"]
         for target in self.targets.values():
             target.announcer.routers = list(routers)
@@ -147,7 +147,7 @@
         return answer_json(request, {})
 
     def _start_engine(self, request: Any) -> Any:
-        """Start one more engine and return its address."""
+        """Start another engine and return its address."""
         checked = check_table(json.loads(request.content.read()), EngineSettings, "engine")
         if checked.mistakes:
             request.setResponseCode(400)
@@ -168,7 +168,7 @@
         return answer_json(request, {})
 
     def _change_lifecycle(self, request: Any, target_id: str) -> Any:
-        """Let one target leave, flap, stop or come back; answer at once."""
+        """Make one target leave, flap, stop or come back; answer without waiting for it."""
         command = json.loads(request.content.read())
         to_deferred(apply_lifecycle(self.targets[target_id], command))
         return answer_json(request, {})
--- a/packages/standins/src/damaskwind/standins/tcp_link.py
+++ b/packages/standins/src/damaskwind/standins/tcp_link.py
@@ -1,4 +1,4 @@
-"""One TCP link through the faulty network."""
+"""A TCP link of the faulty network: a proxy that impairs the streams."""
 
 import random
 from collections import deque
@@ -18,9 +18,10 @@
 
 @implementer(IPushProducer)
 class _Pipe:
-    """Carry one direction of one connection, in order.
+    """Forward one direction of one connection, in order.
 
-    An end of stream travels through the same queue, as `None`.
+    The end of the stream passes through the same queue, as `None`. The source is
+    paused while more than `_QUEUE_LIMIT_BYTES` are queued.
     """
 
     def __init__(self, clock: Any, shaper: Shaper) -> None:
@@ -35,14 +36,14 @@
         self.sink: Any = None
 
     def attach(self, source: Any, sink: Any) -> None:
-        """Join the two transports and send what has come already."""
+        """Connect the two transports and send the data queued so far."""
         self.source = source
         self.sink = sink
         sink.registerProducer(self, True)
         self.flush()
 
     def put(self, data: bytes | None) -> None:
-        """Take a piece, or the end, from the source."""
+        """Queue a piece of the stream, or its end, from the source."""
         if data is not None:
             data = self._shaper.corrupt(data)
             self._queued_bytes += len(data)
@@ -53,7 +54,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Send every piece that is due and plan for the next."""
+        """Send every piece that is due and schedule the next."""
         now_s = self._clock.seconds()
         while self._can_send() and self._queue[0][0] <= now_s:
             self._send(self._queue.popleft()[1])
@@ -62,16 +63,16 @@
 
     @property
     def has_queued(self) -> bool:
-        """Tell whether something waits to go out."""
+        """Return whether any data is queued."""
         return bool(self._queue)
 
     def _can_send(self) -> bool:
-        """Tell whether anything may go out."""
+        """Return whether data is queued and may be sent now."""
         blocked = self._sink_full or self._closed or self._shaper.impairment.blackhole
         return bool(self._queue) and self.sink is not None and not blocked
 
     def _send(self, data: bytes | None) -> None:
-        """Write one piece, or close the sink."""
+        """Write one piece, or close the sink at the end of the stream."""
         if data is None:
             self.sink.unregisterProducer()
             self.sink.loseConnection()
@@ -84,12 +85,12 @@
             self.source.resumeProducing()
 
     def _on_timer(self) -> None:
-        """Send because the time has come."""
+        """Send what has become due."""
         self._timer = None
         self.flush()
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Discard the queue and stop sending."""
         self._closed = True
         self._queue.clear()
         if self._timer is not None:
@@ -97,42 +98,42 @@
             self._timer = None
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Hold: the sink's buffer is full."""
+        """Pause sending: the sink's buffer is full."""
         self._sink_full = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on."""
+        """Resume sending."""
         self._sink_full = False
         self.flush()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Stop: the sink has gone."""
+        """Stop: the sink is closed."""
         self.close()
 
 
 class _Endpoint(Protocol):
-    """One end of a connection through the link."""
+    """The link's protocol towards the caller or the target."""
 
     def __init__(self, connection: "_Connection", outgoing: _Pipe) -> None:
         self._connection = connection
         self._outgoing = outgoing
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Join the two ends once both are there."""
+        """Report that this endpoint is connected."""
         self._connection.endpoint_connected()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes from this end to the other."""
+        """Queue received bytes for the other endpoint."""
         self._outgoing.put(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Let the end of this side travel to the other."""
+        """Queue the end of the stream for the other endpoint."""
         self._outgoing.put(None)
         self._connection.endpoint_lost()
 
 
 class _Connection:
-    """A connection of a caller and the one to the target that belongs to it."""
+    """A caller's connection together with its connection to the target."""
 
     def __init__(self, link: "TcpLink") -> None:
         self._link = link
@@ -143,7 +144,7 @@
         self._lost_endpoints = 0
 
     def endpoint_connected(self) -> None:
-        """Connect onwards after the caller came; join when both are there."""
+        """Connect to the target for a new caller; join the endpoints once both are connected."""
         if self.target.transport is None:
             self._link.connect_to_target(self)
             return
@@ -152,25 +153,25 @@
             self.to_caller.attach(self.target.transport, self.caller.transport)
 
     def endpoint_lost(self) -> None:
-        """Forget the connection when both ends have gone."""
+        """Remove the connection from the link once both endpoints are lost."""
         self._lost_endpoints += 1
         if self._lost_endpoints == 2:
             self._link.discard(self)
 
     def open_transports(self) -> list[Any]:
-        """Return the transports that are open."""
+        """Return the connected transports."""
         transports = [self.caller.transport, self.target.transport]
         return [each for each in transports if each is not None and each.connected]
 
     def abort(self) -> None:
-        """Reset both ends."""
+        """Reset both endpoints."""
         self.to_target.close()
         self.to_caller.close()
         for transport in self.open_transports():
             transport.abortConnection()
 
     def reset_target_endpoint(self) -> None:
-        """Reset the target's end and leave the caller's open and silent."""
+        """Reset the connection to the target; the caller's stays open and silent."""
         self.to_target.close()
         self.to_caller.close()
         if self.target.transport is not None and self.target.transport.connected:
@@ -178,7 +179,7 @@
 
 
 class _CallerFactory(ServerFactory):
-    """Take callers."""
+    """Accept connections of callers."""
 
     noisy = False
 
@@ -186,7 +187,7 @@
         self._link = link
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """Begin a connection."""
+        """Return the caller's endpoint, or `None` to refuse the connection."""
         return self._link.accept()
 
 
@@ -199,20 +200,20 @@
         self._connection = connection
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """Return the target's side."""
+        """Return the target's endpoint."""
         return self._connection.target
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
-        """Reset the caller: nobody listens behind the link."""
+        """Reset the caller: the target does not accept connections."""
         self._connection.abort()
         self._connection.endpoint_lost()
 
 
 class TcpLink:
-    """Listen on a port of its own and pass connections on to `target`.
+    """Listen on a port of its own and forward connections to `target`.
 
-    `target` may change at any time; connections there are go on. With
-    `accepting` false new connections are reset.
+    `target` may change at any time; existing connections are kept. While
+    `accepting` is false new connections are reset.
     """
 
     def __init__(self, reactor: Any, target: Address | None, rng: random.Random) -> None:
@@ -225,7 +226,7 @@
         self.address = Address("127.0.0.1", self._port.getHost().port)
 
     def accept(self) -> Any:
-        """Begin a connection for a caller."""
+        """Return the endpoint of a new caller, or `None` to refuse it."""
         if not self.accepting or self.target is None:
             return None
         connection = _Connection(self)
@@ -233,13 +234,13 @@
         return connection.caller
 
     def connect_to_target(self, connection: _Connection) -> None:
-        """Connect to the target, or stay silent while the way there is black."""
+        """Connect to the target, or do nothing while that direction is a black hole."""
         if self.shapers[0].impairment.blackhole or self.target is None:
             return
         self.clock.connectTCP(self.target.host, self.target.port, _TargetFactory(connection))
 
     def impair(self, link_impairment: LinkImpairment) -> None:
-        """Change how the link behaves from now on."""
+        """Replace the impairments of both directions."""
         was_blackhole = self.shapers[0].impairment.blackhole
         self.shapers[0].impairment = link_impairment.to_target
         self.shapers[1].impairment = link_impairment.to_caller
@@ -250,25 +251,25 @@
             connection.to_caller.flush()
 
     def impairments(self) -> tuple[Impairment, Impairment]:
-        """Return how both directions behave."""
+        """Return the impairments towards the target and towards the caller."""
         return self.shapers[0].impairment, self.shapers[1].impairment
 
     def cut(self) -> None:
-        """Reset every connection there is."""
+        """Reset every connection."""
         for connection in list(self.connections):
             connection.abort()
 
     def half_open(self) -> None:
-        """Reset every connection at the target's end only."""
+        """Reset every connection at the target's endpoint only."""
         for connection in list(self.connections):
             connection.reset_target_endpoint()
 
     def discard(self, connection: _Connection) -> None:
-        """Drop a connection that has ended."""
+        """Remove a connection that has ended."""
         if connection in self.connections:
             self.connections.remove(connection)
 
     def close(self) -> Any:
-        """Stop listening and reset what is there."""
+        """Stop listening and reset every connection."""
         self.cut()
         return self._port.stopListening()
--- a/packages/standins/src/damaskwind/standins/tests/test_batching.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching with an injected clock: timing, order, load and cache."""
+"""Tests of continuous batching with an injected clock: timing, order, load and cache."""
 
 from unittest import TestCase
 
@@ -21,7 +21,7 @@
 
 
 class BatchTest(TestCase):
-    """Step a batch by a clock of the test."""
+    """Run a batch with a simulated clock."""
 
     def setUp(self) -> None:
         self.clock = Clock()
@@ -46,7 +46,7 @@
     def _run(self, duration_s: float) -> None:
         self.clock.pump([_STEP_S] * round(duration_s / _STEP_S))
 
-    def test_first_token_waits_for_the_prompt_and_the_rest_are_timed(self) -> None:
+    def test_first_token_follows_prompt_and_later_tokens_follow_interval(self) -> None:
         self._submit("a", "x" * 796, answer=3)
         self._run(1.0)
         times = [time_s for time_s, _, token in self.received if token]
@@ -61,7 +61,7 @@
         self.assertEqual(again.cached_tokens, 1001)
         self.assertTrue(again.finished)
 
-    def test_waiting_requests_enter_by_priority(self) -> None:
+    def test_waiting_requests_are_admitted_by_priority(self) -> None:
         for name in ("a", "b"):
             self._submit(name, name, answer=5)
         self._submit("batch", "c", answer=1, priority=2)
@@ -70,7 +70,7 @@
         ends = [name for _, name, token in self.received if token is None]
         self.assertEqual(ends, ["a", "b", "urgent", "batch"])
 
-    def test_load_counts_the_work_left_and_reports_it_late(self) -> None:
+    def test_load_is_remaining_work_and_is_reported_with_delay(self) -> None:
         self._submit("a", "x" * 796, answer=10)
         self.assertEqual(self.batch.load().load_tokens, 210)
         self.assertEqual(self.batch.lagged_load().load_tokens, 0)
@@ -79,7 +79,7 @@
         self._run(3.0)
         self.assertEqual(self.batch.lagged_load().load_tokens, 0)
 
-    def test_cancelled_request_leaves_room(self) -> None:
+    def test_cancelled_request_frees_its_slot(self) -> None:
         first = self._submit("a", "a", answer=100)
         self._submit("b", "b", answer=100)
         self._submit("c", "c", answer=1)
--- a/packages/standins/src/damaskwind/standins/tests/test_engine.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in over HTTP: answers, cache, resume, cancel, orders, faults."""
+"""Tests of the engine stand-in over HTTP: answers, cache, resume, cancel, orders, faults."""
 
 import json
 from typing import Any
@@ -25,14 +25,14 @@
 
 
 def _stream_text(body: bytes) -> str:
-    """Return the text of a stream of events."""
+    """Return the text in a stream of events."""
     events = [line[6:] for line in body.split(b"\n") if line.startswith(b"data: {")]
     choices = [choice for event in events for choice in json.loads(event)["choices"]]
     return "".join(choice["delta"].get("content", "") for choice in choices)
 
 
 class EngineTest(TestCase):
-    """Drive one engine through its protocol."""
+    """Call one engine by its protocol."""
 
     async def _start(self, settings: EngineSettings = _SETTINGS) -> EngineStandin:
         engine = EngineStandin(settings)
@@ -110,7 +110,7 @@
         self.assertEqual(usage["prompt_tokens_details"]["cached_tokens"], 26)
 
     @asyncio_test
-    async def test_resume_gives_the_rest_and_unknown_is_404(self) -> None:
+    async def test_resume_streams_the_rest_and_unknown_id_is_404(self) -> None:
         engine = await self._start()
         messages = [Message("user", "resume")]
         await self._chat(engine, messages, stream=True)
@@ -169,7 +169,7 @@
         self.assertTrue(body.endswith(b"data: [DONE]\n\n"))
 
     @asyncio_test
-    async def test_comes_back_on_the_same_port_as_the_next_incarnation(self) -> None:
+    async def test_next_incarnation_uses_the_same_port(self) -> None:
         engine = await self._start()
         address, incarnation = engine.address, engine.announcer.incarnation
         await engine.stop()
@@ -181,7 +181,7 @@
         self.assertEqual(engine.announcer.next_announcement().state, TargetState.LEAVING)
 
     @asyncio_test
-    async def test_tells_how_long_its_leave_took_to_reach_a_router(self) -> None:
+    async def test_reports_time_until_router_accepted_leave(self) -> None:
         engine = await self._start()
         engine.leave()
         self.assertIsNone(engine.leave_taken_after_s)
@@ -204,14 +204,14 @@
 
 
 def start_call(coroutine: Any) -> Any:
-    """Run a call beside the test."""
+    """Start a call as a task."""
     import asyncio
 
     return asyncio.ensure_future(coroutine)
 
 
 async def until(condition: Any, deadline_s: float = 10.0) -> None:
-    """Wait on a condition, up to a deadline."""
+    """Wait until a condition holds; fail after `deadline_s`."""
     end_s = reactor.seconds() + deadline_s
     while not condition():
         if reactor.seconds() > end_s:
--- a/packages/standins/src/damaskwind/standins/tests/test_examples.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The settings files under `examples/` are free of mistakes."""
+"""Tests that the settings files under `examples/` are valid."""
 
 from pathlib import Path
 from unittest import TestCase
@@ -12,9 +12,9 @@
 
 
 class ExamplesTest(TestCase):
-    """Read each deployment as its processes would."""
+    """Read each deployment as its processes do."""
 
-    def test_each_deployment_is_whole(self) -> None:
+    def test_each_deployment_is_complete_and_consistent(self) -> None:
         for name, (engines, services) in _TARGETS.items():
             folder = _EXAMPLES / name
             routers = [read_settings(path) for path in sorted(folder.glob("router-*.toml"))]
--- a/packages/standins/src/damaskwind/standins/tests/test_faulty_network.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_faulty_network.py
@@ -1,4 +1,4 @@
-"""The fault-injecting links, over loopback."""
+"""Tests of the links of the faulty network, over loopback."""
 
 import random
 from typing import Any
@@ -19,14 +19,14 @@
 
 
 class _Echo(Protocol):
-    """Send back what comes."""
+    """Send back all received data."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self.transport.write(data)
 
 
 class _Collect(Protocol):
-    """Keep what comes, and whether the connection was lost."""
+    """Record received data, and whether the connection was lost."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -40,7 +40,7 @@
 
 
 class _Datagrams(DatagramProtocol):
-    """Keep datagrams, and send them back when told to."""
+    """Record datagrams, and send them back if `echo` is set."""
 
     def __init__(self, echo: bool) -> None:
         self.echo = echo
@@ -73,7 +73,7 @@
         return client
 
     @asyncio_test
-    async def test_passes_everything_in_order_through_delay_and_throttle(self) -> None:
+    async def test_forwards_all_data_in_order_through_delay_and_throttle(self) -> None:
         client = await self._open()
         slow = Impairment(delay_s=0.01, jitter_s=0.01, bytes_per_s=2_000_000)
         self.link.impair(LinkImpairment(slow, slow))
@@ -94,7 +94,7 @@
         await wait_until(lambda: client.received == b"hello", 10)
 
     @asyncio_test
-    async def test_connects_onwards_only_after_the_blackhole(self) -> None:
+    async def test_connects_to_target_only_after_the_blackhole(self) -> None:
         await self._open()
         self.link.impair(LinkImpairment(to_target=_BLACKHOLE))
         client = await self._connect()
@@ -147,7 +147,7 @@
 
 
 class ShaperTest(TestCase):
-    """The pure part: when a piece goes out and how it is changed."""
+    """Send times and corruption, without I/O."""
 
     def test_reordered_datagrams_are_overtaken_and_streams_are_not(self) -> None:
         shaper = Shaper(random.Random(2))
--- a/packages/standins/src/damaskwind/standins/tests/test_harness.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_harness.py
@@ -1,4 +1,4 @@
-"""The harness with real processes: a fleet and a faulty network."""
+"""Tests of the harness with real processes: a fleet and a faulty network."""
 
 import tempfile
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 class HarnessTest(TestCase):
-    """Start processes, talk to them, end them."""
+    """Start, call and stop processes."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -65,7 +65,7 @@
         await wait_until(sampled_leave, 10)
 
     @asyncio_test
-    async def test_ends_what_it_started_and_tells_why_a_start_failed(self) -> None:
+    async def test_restarts_and_kills_processes_and_reports_failed_start(self) -> None:
         fleet = await self.harness.start_fleet("fleet", {"engines": [_ENGINE]})
         self.assertEqual(await fleet.terminate(), 0)
         again = await self.harness.restart("fleet")
--- a/packages/standins/src/damaskwind/standins/tests/test_real_processes.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_real_processes.py
@@ -1,4 +1,4 @@
-"""A real router process, its targets behind links that fail: verdicts against counts."""
+"""Tests of a router process whose links to targets fail: verdicts against run counts."""
 
 import asyncio
 import hashlib
@@ -65,7 +65,7 @@
 
 
 class RealProcessesTest(TestCase):
-    """One router, one engine, one service, each behind a link of its own."""
+    """One router, and an engine and a service that each have a faulty link."""
 
     timeout = 120
 
@@ -107,14 +107,14 @@
         await wait_until(self._serves, 20, "an answer through the router")
 
     async def _serves(self) -> bool:
-        """Tell whether both targets answer through the router."""
+        """Return whether both targets answer through the router."""
         chat, call = await self._chat("warm"), await self._call("warm")
         return chat[0] == 200 and call[0] == 200
 
     async def _request(self, path: str, **arguments: Any) -> tuple[int, str, bytes]:
-        """Return the status, the verdict and the body of a request, whole or cut.
+        """Return the status, the verdict and the body of a request, complete or cut off.
 
-        Bodies that broke off before their end are counted.
+        Bodies that were cut off are counted in `cut_answers`.
         """
         call = treq.post(
             f"http://{self.router}{path}",
@@ -173,8 +173,8 @@
         samples = await self._ask("GET", f"{self.fleet}/samples")
         return samples[-1]["requests"]["engine-1"] == 1
 
-    async def _answers_again(self) -> None:
-        """Expect the whole answer once the engine's link has come back."""
+    async def _check_engine_recovered(self) -> None:
+        """Expect the complete answer after the engine's link is restored."""
         await self._act("engine-1", "accept")
         await wait_until(self._serves, 20, "the engine after its link came back")
         expected = expected_answer(1, ModelName("damask", "1"), [Message("user", "cut me")], 20)
@@ -184,13 +184,13 @@
 
     @asyncio_test
     async def test_cut_stream_never_looks_whole(self) -> None:
-        """An engine is cut off as soon as it has the chat, begun or not.
+        """Cut off the engine as soon as it has the chat, whether or not the answer has begun.
 
-        Once this failed with a connection closed in the middle of the body, where it
-        expected the error event. It read with a client that throws away a body that does
-        not end, and mostly cut the engine before the answer began ("the target broke off
-        before its answer", a whole refusal). With 0.3 s between, each run failed: the router
-        writes the event, then closes without the body's end, so that nothing looks whole.
+        Before the answer begins, the router sends a complete refusal ("the target broke off
+        before its answer"). After that it writes an error event and closes the connection
+        without the end of the body, so that the answer does not look complete. A client that
+        discards incomplete bodies never sees this event, and a cut after 0.3 s then always
+        failed the test; so the test keeps the body and counts that it was cut off.
         """
         await self._start()
         pending = asyncio.ensure_future(self._chat("cut me"))
@@ -199,16 +199,16 @@
         status, _, body = await pending
         self.assertNotIn(b"[DONE]", body)
         self.assertIn(b"may-have-run", body)
-        # A stream that has begun is cut; a refusal in its place is whole.
+        # A stream that has begun is cut off; a refusal in its place is complete.
         self.assertEqual(self.cut_answers, int(status == 200))
-        await self._answers_again()
+        await self._check_engine_recovered()
 
     @asyncio_test
-    async def test_stream_that_is_cut_after_its_first_words_says_so_and_does_not_end(self) -> None:
+    async def test_stream_cut_after_first_tokens_ends_with_error_event(self) -> None:
         await self._start()
         pending = asyncio.ensure_future(self._chat("cut me"))
         await wait_until(self._is_streaming, 10, "the chat at the engine")
-        # Six of twenty tokens.
+        # By now about six of the twenty tokens were produced.
         await asyncio.sleep(0.3)
         await self._cut_engine()
         status, _, body = await pending
@@ -216,4 +216,4 @@
         self.assertIn(b'"content": "', body)
         self.assertNotIn(b"[DONE]", body)
         self.assertIn(b"may-have-run", body.rpartition(b"data: ")[2])
-        await self._answers_again()
+        await self._check_engine_recovered()
--- a/packages/standins/src/damaskwind/standins/tests/test_service.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The plain service stand-in: it counts, and answers from the call alone."""
+"""Tests of the plain service stand-in: run counts and deterministic answers."""
 
 import json
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class ServiceTest(TestCase):
-    """Drive one service."""
+    """Call one service."""
 
     async def _call(self, method: str, path: str, body: bytes = b"") -> tuple[Any, bytes]:
         response = await to_future(
@@ -29,7 +29,7 @@
         return response, await to_future(response.content())
 
     @asyncio_test
-    async def test_counts_each_run_and_answers_from_the_call(self) -> None:
+    async def test_counts_runs_and_answers_deterministically(self) -> None:
         self.service = ServiceStandin(ServiceSettings("edge-1", seed=3))
         await self.service.start()
         self.addCleanup(lambda: to_deferred(self.service.stop()))
--- a/packages/standins/src/damaskwind/standins/tests/test_slow_time.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_slow_time.py
@@ -1,4 +1,4 @@
-"""Tests of a played fleet's time."""
+"""Tests of the slowed clock of simulated fleets."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 
 
 async def timed_sleep(sleep_s):
-    """Return how long a sleep took by the clock in force."""
+    """Return how long a sleep took by the installed clock."""
     started_s = time.monotonic()
     await asyncio.sleep(sleep_s)
     return time.monotonic() - started_s
@@ -27,27 +27,27 @@
 
 
 class SlowTimeTest(unittest.TestCase):
-    def test_loop_waits_for_slow_seconds(self):
+    def test_loop_sleeps_in_slowed_seconds(self):
         started_s = time.perf_counter()
         slept_s = run(timed_sleep(0.1))
         self.assertGreaterEqual(slept_s, 0.099)
         self.assertLess(slept_s, 0.15)
         self.assertGreaterEqual(time.perf_counter() - started_s, 0.39)
 
-    def test_time_stands_while_the_process_waits_for_a_processor(self):
+    def test_clock_stops_while_the_process_waits_for_a_processor(self):
         clock, sleep = SlowClock(SLOWDOWN), time.sleep
         before_s = clock.monotonic()
         sleep(0.2)
         self.assertLess(clock.monotonic() - before_s, 0.02)
 
-    def test_time_passes_while_the_process_computes(self):
+    def test_clock_advances_while_the_process_computes(self):
         clock = SlowClock(SLOWDOWN)
         before_s, until_s = clock.monotonic(), time.process_time() + 0.2
         while time.process_time() < until_s:
             pass
         self.assertGreaterEqual(clock.monotonic() - before_s, 0.2 / SLOWDOWN)
 
-    def test_clock_is_the_real_one_again(self):
+    def test_real_clock_is_restored(self):
         real = time.monotonic
         with SlowClock(SLOWDOWN).installed():
             self.assertIsNot(time.monotonic, real)
--- a/packages/standins/src/damaskwind/standins/udp_link.py
+++ b/packages/standins/src/damaskwind/standins/udp_link.py
@@ -1,8 +1,8 @@
-"""One UDP link through the faulty network.
+"""A UDP link of the faulty network: a proxy that impairs datagrams.
 
-All datagrams to a process go through one link, which knows their senders by
-the address that they came from: each sender may have its own impairment.
-Datagrams that the process sends back to the link's port return to the sender.
+All datagrams to a process pass through one link, which identifies senders by
+source address, so that each sender may have its own impairment. The link uses one
+port per sender towards the process, which returns replies to that sender.
 """
 
 import random
@@ -19,7 +19,7 @@
 
 
 class _SenderProtocol(DatagramProtocol):
-    """Take datagrams from the senders."""
+    """Receive datagrams from the senders."""
 
     noisy = False
 
@@ -27,12 +27,12 @@
         self._link = link
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        """Pass a datagram on to the target."""
+        """Forward a datagram to the target."""
         self._link.forward_to_target(datagram, Address(*addr))
 
 
 class _TargetProtocol(DatagramProtocol):
-    """Stand for one sender towards the target."""
+    """Represent one sender towards the target."""
 
     noisy = False
 
@@ -41,12 +41,12 @@
         self._sender = sender
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        """Pass a datagram back to the sender."""
+        """Forward a reply to the sender."""
         self._link.forward_to_sender(datagram, self._sender)
 
 
 class UdpLink:
-    """Listen on a port of its own and pass datagrams on to `target`."""
+    """Listen on a port of its own and forward datagrams to `target`."""
 
     def __init__(self, reactor: Any, target: Address | None, rng: random.Random) -> None:
         self.clock = reactor
@@ -62,37 +62,37 @@
         self.address = Address("127.0.0.1", self._port.getHost().port)
 
     def impair(self, link_impairment: LinkImpairment, sender: str = ANY_SENDER) -> None:
-        """Change the link for one sender (`IP:port`), or for all without a rule."""
+        """Impair one sender (`IP:port`), or all senders without an impairment of their own."""
         self._impairments[sender] = link_impairment
         for address, shapers in self._shapers.items():
             self._update_shapers(address, shapers)
 
     def _update_shapers(self, sender: Address, shapers: tuple[Shaper, Shaper]) -> None:
-        """Set the shapers of a sender by its rule."""
+        """Set the shapers of a sender to its own impairment or the default one."""
         default = self._impairments.get(ANY_SENDER, LinkImpairment())
         effective = self._impairments.get(str(sender), default)
         shapers[0].impairment, shapers[1].impairment = effective
 
     def impairments(self) -> tuple[Impairment, Impairment]:
-        """Return how both directions behave for senders without a rule."""
+        """Return both directions' impairments of senders that have none of their own."""
         return tuple(self._impairments.get(ANY_SENDER, LinkImpairment()))
 
     def _shapers_of(self, sender: Address) -> tuple[Shaper, Shaper]:
-        """Return the shapers of a sender."""
+        """Return the shapers of both directions of a sender."""
         if sender not in self._shapers:
             self._shapers[sender] = (Shaper(self._rng), Shaper(self._rng))
             self._update_shapers(sender, self._shapers[sender])
         return self._shapers[sender]
 
     def _target_port_of(self, sender: Address) -> Any:
-        """Return the port that stands for a sender."""
+        """Return the port that represents a sender towards the target."""
         if sender not in self._target_ports:
             protocol = _TargetProtocol(self, sender)
             self._target_ports[sender] = self.clock.listenUDP(0, protocol, interface="127.0.0.1")
         return self._target_ports[sender]
 
     def forward_to_target(self, datagram: bytes, sender: Address) -> None:
-        """Take a datagram on its way to the target."""
+        """Forward a datagram to the target, as the sender's impairment allows."""
         target_port = self._target_port_of(sender)
 
         def send(data: bytes) -> None:
@@ -102,12 +102,12 @@
         self._forward(datagram, self._shapers_of(sender)[0], send)
 
     def forward_to_sender(self, datagram: bytes, sender: Address) -> None:
-        """Take a datagram on its way back."""
+        """Forward a reply to the sender, as the sender's impairment allows."""
         send = self._port.write
         self._forward(datagram, self._shapers_of(sender)[1], lambda data: send(data, tuple(sender)))
 
     def _forward(self, datagram: bytes, shaper: Shaper, send: Any) -> None:
-        """Lose, change or delay a datagram."""
+        """Drop, corrupt or delay a datagram."""
         if shaper.should_drop():
             self.lost_count += 1
             return
