--- a/packages/standins/src/damaskwind/standins/engine.py
+++ b/packages/standins/src/damaskwind/standins/engine.py
@@ -280,7 +280,7 @@
         faults = self._consume_answer_faults()
         is_others = bool(faults & {Fault.OTHERS_ID, Fault.OTHERS_TEXT})
         size_tokens = len(generation.answer)
-        has_limit = body.get("max_completion_tokens") or body.get("max_tokens")
+        limit_tokens = body.get("max_completion_tokens") or body.get("max_tokens")
         options = ReplyOptions(
             model=body["model"],
             reply_id="another" if Fault.OTHERS_ID in faults else generation.request_id,
@@ -289,7 +289,7 @@
                 if is_others
                 else generation.answer
             ),
-            finish_reason="length" if has_limit else "stop",
+            finish_reason="length" if limit_tokens else "stop",
             include_usage=bool((body.get("stream_options") or {}).get("include_usage")),
             timing_start_s=read_clock() if self.settings.show_timing else None,
             faults=faults,
@@ -309,7 +309,10 @@
         request.setHeader("x-capacity-tokens", str(load.capacity_tokens))
 
     def _track_end(self, request: Any, generation: Generation, done: Deferred, detach: Any) -> Any:
-        """Return `done`; keep the generation for `resume_hold_s` after its answer or caller."""
+        """Return `done`; the generation expires `resume_hold_s` after the answer is finished.
+
+        If the caller disconnects first, it expires `resume_hold_s` after that.
+        """
 
         def finished(result: Any) -> Any:
             generation.expires_s = self.reactor.seconds() + self.settings.resume_hold_s
--- a/packages/standins/src/damaskwind/standins/prefix_cache.py
+++ b/packages/standins/src/damaskwind/standins/prefix_cache.py
@@ -50,17 +50,17 @@
     def __contains__(self, digest: str) -> bool:
         return digest in self._entries
 
-    def _matched(self, digests: list[str]) -> list[str]:
+    def _longest_match(self, digests: list[str]) -> list[str]:
         """Return the digests of the longest cached prefix."""
         return list(takewhile(self._entries.__contains__, digests))
 
     def peek_tokens(self, digests: list[str]) -> int:
         """Return the tokens of the longest cached prefix without marking it as used."""
-        return sum(self._entries[digest].tokens for digest in self._matched(digests))
+        return sum(self._entries[digest].tokens for digest in self._longest_match(digests))
 
     def matched_tokens(self, digests: list[str]) -> int:
         """Return the tokens of the longest cached prefix and mark it as used."""
-        matched = self._matched(digests)
+        matched = self._longest_match(digests)
         for digest in reversed(matched):
             self._entries.move_to_end(digest)
         return sum(self._entries[digest].tokens for digest in matched)
--- a/packages/standins/src/damaskwind/standins/tcp_link.py
+++ b/packages/standins/src/damaskwind/standins/tcp_link.py
@@ -42,7 +42,7 @@
         sink.registerProducer(self, True)
         self.flush()
 
-    def put(self, data: bytes | None) -> None:
+    def enqueue(self, data: bytes | None) -> None:
         """Queue a piece of the stream, or its end, from the source."""
         if data is not None:
             data = self._shaper.corrupt(data)
@@ -62,7 +62,7 @@
             self._timer = self._clock.callLater(self._queue[0][0] - now_s, self._on_timer)
 
     @property
-    def has_queued(self) -> bool:
+    def has_queued_data(self) -> bool:
         """Return whether any data is queued."""
         return bool(self._queue)
 
@@ -124,11 +124,11 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Queue received bytes for the other endpoint."""
-        self._outgoing.put(data)
+        self._outgoing.enqueue(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         """Queue the end of the stream for the other endpoint."""
-        self._outgoing.put(None)
+        self._outgoing.enqueue(None)
         self._connection.endpoint_lost()
 
 
--- a/packages/standins/src/damaskwind/standins/tests/test_faulty_network.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_faulty_network.py
@@ -88,7 +88,7 @@
         self.link.impair(LinkImpairment(to_caller=_BLACKHOLE))
         client.transport.write(b"hello")
         connection = self.link.connections[0]
-        await wait_until(lambda: connection.to_caller.has_queued, 10)
+        await wait_until(lambda: connection.to_caller.has_queued_data, 10)
         self.assertEqual((client.received, client.lost), (b"", False))
         self.link.impair(LinkImpairment())
         await wait_until(lambda: client.received == b"hello", 10)
