--- a/packages/standins/src/damaskwind/standins/announcing.py
+++ b/packages/standins/src/damaskwind/standins/announcing.py
@@ -1,4 +1,4 @@
-"""Announce a target to one router after the other, as the balancer would."""
+"""Announce a target to the routers in turn, as through a load balancer."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 
 def announcement_body(announcement: TargetAnnouncement) -> dict[str, Any]:
-    """Return an announcement as the table that goes onto the wire."""
+    """Return the JSON table of an announcement."""
     body = announcement._asdict()
     body["address"] = announcement.address._asdict()
     body["load"] = announcement.load._asdict()
@@ -32,18 +32,19 @@
 
 
 def announced_address(settings: EngineSettings | ServiceSettings, bound: Address) -> Address:
-    """Return the address that a target gives to routers."""
+    """Return the address that a target announces; `bound` is where it listens."""
     text = settings.announced_address
     return parse_address(text) if text else bound
 
 
 class Announcer:
-    """Post a target's announcement at intervals, while it is told to.
+    """Post a target's announcement periodically, from `start` until `stop`.
 
-    It announces at `interval_s`, or later when the router that took the last
-    one asks for that. `routers` may change at any time. Targets begin at
-    different routers, drawn from their id, as a balancer would spread them. A
-    post that fails goes on to the next router at once, until each had its turn.
+    The interval is `interval_s`, or longer if the router that accepted the last
+    announcement requests that. `routers` may change at any time. The first router is
+    chosen by a hash of the target's id, which spreads targets as a load balancer does.
+    If a router does not accept a post, the next router is tried at once, each router
+    at most once.
     """
 
     def __init__(
@@ -57,80 +58,80 @@
         self._settings = settings
         self._template = template
         self._read_load = read_load
-        self._turn = xxhash.xxh3_64_intdigest(template.target_id.encode())
+        self._next_router_index = xxhash.xxh3_64_intdigest(template.target_id.encode())
         self._timer: Any = None
         self._sequence = 0
-        self._posting = False
-        self._again = False
-        self._wait_s = settings.interval_s
-        self._active = False
+        self._is_posting = False
+        self._needs_repost = False
+        self._next_wait_s = settings.interval_s
+        self._is_active = False
         self.incarnation = settings.incarnation or time.time_ns() // 1_000_000
         self.routers: list[str] = list(settings.routers)
         self.state = TargetState.SERVING
         self.models = template.models
-        self.accepted = 0
-        self.said: TargetState | None = None
-        self.said_leaving_s: float | None = None
+        self.accepted_count = 0
+        self.accepted_state: TargetState | None = None
+        self.leaving_accepted_s: float | None = None
         agent = Agent(reactor, pool=HTTPConnectionPool(reactor, persistent=False))
         self._client = HTTPClient(agent)
 
     def start(self, address: Address) -> None:
-        """Begin to announce the target at `address`."""
+        """Start to announce the target at `address`."""
         self._template = self._template._replace(address=address)
-        self._active = True
+        self._is_active = True
         self.announce_now()
 
     def stop(self) -> None:
-        """Announce no more; nothing is said about it, as in a crash."""
-        self._active = False
+        """Stop announcing without a notice, as in a crash."""
+        self._is_active = False
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def restart(self, address: Address) -> None:
-        """Begin again as the next incarnation."""
+        """Start to announce the next incarnation."""
         self.incarnation += 1
         self._sequence = 0
-        self.said_leaving_s = None
+        self.leaving_accepted_s = None
         self.state = TargetState.SERVING
         self.start(address)
 
-    async def said_goodbye(self) -> None:
-        """Wait until a router has taken the announcement of the leave."""
-        while self.said is not TargetState.LEAVING:
+    async def wait_until_leaving_accepted(self) -> None:
+        """Wait until a router has accepted an announcement with the state LEAVING."""
+        while self.accepted_state is not TargetState.LEAVING:
             await asyncio.sleep(_POLL_S)
 
     def announce_now(self) -> None:
-        """Announce at once and go on from there."""
+        """Announce at once, or right after the post in progress, and restart the interval."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if not self._active:
+        if not self._is_active:
             return
-        if self._posting:
-            self._again = True
+        if self._is_posting:
+            self._needs_repost = True
             return
-        self._posting = True
-        self._post_in_turn().addBoth(self._posted)
+        self._is_posting = True
+        self._post_round_robin().addBoth(self._schedule_next)
 
-    def _posted(self, result: Any) -> None:
-        """Plan the next announcement."""
-        self._posting = False
-        if not self._active:
+    def _schedule_next(self, result: Any) -> None:
+        """Schedule the next announcement after a post."""
+        self._is_posting = False
+        if not self._is_active:
             return
-        if self._again:
-            self._again = False
+        if self._needs_repost:
+            self._needs_repost = False
             self.announce_now()
             return
-        self._timer = self._reactor.callLater(self._wait_s, self._due)
+        self._timer = self._reactor.callLater(self._next_wait_s, self._on_timer)
 
-    def _due(self) -> None:
-        """Announce because the interval has passed."""
+    def _on_timer(self) -> None:
+        """Announce at the end of the interval."""
         self._timer = None
         self.announce_now()
 
     def next_announcement(self) -> TargetAnnouncement:
-        """Return the announcement that is due, with the next sequence number."""
+        """Return the current announcement, with the next sequence number."""
         self._sequence += 1
         return self._template._replace(
             incarnation=self.incarnation,
@@ -141,29 +142,29 @@
         )
 
     @inlineCallbacks
-    def _post_in_turn(self) -> Deferred:
-        """Post to the next router, and past it while routers do not take it."""
+    def _post_round_robin(self) -> Deferred:
+        """Post to the routers in turn until one accepts the announcement."""
         for _ in range(len(self.routers)):
-            if not self._active or not self.routers:
+            if not self._is_active or not self.routers:
                 return
-            router = self.routers[self._turn % len(self.routers)]
-            self._turn += 1
+            router = self.routers[self._next_router_index % len(self.routers)]
+            self._next_router_index += 1
             try:
-                posted = self.next_announcement()
-                taken = yield self._post(router, posted)
+                announcement = self.next_announcement()
+                is_accepted = yield self._post(router, announcement)
             except Exception:
-                # Whatever went wrong, the balancer would give another router.
+                # On any failure, a load balancer would choose another router.
                 continue
-            if taken:
-                self.accepted += 1
-                self.said = posted.state
-                if self.said is TargetState.LEAVING and self.said_leaving_s is None:
-                    self.said_leaving_s = self._reactor.seconds()
+            if is_accepted:
+                self.accepted_count += 1
+                self.accepted_state = announcement.state
+                if self.accepted_state is TargetState.LEAVING and self.leaving_accepted_s is None:
+                    self.leaving_accepted_s = self._reactor.seconds()
                 return
 
     @inlineCallbacks
     def _post(self, router: str, announcement: TargetAnnouncement) -> Deferred:
-        """Post one announcement; return whether it was taken."""
+        """Post one announcement; return whether the router accepted it."""
         body = json.dumps(announcement_body(announcement)).encode()
         response = yield self._client.post(
             f"http://{router}{_PATH}",
@@ -178,6 +179,6 @@
         answer = yield response.content()
         if response.code != 200:
             return False
-        asked_s = float(json.loads(answer)["next_announcement_s"])
-        self._wait_s = max(self._settings.interval_s, asked_s)
+        requested_s = float(json.loads(answer)["next_announcement_s"])
+        self._next_wait_s = max(self._settings.interval_s, requested_s)
         return True
--- a/packages/standins/src/damaskwind/standins/jumping_clock.py
+++ b/packages/standins/src/damaskwind/standins/jumping_clock.py
@@ -1,4 +1,4 @@
-"""A clock that jumps ahead, as a VM's does that was suspended meanwhile."""
+"""A clock that jumps ahead, like the clock of a VM that was suspended."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,22 +10,22 @@
 
 
 class JumpingClock:
-    """The process's clock, `ahead_s` further than it would be."""
+    """The monotonic clock plus `offset_s`."""
 
     def __init__(self) -> None:
-        self.ahead_s = 0.0
+        self.offset_s = 0.0
 
     def read(self) -> float:
-        """Return the time."""
-        return monotonic_clock() + self.ahead_s
+        """Return the shifted time."""
+        return monotonic_clock() + self.offset_s
 
     @contextmanager
-    def in_force(self) -> Iterator[None]:
-        """Have the process go by this clock meanwhile."""
+    def installed(self) -> Iterator[None]:
+        """Use this clock in the process while the context is active."""
         with override_clock(self.read):
             yield
 
-    def suspend(self, for_s: float) -> None:
-        """Jump ahead, as the loop notices it at its next wake."""
-        self.ahead_s += for_s
-        record_wake(for_s)
+    def suspend(self, duration_s: float) -> None:
+        """Jump ahead and report the gap, as the loop does when it wakes."""
+        self.offset_s += duration_s
+        record_wake(duration_s)
--- a/packages/standins/src/damaskwind/standins/serving.py
+++ b/packages/standins/src/damaskwind/standins/serving.py
@@ -1,4 +1,4 @@
-"""Run one stand-in process on the asyncio reactor until a signal ends it."""
+"""Run a stand-in process on the asyncio reactor until SIGTERM or SIGINT."""
 
 import asyncio
 import signal
@@ -12,19 +12,19 @@
 
 
 def serve_until_signal(build: Callable[[Any], Any]) -> int:
-    """Build something with `start` and `stop`, run it until SIGTERM or SIGINT."""
+    """Build an object with `start` and `stop`, run it until a signal and return the exit code."""
     reactor = install_reactor()
     exit_codes = [1]
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        asked = asyncio.Event()
+        stop_requested = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, asked.set)
+            loop.add_signal_handler(number, stop_requested.set)
         try:
             process = build(reactor)
             await process.start()
-            await asked.wait()
+            await stop_requested.wait()
             await process.stop()
             exit_codes[0] = 0
         except Exception as error:
--- a/packages/standins/src/damaskwind/standins/target_fleet.py
+++ b/packages/standins/src/damaskwind/standins/target_fleet.py
@@ -1,4 +1,4 @@
-"""A number of engines and plain services behind one control address."""
+"""A fleet of engines and plain services with one control address."""
 
 import json
 from typing import Any
@@ -17,13 +17,13 @@
 from damaskwind.standins.listening import Listener
 from damaskwind.standins.service import ServiceStandin
 from damaskwind.standins.settings import EngineSettings, ServiceSettings
-from damaskwind.standins.standin_control import apply_fault, apply_life
+from damaskwind.standins.standin_control import apply_fault, apply_lifecycle
 
 __all__ = ["Fleet"]
 
 
 class Fleet:
-    """A number of targets and the control address over them."""
+    """The targets of one process and their control address."""
 
     def __init__(self, settings: FleetSettings, reactor: Any) -> None:
         self.settings = settings
@@ -38,7 +38,7 @@
         self._install_routes(app)
         host, port = parse_address(settings.control_address)
         self._listener = Listener(reactor, app, host, port)
-        self._sampler = LoopingCall(self._sample)
+        self._sampler = LoopingCall(self._record_sample)
         self._sampler.clock = reactor
 
     def _add_engine(self, settings: EngineSettings) -> Any:
@@ -64,7 +64,7 @@
         write_ready_file(self.settings.ready_file, self.addresses())
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop the targets and the control address at once."""
         if self._sampler.running:
             self._sampler.stop()
         for target in self.targets.values():
@@ -76,8 +76,8 @@
         targets = {name: str(target.address) for name, target in self.targets.items()}
         return {"control_address": str(self._listener.address), "targets": targets}
 
-    def _sample(self) -> None:
-        """Note the load of every engine now, by the clock that processes share."""
+    def _record_sample(self) -> None:
+        """Record the load of every engine, with the time of the clock shared by all processes."""
         engines = {
             name: target for name, target in self.targets.items() if hasattr(target, "batch")
         }
@@ -95,7 +95,8 @@
                     for name, load in loads.items()
                 },
                 "largest_request_tokens": max(
-                    (engine.batch.largest_tokens() for engine in engines.values()), default=0
+                    (engine.batch.max_initial_work_tokens() for engine in engines.values()),
+                    default=0,
                 ),
                 "down": [name for name, engine in engines.items() if not engine.is_serving],
                 "load_by_user": by_user,
@@ -104,49 +105,49 @@
 
     def _install_routes(self, app: Any) -> None:
         """Add the control routes."""
-        app.route("/oracle", methods=["GET"])(self._oracles)
-        app.route("/samples", methods=["GET"])(self._shown_samples)
+        app.route("/oracle", methods=["GET"])(self._list_oracles)
+        app.route("/samples", methods=["GET"])(self._list_samples)
         app.route("/leave", methods=["POST"])(self._leave_all)
         app.route("/routers", methods=["POST"])(self._set_routers)
-        app.route("/engines", methods=["POST"])(self._join)
-        app.route("/targets/<target_id>/faults", methods=["POST"])(self._fault)
-        app.route("/targets/<target_id>/life", methods=["POST"])(self._life)
+        app.route("/engines", methods=["POST"])(self._start_engine)
+        app.route("/targets/<target_id>/faults", methods=["POST"])(self._arm_fault)
+        app.route("/targets/<target_id>/life", methods=["POST"])(self._change_lifecycle)
 
-    def _oracles(self, request: Any) -> bytes:
-        """Return the counts of every target."""
+    def _list_oracles(self, request: Any) -> bytes:
+        """Return the oracle counts of every target."""
         snapshots = {name: target.oracle.snapshot() for name, target in self.targets.items()}
         for name, target in self.targets.items():
             snapshots[name]["leave_taken_after_s"] = getattr(target, "leave_taken_after_s", None)
         return answer_json(request, snapshots)
 
-    def _shown_samples(self, request: Any) -> bytes:
-        """Return the loads over time; `from` skips the first ones."""
+    def _list_samples(self, request: Any) -> bytes:
+        """Return the load samples, starting at index `from`."""
         first = int(request.args.get(b"from", [b"0"])[0])
         return answer_json(request, self.samples[first:])
 
     def _leave_all(self, request: Any) -> Any:
-        """Let every target that is up leave; answer once routers have been told."""
+        """Make every serving target leave; answer once a router has accepted each leave."""
 
         async def leave() -> bytes:
             up = [target for target in self.targets.values() if target.is_serving]
             for target in up:
                 target.leave()
             for target in up:
-                await target.announcer.said_goodbye()
+                await target.announcer.wait_until_leaving_accepted()
             return answer_json(request, {})
 
         return to_deferred(leave())
 
     def _set_routers(self, request: Any) -> bytes:
-        """Tell every target which routers the balancer now gives."""
+        """Set the routers to which all targets announce themselves."""
         routers = json.loads(request.content.read())["routers"]
         for target in self.targets.values():
             target.announcer.routers = list(routers)
             target.announcer.announce_now()
         return answer_json(request, {})
 
-    def _join(self, request: Any) -> Any:
-        """Start one more engine and return its address."""
+    def _start_engine(self, request: Any) -> Any:
+        """Start another engine and return its address."""
         checked = check_table(json.loads(request.content.read()), EngineSettings, "engine")
         if checked.mistakes:
             request.setResponseCode(400)
@@ -161,13 +162,13 @@
 
         return to_deferred(start())
 
-    def _fault(self, request: Any, target_id: str) -> bytes:
+    def _arm_fault(self, request: Any, target_id: str) -> bytes:
         """Arm a fault at one target."""
         apply_fault(self.targets[target_id], json.loads(request.content.read()))
         return answer_json(request, {})
 
-    def _life(self, request: Any, target_id: str) -> Any:
-        """Let one target leave, flap, stop or come back; answer at once."""
-        order = json.loads(request.content.read())
-        to_deferred(apply_life(self.targets[target_id], order))
+    def _change_lifecycle(self, request: Any, target_id: str) -> Any:
+        """Make one target leave, flap, stop or come back; answer without waiting for it."""
+        command = json.loads(request.content.read())
+        to_deferred(apply_lifecycle(self.targets[target_id], command))
         return answer_json(request, {})
--- a/packages/standins/src/damaskwind/standins/tests/test_batching.py
+++ b/packages/standins/src/damaskwind/standins/tests/test_batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching with an injected clock: timing, order, load and cache."""
+"""Tests of continuous batching with an injected clock: timing, order, load and cache."""
 
 from unittest import TestCase
 
@@ -21,13 +21,13 @@
 
 
 class BatchTest(TestCase):
-    """Step a batch by a clock of the test."""
+    """Run a batch with a simulated clock."""
 
     def setUp(self) -> None:
         self.clock = Clock()
         self.cache = PrefixCache(10_000)
         self.batch = Batch(self.clock, _SETTINGS, self.cache)
-        self.heard: list[tuple[float, str, str | None]] = []
+        self.received: list[tuple[float, str, str | None]] = []
 
     def _submit(self, name: str, text: str, answer: int, priority: int = 0) -> Generation:
         messages = [Message("user", text), Message("assistant", name)]
@@ -37,7 +37,7 @@
             for digest, message in zip(digests, messages, strict=True)
         ]
         generation = Generation(name, chain, ["tok "] * answer, priority)
-        generation.listener = lambda index, token: self.heard.append(
+        generation.listener = lambda index, token: self.received.append(
             (round(self.clock.seconds(), 3), name, token)
         )
         self.batch.submit(generation)
@@ -46,12 +46,12 @@
     def _run(self, duration_s: float) -> None:
         self.clock.pump([_STEP_S] * round(duration_s / _STEP_S))
 
-    def test_first_token_waits_for_the_prompt_and_the_rest_are_timed(self) -> None:
+    def test_first_token_follows_prompt_and_later_tokens_follow_interval(self) -> None:
         self._submit("a", "x" * 796, answer=3)
         self._run(1.0)
-        times = [time_s for time_s, _, token in self.heard if token]
+        times = [time_s for time_s, _, token in self.received if token]
         self.assertEqual(times, [0.25, 0.375, 0.5])
-        self.assertIsNone(self.heard[-1][2])
+        self.assertIsNone(self.received[-1][2])
 
     def test_cached_prompt_is_not_computed_again(self) -> None:
         self._submit("a", "x" * 4000, answer=1)
@@ -61,16 +61,16 @@
         self.assertEqual(again.cached_tokens, 1001)
         self.assertTrue(again.finished)
 
-    def test_waiting_requests_enter_by_priority(self) -> None:
+    def test_waiting_requests_are_admitted_by_priority(self) -> None:
         for name in ("a", "b"):
             self._submit(name, name, answer=5)
         self._submit("batch", "c", answer=1, priority=2)
         self._submit("urgent", "d", answer=1, priority=0)
         self._run(3.0)
-        ends = [name for _, name, token in self.heard if token is None]
+        ends = [name for _, name, token in self.received if token is None]
         self.assertEqual(ends, ["a", "b", "urgent", "batch"])
 
-    def test_load_counts_the_work_left_and_reports_it_late(self) -> None:
+    def test_load_is_remaining_work_and_is_reported_with_delay(self) -> None:
         self._submit("a", "x" * 796, answer=10)
         self.assertEqual(self.batch.load().load_tokens, 210)
         self.assertEqual(self.batch.lagged_load().load_tokens, 0)
@@ -79,13 +79,13 @@
         self._run(3.0)
         self.assertEqual(self.batch.lagged_load().load_tokens, 0)
 
-    def test_cancelled_request_leaves_room(self) -> None:
+    def test_cancelled_request_frees_its_slot(self) -> None:
         first = self._submit("a", "a", answer=100)
         self._submit("b", "b", answer=100)
         self._submit("c", "c", answer=1)
         self.batch.cancel(first)
         self._run(0.5)
-        self.assertIn("c", [name for _, name, _ in self.heard])
+        self.assertIn("c", [name for _, name, _ in self.received])
         self.assertEqual(self.batch.load().waiting_requests, 0)
 
 
