--- a/benchmarks/path_caller.py
+++ b/benchmarks/path_caller.py
@@ -5,7 +5,7 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-__all__ = ["Load"]
+__all__ = ["LoadGenerator"]
 
 OPEN_INTERVAL_S = 0.004
 _TOKEN = b'"content":'
@@ -15,7 +15,7 @@
 class _Caller(Protocol):
     """One connection that asks again and again, or holds one stream."""
 
-    def __init__(self, load: "Load") -> None:
+    def __init__(self, load: "LoadGenerator") -> None:
         self._load = load
         self._received = b""
         self._sent_s = 0.0
@@ -24,9 +24,9 @@
     def connectionMade(self) -> None:  # noqa: N802
         """Ask the first time."""
         self.transport.setTcpNoDelay(True)
-        self._ask()
+        self._send_request()
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         """Send one request."""
         self._sent_s = self._load.reactor.seconds()
         self._received = b""
@@ -44,11 +44,11 @@
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0)
         ended = len(body) >= length if length else body.endswith(b"0\r\n\r\n")
         if ended:
-            self._load.answered(head.startswith(b"HTTP/1.1 200"), self._sent_s)
-            self._ask()
+            self._load.record_answer(head.startswith(b"HTTP/1.1 200"), self._sent_s)
+            self._send_request()
 
 
-class Load:
+class LoadGenerator:
     """A number of connections against one address."""
 
     def __init__(self, reactor: Any, host: str, port: int, key: str, body: dict) -> None:
@@ -73,7 +73,7 @@
             f"content-length: {len(body)}\r\n\r\n"
         )
         self.request = head.encode() + body
-        factory = Factory.forProtocol(self._make)
+        factory = Factory.forProtocol(self._make_caller)
         factory.noisy = False
         from twisted.internet.endpoints import TCP4ClientEndpoint
 
@@ -85,15 +85,15 @@
         else:
             self.reactor.callLater(seconds, self._report)
 
-    def _make(self) -> _Caller:
+    def _make_caller(self) -> _Caller:
         """Make one caller."""
         caller = _Caller(self)
         self._callers.append(caller)
         return caller
 
-    def answered(self, good: bool, sent_s: float) -> None:
+    def record_answer(self, is_ok: bool, sent_s: float) -> None:
         """Count an answer."""
-        self._errors += not good
+        self._errors += not is_ok
         self._latencies_s.append(self.reactor.seconds() - sent_s)
 
     def _check_open(self, count: int) -> None:
@@ -106,13 +106,13 @@
     def _report(self) -> None:
         """Print the counts and end."""
         latencies = sorted(self._latencies_s) or [0.0]
-        counted = {
+        results = {
             "tokens": sum(caller.tokens for caller in self._callers),
             "requests": len(self._latencies_s),
             "errors": self._errors,
         }
         for name in (50, 95, 99):
             index = min(len(latencies) - 1, len(latencies) * name // 100)
-            counted[f"p{name}_ms"] = latencies[index] * 1000
-        print(json.dumps(counted), flush=True)
+            results[f"p{name}_ms"] = latencies[index] * 1000
+        print(json.dumps(results), flush=True)
         self.reactor.stop()
--- a/benchmarks/path_roles.py
+++ b/benchmarks/path_roles.py
@@ -224,11 +224,11 @@
 def run_caller(address: str, kind: str, count: str, seconds: str) -> None:
     """Drive an address with raw connections and print what came back."""
     reactor = install_reactor()
-    from path_caller import Load
+    from path_caller import LoadGenerator
 
     host, port = address.split(":")
-    load = Load(reactor, host, int(port), ACCOUNT_KEY, BODY)
-    reactor.callWhenRunning(load.start, kind, int(count), float(seconds))
+    generator = LoadGenerator(reactor, host, int(port), ACCOUNT_KEY, BODY)
+    reactor.callWhenRunning(generator.start, kind, int(count), float(seconds))
     reactor.run()
 
 
--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -36,10 +36,10 @@
         for i in range(2000)
     ]
     placer.place(queries[0], 0.0)
-    begun_s = time.process_time()
+    started_s = time.process_time()
     for number, query in enumerate(queries):
         placer.place(query, 0.2 + number / REQUESTS_PER_S)
-    return (time.process_time() - begun_s) / len(queries) * 1e6
+    return (time.process_time() - started_s) / len(queries) * 1e6
 
 
 def main() -> None:
--- a/benchmarks/placement_engines.py
+++ b/benchmarks/placement_engines.py
@@ -14,11 +14,19 @@
     TargetView,
 )
 
-__all__ = ["DOMAIN", "PACE_TOKENS_PER_S", "POOL", "Chat", "Engine", "engine_report", "engine_view"]
+__all__ = [
+    "DOMAIN",
+    "DECODE_TOKENS_PER_S",
+    "POOL",
+    "Chat",
+    "Engine",
+    "engine_report",
+    "engine_view",
+]
 
 POOL = PoolName("pool", "m", "1")
 DOMAIN = "d0"
-PACE_TOKENS_PER_S = 22.7
+DECODE_TOKENS_PER_S = 22.7
 CACHE_TOKENS = 900_000
 CAPACITY_TOKENS = 200_000
 
@@ -47,7 +55,7 @@
         self.cached_tokens = 0
         self.load_tokens = 0.0
         self.running = 0
-        self.as_of_s = 0.0
+        self.updated_s = 0.0
         self.prefill_free_s = 0.0
         self.published = (0.0, 0.0)
         self.reported_s = 0.0
@@ -55,11 +63,11 @@
 
     def load_at(self, now_s: float) -> float:
         """Work the load off up to now and return it."""
-        self.load_tokens -= self.running * PACE_TOKENS_PER_S * (now_s - self.as_of_s)
-        self.as_of_s = now_s
+        self.load_tokens -= self.running * DECODE_TOKENS_PER_S * (now_s - self.updated_s)
+        self.updated_s = now_s
         return self.load_tokens
 
-    def reuse(self, chat: Chat) -> int:
+    def cached_prefix_tokens(self, chat: Chat) -> int:
         """Return how many tokens of the chat's prompt are cached, without touching them."""
         shared = self.cache.get(f"account-{chat.account}", 0)
         return max(self.cache.get(chat.digest, 0), shared)
@@ -76,7 +84,7 @@
         self.cache.clear()
         self.cached_tokens = self.running = 0
         self.load_tokens = 0.0
-        self.as_of_s = now_s
+        self.updated_s = now_s
         self.epoch += 1
 
 
--- a/benchmarks/placement_gossip.py
+++ b/benchmarks/placement_gossip.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from benchmarks import control_bytes
-from benchmarks.control_bytes import Conditions, spread
+from benchmarks.control_bytes import Conditions, summarize
 from benchmarks.placement_engines import Engine, engine_report
 from benchmarks.placement_figures import Setting, figures
 from benchmarks.placement_scale import Fleet
@@ -30,7 +30,7 @@
 
 SETTLE_S = 130.0
 STEP_S = 0.05
-IN_TIME_S = 5.0
+NOTE_DEADLINE_S = 5.0
 
 
 class EngineNetwork(control_bytes.Fleet):
@@ -75,46 +75,46 @@
             setting.near,
         )
         self.network.run(SETTLE_S)
-        renamed = zip(self.network.target_names, self.engines.values(), strict=True)
-        self.engine_of = {name: engine.name for name, engine in renamed}
+        name_pairs = zip(self.network.target_names, self.engines.values(), strict=True)
+        self.engine_of = {name: engine.name for name, engine in name_pairs}
         self.name_of = {engine: name for name, engine in self.engine_of.items()}
         self.network.engines = {
             name: self.engines[engine] for name, engine in self.engine_of.items()
         }
         self.published: dict[tuple[str, str], float] = {}
-        self.heard_after_s: list[float] = []
+        self.note_delays_s: list[float] = []
         self.ages_s: list[float] = []
         self.nodes = list(self.network.nodes.values())
         for number, node in enumerate(self.nodes):
-            node.handler = lambda event, number=number: self.take(number, event)
+            node.handler = lambda event, number=number: self.handle_event(number, event)
         self.at(0.0, self.step)
-        self.at(setting.warm_up_s, self.network.start_count)
+        self.at(setting.warm_up_s, self.network.reset_counters)
 
     def step(self) -> None:
         """Let the gossip catch up with the placement's clock."""
         self.at(self.now_s + STEP_S, self.step)
         self.network.run(SETTLE_S + self.now_s)
 
-    def take(self, number: int, event: Any) -> None:
+    def handle_event(self, number: int, event: Any) -> None:
         """Give one router's placer what its gossip tells."""
         placer = self.placers[number]
         if isinstance(event, LoadHeard):
             placer.observe_report(self.engine_of[event.target_id], event.report, self.now_s)
         elif isinstance(event, SpillHeard):
-            self.take_notes(number, event)
+            self.handle_spill_notes(number, event)
         elif isinstance(event, TargetGone):
             placer.remove_target(self.engine_of[event.target_id])
         elif isinstance(event, TargetChanged):
             placer.update_target(self.view(self.engine_of[event.target.target_id]), self.now_s)
 
-    def take_notes(self, number: int, event: SpillHeard) -> None:
+    def handle_spill_notes(self, number: int, event: SpillHeard) -> None:
         """Give one router the notes that it heard and count how late they are."""
         for note in event.notes:
             named = note._replace(target_id=self.engine_of[note.target_id])
             self.placers[number].observe_spill_note(named, self.now_s)
             published_s = self.published.get((note.chat_short_digest, note.target_id))
             if published_s is not None:
-                self.heard_after_s.append(self.now_s - published_s)
+                self.note_delays_s.append(self.now_s - published_s)
 
     def report(self, engine: Engine) -> None:
         """Publish an engine's load; announcements and answers carry it."""
@@ -136,14 +136,14 @@
             notes = placer.pop_spill_notes(self.now_s)
             named = [note._replace(target_id=self.name_of[note.target_id]) for note in notes]
             node.publish_spills(named, SETTLE_S + self.now_s)
-            if self.setting.warm_up_s < self.now_s < self.setting.seconds - IN_TIME_S:
+            if self.setting.warm_up_s < self.now_s < self.setting.seconds - NOTE_DEADLINE_S:
                 self.counts["followed notes"] += len(notes)
                 for note in named:
                     self.published[note] = self.now_s
             if self.now_s > self.setting.warm_up_s:
                 self.counts["notes"] += len(notes)
 
-    def tell_all(self, name: str, state: TargetState) -> None:
+    def announce_state(self, name: str, state: TargetState) -> None:
         """Let an engine itself say that it leaves or is back."""
         if state is TargetState.SERVING:
             self.engines[name].published = (0.0, self.now_s)
@@ -159,30 +159,30 @@
             ages = [placer.load_table.load(name).age_s(self.now_s) for name in alive]
             self.ages_s += [age for age in ages if age is not None]
 
-    def gossip_line(self) -> str:
+    def format_gossip(self) -> str:
         """Return how old loads are and how many notes arrive in time."""
         possible = max(1, self.counts["followed notes"] * (self.setting.routers - 1))
-        in_time = sum(after_s <= IN_TIME_S for after_s in self.heard_after_s)
+        in_time = sum(after_s <= NOTE_DEADLINE_S for after_s in self.note_delays_s)
         return (
-            f"load age {spread(self.ages_s)} s; notes heard within {IN_TIME_S:.0f} s"
-            f" {in_time / possible:.3f}, ever {len(self.heard_after_s) / possible:.3f},"
-            f" after {spread(self.heard_after_s)} s"
+            f"load age {summarize(self.ages_s)} s; notes heard within {NOTE_DEADLINE_S:.0f} s"
+            f" {in_time / possible:.3f}, ever {len(self.note_delays_s) / possible:.3f},"
+            f" after {summarize(self.note_delays_s)} s"
         )
 
 
 def run(setting: Setting, loss: float, bytes_per_s: int) -> None:
     """Run one setting and print its figures."""
-    begun_s = time.perf_counter()
+    started_s = time.perf_counter()
     fleet = GossipFleet(setting, loss, bytes_per_s)
     fleet.run()
     print(" ".join(f"{name}={value}" for name, value in setting._asdict().items()))
     print(f"  loss {loss}, budget {bytes_per_s} B/s")
     found = figures(setting, fleet.counts, fleet.samples, fleet.errors, fleet.place_s)
-    found["wall s"] = f"{time.perf_counter() - begun_s:.0f}"
+    found["wall s"] = f"{time.perf_counter() - started_s:.0f}"
     print("  " + "; ".join(f"{name} {value}" for name, value in found.items()))
-    print("  " + fleet.gossip_line())
-    print("  " + fleet.network.bytes_line())
-    print("  " + fleet.network.kinds_line(), flush=True)
+    print("  " + fleet.format_gossip())
+    print("  " + fleet.network.format_bytes())
+    print("  " + fleet.network.format_kinds(), flush=True)
 
 
 def main() -> None:
--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 from benchmarks.placement_engines import (
+    DECODE_TOKENS_PER_S,
     DOMAIN,
-    PACE_TOKENS_PER_S,
     POOL,
     Chat,
     Engine,
@@ -59,7 +59,7 @@
         self.order = count()
         self.now_s = 0.0
         self.engines = {f"engine-{i:04}": Engine(f"engine-{i:04}") for i in range(setting.engines)}
-        self.mean_true = (0.0, -1.0)
+        self.true_mean = (0.0, -1.0)
         self.placers = [self._placer(i) for i in range(setting.routers)]
         self.accounts = [1.0 / (1 + i) ** 0.5 for i in range(ACCOUNTS)]
         self.counts: Counter[str] = Counter()
@@ -90,12 +90,12 @@
 
     def run(self) -> None:
         """Run to the end of the setting."""
-        self._plan()
+        self._schedule_initial_events()
         while self.events and self.events[0][0] <= self.setting.seconds:
             self.now_s, _, action, arguments = heapq.heappop(self.events)
             action(*arguments)
 
-    def _plan(self) -> None:
+    def _schedule_initial_events(self) -> None:
         """Lay out the arrivals, reports, gossip, samples, churn and surge."""
         rate = self.setting.requests_per_s_per_engine * self.setting.engines / MEAN_TURNS
         self.at(0.0, self.new_chat, rate, None)
@@ -103,12 +103,14 @@
             self.at(self.random.random() * PUBLISH_EVERY_S, self.report, engine)
         self.at(GOSSIP_EVERY_S, self.gossip)
         self.at(self.setting.warm_up_s, self.sample)
-        calm_s = self.setting.seconds - self.setting.warm_up_s
+        measured_s = self.setting.seconds - self.setting.warm_up_s
         if self.setting.surge:
-            start_s = self.setting.warm_up_s + calm_s / 3
+            start_s = self.setting.warm_up_s + measured_s / 3
             share = sum(self.accounts[10:12]) / sum(self.accounts)
-            self.at(start_s, self.new_chat, rate * share * (SURGE_FACTOR - 1), start_s + calm_s / 3)
-            self.at(start_s, self.burst, start_s + calm_s / 3, rate * share)
+            self.at(
+                start_s, self.new_chat, rate * share * (SURGE_FACTOR - 1), start_s + measured_s / 3
+            )
+            self.at(start_s, self.burst, start_s + measured_s / 3, rate * share)
         if self.setting.churn:
             self.at(self.setting.warm_up_s / 2, self.churn)
 
@@ -122,16 +124,16 @@
         else:
             account = self.random.choice((10, 11))
         turns = 1 + int(self.random.expovariate(1 / (MEAN_TURNS - 0.5)))
-        self.turn(Chat(account, f"chat-{next(self.order)}", turns))
+        self.send_turn(Chat(account, f"chat-{next(self.order)}", turns))
 
     def burst(self, until_s: float, rate: float) -> None:
         """Send single requests that all share one chat key."""
         if self.now_s > until_s:
             return
         self.at(self.now_s + self.random.expovariate(rate), self.burst, until_s, rate)
-        self.turn(Chat(11, "batch-key", 1), next(self.order))
+        self.send_turn(Chat(11, "batch-key", 1), next(self.order))
 
-    def turn(self, chat: Chat, tail: int = 0, excluded: frozenset[str] = frozenset()) -> None:
+    def send_turn(self, chat: Chat, tail: int = 0, excluded: frozenset[str] = frozenset()) -> None:
         """Let a chat ask its next question through a random router."""
         router = self.random.randrange(self.setting.routers)
         prompt_tokens = (chat.history_tokens or SYSTEM_TOKENS) + TURN_TOKENS
@@ -140,12 +142,12 @@
         target_id = self._choose(chat, router, need_tokens, tail, excluded)
         if target_id is None:
             self.counts["queued"] += 1
-            self.at(self.now_s + 0.2, self.turn, chat, tail)
+            self.at(self.now_s + 0.2, self.send_turn, chat, tail)
             return
         engine = self.engines[target_id]
         if not engine.alive:
             self.counts["retried"] += 1
-            self.turn(chat, tail, excluded | {target_id})
+            self.send_turn(chat, tail, excluded | {target_id})
             return
         self._serve(chat, engine, router, prompt_tokens, need_tokens)
 
@@ -159,9 +161,9 @@
             chat.digest, (f"{chat.key}-{tail}",), str(chat.account), need_tokens, DOMAIN, POOL
         )
         query = query._replace(excluded=excluded, is_new=chat.turns_done == 0)
-        begun_s = time.perf_counter()
+        started_s = time.perf_counter()
         choice = self.placers[router].place(query, self.now_s)
-        self.place_s.append(time.perf_counter() - begun_s)
+        self.place_s.append(time.perf_counter() - started_s)
         if self.now_s > self.setting.warm_up_s:
             self.counts[f"reason {choice.reason}"] += 1
         return choice.target_id
@@ -169,21 +171,21 @@
     def _choose_all_knowing(self, chat: Chat) -> str:
         """Take the longest cached prefix under the true bound, else the least loaded."""
         alive = [engine for engine in self.engines.values() if engine.alive]
-        if self.now_s - self.mean_true[1] > 0.1:
+        if self.now_s - self.true_mean[1] > 0.1:
             mean = fmean(engine.load_at(self.now_s) for engine in alive)
-            self.mean_true = (mean, self.now_s)
-        bound = LOAD_FACTOR * self.mean_true[0]
+            self.true_mean = (mean, self.now_s)
+        bound = LOAD_FACTOR * self.true_mean[0]
         holders = [engine for engine in alive if chat.digest in engine.cache]
         under = [engine for engine in holders if engine.load_at(self.now_s) <= bound]
         if under:
-            return max(under, key=lambda engine: engine.reuse(chat)).name
+            return max(under, key=lambda engine: engine.cached_prefix_tokens(chat)).name
         return min(alive, key=lambda engine: engine.load_at(self.now_s)).name
 
     def _serve(self, chat: Chat, engine: Engine, router: int, prompt: int, need: int) -> None:
         """Start a request at an engine and plan its first token and its end."""
         request_id = str(next(self.order))
         self.placers[router].started(request_id, engine.name, chat.digest, need, self.now_s)
-        reused = min(engine.reuse(chat), prompt)
+        reused = min(engine.cached_prefix_tokens(chat), prompt)
         if self.now_s > self.setting.warm_up_s:
             self.counts["reused"] += reused
             self.counts["prompt"] += prompt
@@ -206,7 +208,7 @@
             engine.load_tokens -= uncached
             engine.running += 1
             self.answered(router, engine)
-        self.at(self.now_s + answer / PACE_TOKENS_PER_S, self.end, *arguments)
+        self.at(self.now_s + answer / DECODE_TOKENS_PER_S, self.end, *arguments)
 
     def answered(self, router: int, engine: Engine) -> None:
         """Tell a router the load that rides on an answer."""
@@ -224,7 +226,7 @@
         chat.turns_done += 1
         chat.turns_left -= 1
         if chat.turns_left > 0:
-            self.at(self.now_s + self.random.expovariate(1 / MEAN_PAUSE_S), self.turn, chat)
+            self.at(self.now_s + self.random.expovariate(1 / MEAN_PAUSE_S), self.send_turn, chat)
 
     def report(self, engine: Engine) -> None:
         """Publish an engine's load and let it reach the routers late or never."""
@@ -239,9 +241,11 @@
         for number in range(DELAY_CLASSES):
             delay_s = self.random.uniform(0.05, 1.0)
             if self.random.random() > 0.05:
-                self.at(self.now_s + delay_s, self.hear, engine.name, report, delay_s, number)
+                self.at(
+                    self.now_s + delay_s, self.deliver_report, engine.name, report, delay_s, number
+                )
 
-    def hear(self, name: str, report: LoadReport, delay_s: float, number: int) -> None:
+    def deliver_report(self, name: str, report: LoadReport, delay_s: float, number: int) -> None:
         """Deliver a report to one class of routers."""
         aged = report._replace(age_s=delay_s)
         for placer in self.placers[number::DELAY_CLASSES]:
@@ -255,9 +259,9 @@
             if self.now_s > self.setting.warm_up_s:
                 self.counts["notes"] += len(notes)
             if notes and self.setting.notes:
-                self.at(self.now_s + GOSSIP_EVERY_S, self.hear_notes, number, notes)
+                self.at(self.now_s + GOSSIP_EVERY_S, self.deliver_notes, number, notes)
 
-    def hear_notes(self, sender: int, notes: Any) -> None:
+    def deliver_notes(self, sender: int, notes: Any) -> None:
         """Deliver notes."""
         for number, placer in enumerate(self.placers):
             if number != sender:
@@ -272,24 +276,24 @@
         if leaver.alive:
             leaver.alive = False
             leaver.restart(self.now_s)
-            self.tell_all(leaver.name, TargetState.LAPSED)
+            self.announce_state(leaver.name, TargetState.LAPSED)
             self.at(self.now_s + 15.0, self.come_back, leaver)
         for placer in self.random.sample(self.placers, (len(self.placers) + 1) // 2):
-            self.tell(placer, flapper.name, TargetState.LAPSED)
-            self.at(self.now_s + 5.0, self.tell, placer, flapper.name, TargetState.SERVING)
+            self.set_state(placer, flapper.name, TargetState.LAPSED)
+            self.at(self.now_s + 5.0, self.set_state, placer, flapper.name, TargetState.SERVING)
 
     def come_back(self, engine: Engine) -> None:
         """Start an engine again, with an empty cache."""
         engine.alive = True
-        engine.as_of_s = self.now_s
-        self.tell_all(engine.name, TargetState.SERVING)
+        engine.updated_s = self.now_s
+        self.announce_state(engine.name, TargetState.SERVING)
 
-    def tell_all(self, name: str, state: TargetState) -> None:
+    def announce_state(self, name: str, state: TargetState) -> None:
         """Let each router learn of a target's state at its own time."""
         for placer in self.placers:
-            self.at(self.now_s + self.random.uniform(0.0, 2.0), self.tell, placer, name, state)
+            self.at(self.now_s + self.random.uniform(0.0, 2.0), self.set_state, placer, name, state)
 
-    def tell(self, placer: Placer, name: str, state: TargetState) -> None:
+    def set_state(self, placer: Placer, name: str, state: TargetState) -> None:
         """Change one router's list; a target that left is forgotten."""
         if state is TargetState.SERVING:
             placer.update_target(self.view(name), self.now_s)
@@ -316,12 +320,12 @@
 
 def run(setting: Setting) -> Fleet:
     """Run one setting and print its figures."""
-    begun_s = time.perf_counter()
+    started_s = time.perf_counter()
     fleet = Fleet(setting)
     fleet.run()
     print(" ".join(f"{name}={value}" for name, value in setting._asdict().items()))
     found = figures(setting, fleet.counts, fleet.samples, fleet.errors, fleet.place_s)
-    found["wall s"] = f"{time.perf_counter() - begun_s:.0f}"
+    found["wall s"] = f"{time.perf_counter() - started_s:.0f}"
     print("    " + "; ".join(f"{name} {value}" for name, value in found.items()))
     reasons = {key: value for key, value in fleet.counts.items() if key.startswith("reason")}
     total = max(1, sum(reasons.values()))
--- a/benchmarks/platform_start.py
+++ b/benchmarks/platform_start.py
@@ -71,10 +71,10 @@
             PATH_VARIABLE: str(file),
         }
         command = [sys.executable, "-S", "-m", "damaskwind.platform", role]
-        begun_s = read_clock()
+        started_s = read_clock()
         process = subprocess.Popen(command, cwd=ROOT, env=environment, stdout=subprocess.DEVNULL)
         try:
-            listening_s = wait_until_listening(PORTS[LISTENED[role]], begun_s)
+            listening_s = wait_until_listening(PORTS[LISTENED[role]], started_s)
             time.sleep(SETTLE_S)
             return Start(listening_s, *read_usage(process.pid))
         finally:
@@ -82,12 +82,12 @@
             process.wait()
 
 
-def wait_until_listening(port: int, begun_s: float) -> float:
+def wait_until_listening(port: int, started_s: float) -> float:
     """Return the seconds until a connection stands."""
-    while read_clock() - begun_s < START_LIMIT_S:
+    while read_clock() - started_s < START_LIMIT_S:
         try:
             socket.create_connection((HOST, port), 0.2).close()
-            return read_clock() - begun_s
+            return read_clock() - started_s
         except OSError:
             time.sleep(0.005)
     raise TimeoutError(f"port {port} not listening after {START_LIMIT_S} s")
@@ -107,8 +107,8 @@
     for role in LISTENED:
         runs = [start_once(role) for _ in range(starts)]
         for name, values in zip(Start._fields, zip(*runs, strict=True), strict=True):
-            middle = statistics.median(values)
-            print(f"{role} {name}: {middle:.2f} ({min(values):.2f} to {max(values):.2f})")
+            median_value = statistics.median(values)
+            print(f"{role} {name}: {median_value:.2f} ({min(values):.2f} to {max(values):.2f})")
 
 
 if __name__ == "__main__":
--- a/benchmarks/rest_at_size.py
+++ b/benchmarks/rest_at_size.py
@@ -20,15 +20,15 @@
 from damaskwind.decisions.target_signals.answer_signals import AnswerSignals
 from damaskwind.decisions.target_signals.signal_table import SignalTable, TargetSignal
 
-__all__ = ["WAYS", "RestFigures", "RestLoad", "play"]
+__all__ = ["STRATEGIES", "RestFigures", "RestLoad", "simulate"]
 
-WAYS = ("forgotten", "kept", "shared")
-ON_ITS_WAY_S = 0.5
+STRATEGIES = ("forgotten", "kept", "shared")
+IN_FLIGHT_S = 0.5
 BUSY_S = 0.1
 # News of one router reach the others with the next sums.
-SHARED_AFTER_S = 0.5
+SHARE_DELAY_S = 0.5
 WORK_S = 0.4
-SENDS_MOST = 3
+MAX_SENDS = 3
 SLOTS = 64
 
 
@@ -37,10 +37,10 @@
 
     routers: int
     targets: int
-    per_target_s: float = 10.0
+    requests_per_target_s: float = 10.0
     seconds: float = 30.0
     rest_s: float = 3.0
-    spell_s: float = 9.0
+    rest_period_s: float = 9.0
 
 
 class RestFigures(NamedTuple):
@@ -53,22 +53,22 @@
     most_held_of_mean: float
 
 
-class _Asked(NamedTuple):
+class _RestRequest(NamedTuple):
     at_s: float
     until_s: float
 
 
-class _Play:
-    def __init__(self, way: str, load: RestLoad, seed: int) -> None:
-        self.way, self.load, self.random = way, load, Random(seed)
+class _Simulation:
+    def __init__(self, strategy: str, load: RestLoad, seed: int) -> None:
+        self.strategy, self.load, self.random = strategy, load, Random(seed)
         self.names = [f"t{number:03d}" for number in range(load.targets)]
-        self.words = [SignalTable() for _ in range(load.routers)]
+        self.signals = [SignalTable() for _ in range(load.routers)]
         self.busy_until_s: dict[tuple[int, str], float] = {}
-        self.held: Counter[str] = Counter()
+        self.in_progress: Counter[str] = Counter()
         self.arrived: dict[tuple[int, str], list[float]] = defaultdict(list)
-        self.asked: dict[tuple[int, str], list[_Asked]] = defaultdict(list)
-        self.told: list[tuple[float, int, str, float]] = []
-        self.ended: list[tuple[float, int, str]] = []
+        self.rest_requests: dict[tuple[int, str], list[_RestRequest]] = defaultdict(list)
+        self.shared_signals: list[tuple[float, int, str, float]] = []
+        self.completions: list[tuple[float, int, str]] = []
         self.outcomes: Counter[str] = Counter()
         self.most_held = 0.0
         self._numbers = count()
@@ -77,16 +77,16 @@
             SharedRetryBudget(terms, lambda: load.routers, -60.0) for _ in range(load.routers)
         ]
 
-    def rests(self, name: str, now_s: float) -> bool:
+    def is_resting(self, name: str, now_s: float) -> bool:
         """Tell whether a target turns everybody away: a third after the other."""
-        third = int(now_s / self.load.spell_s) % 3
+        third = int(now_s / self.load.rest_period_s) % 3
         return self.names.index(name) % 3 == third
 
     def run(self) -> RestFigures:
-        per_s = self.load.per_target_s * self.load.targets
+        per_s = self.load.requests_per_target_s * self.load.targets
         now_s = 0.0
         while (now_s := now_s + self.random.expovariate(per_s)) < self.load.seconds:
-            self._settle(now_s)
+            self._apply_due_events(now_s)
             self._serve(now_s)
         requests = self.outcomes.total() - self.outcomes["turned away"]
         worst = max(self._arrivals_in_rest(), default=0)
@@ -95,26 +95,27 @@
         ]
         return RestFigures(worst, *parts, self.most_held)
 
-    def _settle(self, now_s: float) -> None:
+    def _apply_due_events(self, now_s: float) -> None:
         """Let what has ended end, and what was told arrive."""
-        while self.ended and self.ended[0][0] <= now_s:
-            self.held[heappop(self.ended)[2]] -= 1
-        while self.told and self.told[0][0] <= now_s:
-            at_s, _, name, until_s = heappop(self.told)
-            for words in self.words:
-                words.observe(name, AnswerSignals(max(until_s - at_s, 0.0)), at_s)
+        while self.completions and self.completions[0][0] <= now_s:
+            self.in_progress[heappop(self.completions)[2]] -= 1
+        while self.shared_signals and self.shared_signals[0][0] <= now_s:
+            at_s, _, name, until_s = heappop(self.shared_signals)
+            for signals in self.signals:
+                signals.observe(name, AnswerSignals(max(until_s - at_s, 0.0)), at_s)
 
     def _candidates(self, router: int, tried: set[str], now_s: float) -> list[Candidate]:
-        words, has_words = self.words[router], self.way != "forgotten"
+        signals, uses_signals = self.signals[router], self.strategy != "forgotten"
         return [
             Candidate(
                 name,
                 "domain",
-                self.held[name],
+                self.in_progress[name],
                 SLOTS,
                 self.busy_until_s.get((router, name), 0.0) > now_s,
                 takes_work=(
-                    takes_work := not has_words or words.signal(name, now_s) is TargetSignal.NOTHING
+                    takes_work := not uses_signals
+                    or signals.signal(name, now_s) is TargetSignal.NOTHING
                 ),
                 is_held_back=not takes_work,
             )
@@ -128,7 +129,7 @@
         budget, policy = self.budgets[router], policy_for(self.load.routers, True)
         budget.count_request(now_s)
         tried: set[str] = set()
-        for send in range(SENDS_MOST):
+        for send in range(MAX_SENDS):
             choice = choose_target(
                 self._candidates(router, tried, now_s), key, "domain", policy, self.random
             )
@@ -141,51 +142,54 @@
             name = choice.candidate.target_id
             tried.add(name)
             self.arrived[router, name].append(now_s)
-            if not self.rests(name, now_s):
+            if not self.is_resting(name, now_s):
                 self.outcomes["served"] += 1
-                self._hold(name, now_s)
+                self._start_request(name, now_s)
                 return
             self.outcomes["turned away"] += 1
-            self._hear(router, name, now_s)
+            self._observe_rest(router, name, now_s)
         self.outcomes["refused"] += 1
 
-    def _hold(self, name: str, now_s: float) -> None:
-        self.held[name] += 1
-        heappush(self.ended, (now_s + WORK_S, next(self._numbers), name))
-        mean = sum(self.held.values()) / len(self.names)
-        self.most_held = max(self.most_held, self.held[name] / (2 * mean + 3))
+    def _start_request(self, name: str, now_s: float) -> None:
+        self.in_progress[name] += 1
+        heappush(self.completions, (now_s + WORK_S, next(self._numbers), name))
+        mean = sum(self.in_progress.values()) / len(self.names)
+        self.most_held = max(self.most_held, self.in_progress[name] / (2 * mean + 3))
 
-    def _hear(self, router: int, name: str, now_s: float) -> None:
+    def _observe_rest(self, router: int, name: str, now_s: float) -> None:
         until_s = now_s + self.load.rest_s
-        self.asked[router, name].append(_Asked(now_s, until_s))
+        self.rest_requests[router, name].append(_RestRequest(now_s, until_s))
         self.busy_until_s[router, name] = now_s + BUSY_S
-        if self.way != "forgotten":
-            self.words[router].observe(name, AnswerSignals(self.load.rest_s), now_s)
-        if self.way == "shared":
-            told_s = now_s + SHARED_AFTER_S
-            heappush(self.told, (told_s, next(self._numbers), name, until_s))
+        if self.strategy != "forgotten":
+            self.signals[router].observe(name, AnswerSignals(self.load.rest_s), now_s)
+        if self.strategy == "shared":
+            shared_s = now_s + SHARE_DELAY_S
+            heappush(self.shared_signals, (shared_s, next(self._numbers), name, until_s))
 
     def _arrivals_in_rest(self) -> Iterator[int]:
-        for place, wishes in self.asked.items():
-            for wish in wishes:
+        for router_and_target, requests in self.rest_requests.items():
+            for request in requests:
                 yield sum(
-                    wish.at_s + ON_ITS_WAY_S < at_s < wish.until_s for at_s in self.arrived[place]
+                    request.at_s + IN_FLIGHT_S < at_s < request.until_s
+                    for at_s in self.arrived[router_and_target]
                 )
 
 
-def play(way: str, load: RestLoad, seed: int) -> RestFigures:
+def simulate(strategy: str, load: RestLoad, seed: int) -> RestFigures:
     """Play a load in one way of keeping what targets ask for."""
-    return _Play(way, load, seed).run()
+    return _Simulation(strategy, load, seed).run()
 
 
 def main() -> int:
     """Print the figures of all ways at three sizes, two seeds each."""
     for routers, targets in ((8, 12), (57, 56), (195, 39)):
         for seed in (1, 2):
-            for way in WAYS:
-                figures = play(way, RestLoad(routers, targets), seed)
+            for strategy in STRATEGIES:
+                figures = simulate(strategy, RestLoad(routers, targets), seed)
                 shown = " ".join(f"{name} {value:.3f}" for name, value in figures._asdict().items())
-                print(f"{routers:3d} routers, {targets} targets, seed {seed}, {way:9}: {shown}")
+                print(
+                    f"{routers:3d} routers, {targets} targets, seed {seed}, {strategy:9}: {shown}"
+                )
     return 0
 
 
--- a/benchmarks/router_path.py
+++ b/benchmarks/router_path.py
@@ -55,40 +55,40 @@
     """Run a caller against an address and return what it counted."""
     command = [sys.executable, __file__, "--role", "caller", address, kind, str(count)]
     command.append(str(seconds))
-    done = subprocess.run(command, capture_output=True, text=True, timeout=seconds + 60)
-    if done.returncode:
-        raise RuntimeError(done.stderr[-2000:])
-    return json.loads(done.stdout)
+    result = subprocess.run(command, capture_output=True, text=True, timeout=seconds + 60)
+    if result.returncode:
+        raise RuntimeError(result.stderr[-2000:])
+    return json.loads(result.stdout)
 
 
 def measure_streams(server: Server, streams: int, seconds: float) -> str:
     """Relay streams and return tokens a second of one core."""
     before_s = server.cpu_s()
-    counted = drive(server.address, "stream", streams, seconds)
+    results = drive(server.address, "stream", streams, seconds)
     used_s = server.cpu_s() - before_s
-    per_core = counted["tokens"] / used_s
+    per_core = results["tokens"] / used_s
     return (
         f"{per_core:9.0f} tokens/s per core ({1e6 / per_core:.1f} us a token,"
-        f" {counted['tokens']} tokens, {used_s:.2f} s of processor time)"
+        f" {results['tokens']} tokens, {used_s:.2f} s of processor time)"
     )
 
 
 def measure_requests(server: Server, connections: int, seconds: float) -> str:
     """Answer whole requests and return requests a second of one core."""
     before_s = server.cpu_s()
-    counted = drive(server.address, "whole", connections, seconds)
+    results = drive(server.address, "whole", connections, seconds)
     used_s = server.cpu_s() - before_s
     return (
-        f"{counted['requests'] / used_s:9.0f} requests/s per core"
-        f" ({used_s / counted['requests'] * 1e6:.0f} us a request, {counted['errors']} errors)"
+        f"{results['requests'] / used_s:9.0f} requests/s per core"
+        f" ({used_s / results['requests'] * 1e6:.0f} us a request, {results['errors']} errors)"
     )
 
 
 def measure_latency(address: str, seconds: float) -> str:
     """Ask one request after the other and return the latency."""
-    counted = drive(address, "whole", 1, seconds)
-    shown = [f"p{name} {counted[f'p{name}_ms']:.2f} ms" for name in (50, 95, 99)]
-    return ", ".join(shown)
+    results = drive(address, "whole", 1, seconds)
+    percentiles = [f"p{name} {results[f'p{name}_ms']:.2f} ms" for name in (50, 95, 99)]
+    return ", ".join(percentiles)
 
 
 def measure_memory(server: Server, streams: int) -> str:
--- a/benchmarks/tests/test_rest_at_size.py
+++ b/benchmarks/tests/test_rest_at_size.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from benchmarks.rest_at_size import RestLoad, play
+from benchmarks.rest_at_size import RestLoad, simulate
 
 ARRIVALS_ALLOWED = 2
 LOADS = (RestLoad(8, 12, seconds=18.0), RestLoad(57, 24, seconds=18.0))
@@ -12,7 +12,9 @@
     def test_kept_words_leave_targets_alone_and_serve_more(self):
         for load in LOADS:
             with self.subTest(load=load):
-                forgotten, kept = (play(way, load, 1) for way in ("forgotten", "kept"))
+                forgotten, kept = (
+                    simulate(strategy, load, 1) for strategy in ("forgotten", "kept")
+                )
                 self.assertGreater(forgotten.worst_arrivals, ARRIVALS_ALLOWED)
                 self.assertLessEqual(kept.worst_arrivals, ARRIVALS_ALLOWED)
                 self.assertGreater(kept.served, forgotten.served)
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -18,8 +18,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 WORKERS = 6
 MODULE_TIMEOUT_S = 280
-SUMMARY = re.compile(r"^(PASSED|FAILED)(?: \((.*)\))?$", re.MULTILINE)
-RAN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
+SUMMARY_PATTERN = re.compile(r"^(PASSED|FAILED)(?: \((.*)\))?$", re.MULTILINE)
+RAN_PATTERN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
 TEST_PATTERNS = (
     "packages/*/src/**/tests/test_*.py",
     "platform/src/**/tests/test_*.py",
@@ -65,7 +65,7 @@
         command = [sys.executable, "-m", "twisted.trial", "--reactor=asyncio"]
         command += ["--temp-directory", f"{folder}/trial", name]
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 command,
                 cwd=folder,
                 env=environment(),
@@ -74,8 +74,8 @@
                 timeout=MODULE_TIMEOUT_S,
             )
             # The report of trial comes last, since the end is what is printed.
-            output = done.stderr + done.stdout
-            exit_code = done.returncode
+            output = completed.stderr + completed.stdout
+            exit_code = completed.returncode
         except subprocess.TimeoutExpired as error:
             output = f"{error.stdout or ''}\ntimed out after {MODULE_TIMEOUT_S} s"
             exit_code = -1
@@ -84,16 +84,19 @@
 
 def count(name: str, output: str, exit_code: int, duration_s: float) -> ModuleResult:
     """Turn trial's output into counts; anything unclear is one failure."""
-    ran = RAN.findall(output)
-    summary = SUMMARY.findall(output)
+    ran = RAN_PATTERN.findall(output)
+    summary = SUMMARY_PATTERN.findall(output)
     if not ran or not summary:
         return ModuleResult(name, 0, 1, duration_s, output)
     total = int(ran[-1])
-    words = dict(re.findall(r"(\w+)=(\d+)", summary[-1][1]))
-    failed = sum(int(words.get(word, 0)) for word in ("failures", "errors", "unexpectedSuccesses"))
+    outcome_counts = dict(re.findall(r"(\w+)=(\d+)", summary[-1][1]))
+    failed = sum(
+        int(outcome_counts.get(outcome, 0))
+        for outcome in ("failures", "errors", "unexpectedSuccesses")
+    )
     if exit_code != 0 and failed == 0:
         failed = 1
-    skipped = int(words.get("skips", 0))
+    skipped = int(outcome_counts.get("skips", 0))
     return ModuleResult(name, max(total - failed - skipped, 0), failed, duration_s, output)
 
 
@@ -112,15 +115,15 @@
         for path in sorted((ROOT / "packages" / package / "src").rglob("*.py")):
             if "tests" not in path.parts and ">>>" in path.read_text(encoding="utf-8"):
                 names.append(module_name(path).removesuffix(".__init__"))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program, *names], capture_output=True, text=True, timeout=120
     )
-    found = re.search(r"^DOCTEST (\d+) (\d+)$", done.stdout, re.MULTILINE)
+    found = re.search(r"^DOCTEST (\d+) (\d+)$", completed.stdout, re.MULTILINE)
     duration_s = time.monotonic() - started_s
     if not found:
-        return ModuleResult("doctests", 0, 1, duration_s, done.stdout + done.stderr)
+        return ModuleResult("doctests", 0, 1, duration_s, completed.stdout + completed.stderr)
     attempted, failed = int(found[1]), int(found[2])
-    return ModuleResult("doctests", attempted - failed, failed, duration_s, done.stdout)
+    return ModuleResult("doctests", attempted - failed, failed, duration_s, completed.stdout)
 
 
 def known_red() -> set[str]:
@@ -133,12 +136,12 @@
 
 def main() -> int:
     """Run what was asked for, or everything, and print the count last."""
-    wanted = sys.argv[1:]
+    selected = sys.argv[1:]
     names = [module_name(path) for path in test_paths()]
-    if wanted:
-        names = [name for name in names if any(part in name for part in wanted)]
+    if selected:
+        names = [name for name in names if any(part in name for part in selected)]
     with ThreadPoolExecutor(WORKERS) as pool:
-        doctests = None if wanted else pool.submit(run_doctests)
+        doctests = None if selected else pool.submit(run_doctests)
         results = list(pool.map(run_module, names))
     if doctests is not None:
         results.append(doctests.result())
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -39,14 +39,18 @@
     :param folder: where findings go; by default a fresh temporary folder
     :param bug: the promise whose seeded fault is put into the programs first
     """
-    chosen = [seed] if seed else [random.randrange(1, SEED_BELOW) for _ in range(seeds)]
-    kept = {int(place) for place in only.split(",")} if only else None
-    where = Path(folder or tempfile.mkdtemp(prefix="soak-"))
-    return run_on_reactor(lambda: _play(chosen, seconds, kept, where, bug))
+    chosen_seeds = [seed] if seed else [random.randrange(1, SEED_BELOW) for _ in range(seeds)]
+    kept_faults = {int(place) for place in only.split(",")} if only else None
+    findings_folder = Path(folder or tempfile.mkdtemp(prefix="soak-"))
+    return run_on_reactor(lambda: _play(chosen_seeds, seconds, kept_faults, findings_folder, bug))
 
 
 async def _play(
-    chosen: list[int], seconds: float, kept: set[int] | None, where: Path, bug: str
+    chosen_seeds: list[int],
+    seconds: float,
+    kept_faults: set[int] | None,
+    findings_folder: Path,
+    bug: str,
 ) -> int:
     """Play all seeds; keep the folders of those that broke something."""
     from damaskwind.platform.tests.soak.seeded_faults import SEEDED_FAULTS
@@ -54,27 +58,27 @@
 
     prelude = SEEDED_FAULTS[bug].prelude if bug else ""
     failed = 0
-    for seed in chosen:
-        begun_s = time.monotonic()
-        folder = where / f"seed-{seed}"
+    for seed in chosen_seeds:
+        started_s = time.monotonic()
+        folder = findings_folder / f"seed-{seed}"
         verdict = await play_seed(
             seed,
             seconds,
             folder,
             install_reactor(),
-            kept,
+            kept_faults,
             prelude,
             has_fatal_request=True,
             has_wishes=True,
         )
-        took_s = time.monotonic() - begun_s
-        word = "BROKEN" if verdict.broken else "held"
-        print(f"seed {seed}: {word} in {took_s:.0f} s; {verdict.summary}", flush=True)
+        duration_s = time.monotonic() - started_s
+        status = "BROKEN" if verdict.broken else "held"
+        print(f"seed {seed}: {status} in {duration_s:.0f} s; {verdict.summary}", flush=True)
         print("".join(f"  {line}\n" for line in verdict.broken[:20]), end="", flush=True)
         failed += bool(verdict.broken)
         if not verdict.broken:
             shutil.rmtree(folder)
-    print(f"{len(chosen) - failed} held, {failed} broken; findings in {where}")
+    print(f"{len(chosen_seeds) - failed} held, {failed} broken; findings in {findings_folder}")
     return EXIT_FAILED if failed else EXIT_FINE
 
 
