--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -115,7 +115,7 @@
     parameters = MembershipParameters(control_bytes_per_s=BUDGET_BYTES_PER_S)
     fleet = Fleet(ROUTERS_IN_DOMAIN, TARGETS_IN_DOMAIN, 1, seed=1, parameters=parameters)
     fleet.run(SETTLE_S)
-    fleet.start_count()
+    fleet.reset_counters()
     fleet.run(SETTLE_S + MEASURE_S)
     counters = [node.pacer.counters(fleet.now_s) for node in fleet.nodes.values()]
     figures = {
--- a/benchmarks/control_udp.py
+++ b/benchmarks/control_udp.py
@@ -134,8 +134,8 @@
     reactor.callLater(settle_s, measure)
     reactor.callLater(settle_s + measure_s, leave)
     reactor.callLater(settle_s + measure_s + 5.0, finish)
-    reactor.fleet()
+    reactor.run()
 
 
 if __name__ == "__main__":
-    defopt.fleet(main)
+    defopt.run(main)
