--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Programs that measure; these may start processes."""
+"""Benchmark programs; some of them start processes."""
--- a/benchmarks/call_bytes.py
+++ b/benchmarks/call_bytes.py
@@ -1,9 +1,9 @@
-"""Measure the bytes of calls beside the gossip: a whole configuration, a change, a claim.
+"""Measure the bytes of calls besides gossip: a full configuration, a change, a claim.
 
     .venv/bin/python -m benchmarks.call_bytes
 
-Sizes are those that routers count: bodies as sent, with estimates for headers,
-segments and connections.
+Sizes are as routers count them: bodies as sent plus estimates for headers, segments
+and connections.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 def configuration(account_count: int, revision: int, concurrent: int = 32) -> Configuration:
-    """Return a configuration; the first account's limit is `concurrent`."""
+    """Return a configuration whose first account has the limit `concurrent`."""
     names = [f"account-{i}" for i in range(account_count)]
     accounts = {
         name: ClientAccount(
@@ -49,7 +49,7 @@
 
 
 async def measure_configurations(account_count: int) -> None:
-    """Fetch the whole once and one change of one account."""
+    """Fetch the full configuration and then a change of one account."""
     service = FollowService(CallVerifier(CLUSTER, KEY), lambda: True, lambda *report: None)
     service.publish(configuration(account_count, 1))
     server = Server([service])
@@ -73,7 +73,7 @@
 
 
 async def measure_claims() -> None:
-    """Claim and record keys at three holders."""
+    """Claim keys and record their outcomes at three holders."""
     holders = Holders()
     await holders.start_all()
     addresses = list(holders.addresses.items())
@@ -89,7 +89,7 @@
 
 
 async def main() -> None:
-    """Measure all."""
+    """Run all measurements."""
     for account_count in ACCOUNTS:
         await measure_configurations(account_count)
     await measure_claims()
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,12 +1,12 @@
-"""Measure the slopes of each role and work out what they come to at the size we grow to.
+"""Measure the cost slopes of each role and extrapolate them to the target size.
 
     .venv/bin/python -m benchmarks.capacity [--json FILE]
     .venv/bin/python -m benchmarks.capacity --slopes FILE...
 
-It prints tables for docs/CAPACITY.md: what was measured in this run, and what
-follows from it. Some slopes are measured here, others are read from the output
-of the benchmark that has them. At most three processes are busy at once.
-The second form works on the medians of earlier runs and shows their spread.
+It prints tables for docs/CAPACITY.md: the measured slopes and the figures derived
+from them. Some slopes are measured here, others are parsed from the output of another
+benchmark. At most three processes are busy at once. The second form uses the medians
+of earlier runs and shows their spread.
 """
 
 import argparse
@@ -67,7 +67,7 @@
 
 
 class Slope(NamedTuple):
-    """One measured figure and the program that gave it."""
+    """One measured figure and the command that produced it."""
 
     name: str
     value: float
@@ -75,7 +75,7 @@
 
 
 def _find(pattern: str, text: str) -> float:
-    """Return the number that a pattern finds in the output of a benchmark."""
+    """Return the number that a pattern matches in the output of a benchmark."""
     found = re.search(pattern, text)
     if found is None:
         raise RuntimeError(f"no {pattern!r} in:\n{text}")
@@ -83,12 +83,12 @@
 
 
 def _slopes(command: str, figures: dict[str, float]) -> list[Slope]:
-    """Name the program that gave some figures."""
+    """Return figures as slopes of one command."""
     return [Slope(name, float(value), command) for name, value in figures.items()]
 
 
 def placement_slopes() -> list[Slope]:
-    """Measure placements."""
+    """Measure the cost of placements."""
     figures = {
         "placement_us_250_near": placement_cost_us(TARGETS_IN_DOMAIN, 1),
         "placement_us_1000_near": placement_cost_us(NEAR_TARGETS, 1),
@@ -98,7 +98,7 @@
 
 
 def state_slopes() -> list[Slope]:
-    """Read what one node holds and computes that knows the whole fleet."""
+    """Measure the memory and processor time of a node that knows the whole fleet."""
     text = io.StringIO()
     with redirect_stdout(text):
         control_state.main()
@@ -129,12 +129,12 @@
 
 
 def apply_slopes() -> list[Slope]:
-    """Measure what changes cost a router."""
+    """Measure the cost of configuration changes at a router."""
     return _slopes("-m benchmarks.capacity_apply", measure_apply()._asdict())
 
 
 def stream_slopes() -> list[Slope]:
-    """Measure what followers cost a replica."""
+    """Measure the cost of followers at a replica."""
     found = []
     for count in (FEW_STREAMS, MANY_STREAMS):
         costs = measure_streams(count)._asdict()
@@ -145,7 +145,7 @@
 
 
 def claim_slopes() -> list[Slope]:
-    """Measure what claims cost."""
+    """Measure the cost of claims."""
     costs = measure_claims(HOLDERS)._asdict()
     del costs["holders"]
     named = {f"claim_{name}": value for name, value in costs.items()}
@@ -153,7 +153,7 @@
 
 
 def _run_and_parse(command: str, patterns: dict[str, str]) -> list[Slope]:
-    """Run a benchmark and read its output."""
+    """Run a benchmark and parse its output."""
     result = subprocess.run(
         [sys.executable, *command.split()], capture_output=True, text=True, check=True
     )
@@ -167,12 +167,12 @@
 
 
 def memory_slopes() -> list[Slope]:
-    """Measure what processes and their state take."""
+    """Measure the memory of processes and of their state."""
     return _run_and_parse("-m benchmarks.memory_of_roles", MEMORY_PATTERNS)
 
 
 def limit_slopes(text: str) -> list[Slope]:
-    """Read what the limits of 1,400 accounts cost a router."""
+    """Parse the cost of the limits of 1,400 accounts at a router."""
     figures = {}
     for name, pattern in LIMIT_ROWS.items():
         (line,) = [line for line in text.splitlines() if re.search(pattern, line)]
@@ -194,7 +194,7 @@
 
 
 def measure_all() -> list[Slope]:
-    """Measure every slope, the limits in a process beside the others."""
+    """Measure every slope; the limits run in a parallel process."""
     limits = subprocess.Popen(
         [sys.executable, "benchmarks/limits.py"], stdout=subprocess.PIPE, text=True
     )
@@ -208,7 +208,7 @@
 
 
 def print_tables(runs: list[list[Slope]]) -> None:
-    """Print the medians of what was measured, the spread, and what follows."""
+    """Print the medians and spreads of the slopes and the derived figures."""
     print("| measured | median | least to most | `.venv/bin/python ...` |\n|---|---|---|---|")
     values = {}
     commands = {slope.name: slope.command for run in runs for slope in run}
@@ -225,8 +225,8 @@
 def main() -> None:
     """Measure and print."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--json", type=Path, help="also write the slopes there")
-    parser.add_argument("--slopes", type=Path, nargs="+", help="files written before")
+    parser.add_argument("--json", type=Path, help="file to which the slopes are also written")
+    parser.add_argument("--slopes", type=Path, nargs="+", help="files written before by --json")
     options = parser.parse_args()
     if options.slopes:
         files = [json.loads(path.read_text()) for path in options.slopes]
--- a/benchmarks/capacity_apply.py
+++ b/benchmarks/capacity_apply.py
@@ -1,9 +1,9 @@
-"""Measure what a confirmed change costs a router, and what a change that was missed costs.
+"""Measure the cost of a configuration change at a router, and of catching up on missed ones.
 
     .venv/bin/python -m benchmarks.capacity_apply
 
-All in this process, over a configuration of 1,400 accounts. Times are processor
-time, and as long as them the router relays nothing, since it has one loop.
+Everything runs in this process over a configuration of 1,400 accounts. Times are
+processor time; the router has one event loop, so it relays nothing during them.
 """
 
 from typing import Any, NamedTuple
@@ -45,17 +45,17 @@
 
 
 class _NullMembership:
-    """Stand for the membership, which nothing here talks to."""
+    """A membership service without peers."""
 
     def register_kind(self, *arguments: Any) -> None:
-        """Take no messages."""
+        """Ignore the registration."""
 
 
 class _FixedClock:
-    """Stand still."""
+    """A clock that stands still."""
 
     def seconds(self) -> float:
-        """Return a time."""
+        """Return a constant time."""
         return 1.0
 
 
@@ -67,7 +67,7 @@
 
 
 def _limits(domains: int) -> AccountLimits:
-    """Return the limits' shell of a router in one of some failure domains."""
+    """Return the account limits of a router in the first of `domains` failure domains."""
     names = tuple(f"domain-{number:02d}" for number in range(domains))
     return AccountLimits(
         "router", names[0], names, _NullMembership(), _FixedClock(), is_alone=False
@@ -75,7 +75,7 @@
 
 
 def _limit_costs_ms(full: Configuration, domains: int) -> tuple[float, float]:
-    """Return what the first configuration and one changed account cost the limits."""
+    """Return the costs of the first configuration and of one changed account for the limits."""
     first_ms = cost_ms(lambda: _limits(domains).set_configuration(full))
     limits = _limits(domains)
     limits.set_configuration(full)
@@ -90,7 +90,7 @@
 def _history_with_changes(
     full: Configuration, count: int
 ) -> tuple[ConfigurationHistory, EncodedRevision]:
-    """Return a history after some changes, and what a follower lacks that saw none."""
+    """Return a history after `count` changes and the update for a follower that missed them."""
     history = ConfigurationHistory()
     history.set(full)
     latest = full
@@ -101,7 +101,7 @@
 
 
 def measure_apply() -> ApplyCosts:
-    """Return all costs."""
+    """Measure all costs."""
     full = large_configuration()
     history = ConfigurationHistory()
     history.set(full)
--- a/benchmarks/capacity_claims.py
+++ b/benchmarks/capacity_claims.py
@@ -1,9 +1,9 @@
-"""Measure what a claim costs the holders and the router, each side by itself.
+"""Measure the cost of a claim at the holders and at the router separately.
 
     .venv/bin/python -m benchmarks.capacity_claims [--holders 5]
 
-The holders run in this process, the client in a child process; a claim here is
-its two phases and the record of its outcome, as a request with a key makes them.
+The holders run in this process, the client in a child process. As for a keyed
+request, a claim consists of its two phases and the record of its outcome.
 """
 
 import argparse
@@ -35,7 +35,7 @@
 
 
 class ClaimCosts(NamedTuple):
-    """What a claim with its record costs; times of one claim, of processor but for delays."""
+    """Costs of one claim with its record; processor times except for the delays."""
 
     holders: int
     holder_ms: float
@@ -45,7 +45,7 @@
 
 
 async def _drive(addresses: list[tuple[str, Address]]) -> dict[str, float]:
-    """Claim and record, one at a time and then many at once."""
+    """Claim and record keys, first one at a time and then concurrently."""
     client = ClaimsClient(addresses, CLUSTER, KEY, "router", Random(1), read_clock)
     digest = request_digest("POST", "/x", b"body")
 
@@ -78,7 +78,7 @@
 
 
 async def _measure(count: int) -> ClaimCosts:
-    """Hold claims for a client in a child process and measure this side."""
+    """Serve claims for a client in a child process and measure the holders."""
     holders = Holders(count)
     await holders.start_all()
     command = [sys.executable, "-m", "benchmarks.capacity_claims", "--drive"]
@@ -110,7 +110,7 @@
 
 
 def measure_claims(count: int) -> ClaimCosts:
-    """Return what claims at `count` holders cost one holder and the router."""
+    """Measure the cost of claims at `count` holders for one holder and the router."""
     return asyncio.run(_measure(count))
 
 
--- a/benchmarks/capacity_streams.py
+++ b/benchmarks/capacity_streams.py
@@ -1,11 +1,11 @@
-"""Measure what one more follower costs a control replica, and the time to all of them.
+"""Measure the cost of a follower at a control replica and the delay of a change to all.
 
     .venv/bin/python -m benchmarks.capacity_streams [--streams 8,50,200,400]
 
 The replica's follow service runs in this process over a configuration of 1,400
-accounts; the followers' ends of the streams run in a child process, so that the
-processor time of the two sides stays apart. They check and report each update
-as routers do; the cost of applying one is measured by `capacity_apply`.
+accounts; the followers run in a child process, so that the processor time of the two
+sides is separate. They verify and report each update as routers do; the cost of
+applying one is measured by `capacity_apply`.
 """
 
 import argparse
@@ -38,7 +38,7 @@
 
 
 class StreamCosts(NamedTuple):
-    """What some streams cost one replica; times are processor time but for the delays."""
+    """Costs of streams at one replica; times are processor times except for the delays."""
 
     streams: int
     start_ms_per_stream: float
@@ -50,7 +50,7 @@
 
 
 class _Progress:
-    """Which revision each follower reported, and when all have one."""
+    """Track the revision that each follower reported."""
 
     def __init__(self, count: int) -> None:
         self.count = count
@@ -58,12 +58,12 @@
         self.changed = asyncio.Event()
 
     def record_report(self, router_id: str, domain: str, revision: int) -> None:
-        """Take a report."""
+        """Record the report of a follower."""
         self.revisions[router_id] = revision
         self.changed.set()
 
     async def wait_for_all(self, revision: int) -> None:
-        """Wait until every follower reported a revision."""
+        """Wait until every follower has reported a revision or a later one."""
         async with asyncio.timeout(WAIT_S):
             while sum(reported >= revision for reported in self.revisions.values()) < self.count:
                 self.changed.clear()
@@ -71,7 +71,7 @@
 
 
 async def _measure(count: int) -> StreamCosts:
-    """Serve `count` followers in a child process and measure this side."""
+    """Serve `count` followers in a child process and measure the replica."""
     progress = _Progress(count)
     service = FollowService(CallVerifier(CLUSTER, KEY), lambda: True, progress.record_report)
     full = large_configuration()
@@ -104,7 +104,7 @@
 
 
 async def _measure_idle() -> float:
-    """Return the processor time a second while nothing changes."""
+    """Return the processor time per second while nothing changes."""
     await asyncio.sleep(1.0)
     started_s = time.process_time()
     await asyncio.sleep(IDLE_S)
@@ -114,7 +114,7 @@
 async def _measure_changes(
     service: FollowService, progress: _Progress, full: Configuration
 ) -> tuple[list[float], float]:
-    """Publish changes one after the other; return the delays and the processor time."""
+    """Publish changes sequentially; return their delays and the processor time."""
     delays_s = []
     spent_s = 0.0
     for number in range(CHANGES):
@@ -128,7 +128,7 @@
 
 
 async def _follow(port: int, count: int) -> None:
-    """Keep streams open until a line comes in; print the bytes received after the whole."""
+    """Keep streams open until a line is read; print the bytes of the updates."""
     received = [0]
     tasks = [asyncio.ensure_future(_follow_one(port, i, received)) for i in range(count)]
     loop = asyncio.get_running_loop()
@@ -140,10 +140,10 @@
 
 
 async def _follow_one(port: int, number: int, received: list[int]) -> None:
-    """Follow on one stream, as a router does but for applying."""
+    """Follow one stream as a router does, without applying the updates."""
     name = f"router-{number:04d}"
     upstream = Upstream(name, f"domain-{number % 40:02d}", CallSigner(CLUSTER, KEY, name))
-    # Starts are spread, so that no opening times out behind the others.
+    # Starts are spread out, so that no stream times out while the others open.
     await asyncio.sleep(number / STARTS_PER_S)
     revision = 0
     async with upstream.watch(Address("127.0.0.1", port), revision) as stream:
@@ -157,7 +157,7 @@
 
 
 def measure_streams(count: int) -> StreamCosts:
-    """Return what `count` streams cost one replica."""
+    """Measure the cost of `count` streams at one replica."""
     return asyncio.run(_measure(count))
 
 
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,9 +1,9 @@
-"""Measure claims: cost of a claim, waiting, memory of a record, time to catch up.
+"""Measure claims: processor cost, latency, memory of a record and catch-up.
 
-Run `.venv/bin/python benchmarks/claims.py`. It times the pure voting alone, then
-claims through grpclib against holders in this process, one at a time and many at
-once. The decision by FAB's two phases stands beside a lower bound for any
-leader-based way: one unary call, and one call that waits for one more.
+Run `.venv/bin/python benchmarks/claims.py`. It times the pure voting, then
+claims through grpclib against holders in this process, one at a time and
+concurrently. The two phases of FAB are compared with a lower bound of any
+leader-based protocol: one unary call, and one call that waits for another.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 
 def holder_group(count: int) -> dict[str, ClaimHolder]:
-    """Return pure holders that may vote."""
+    """Return voting holders without any I/O."""
     ids = [f"h{number}" for number in range(count)]
     policy = HolderPolicy(max_records=RECORDS + 1)
     return {name: ClaimHolder(name, 1, ids, policy, 0.0, True) for name in ids}
@@ -62,7 +62,7 @@
 
 
 def measure_pure() -> None:
-    """Time the voting alone and count the bytes of its bodies."""
+    """Time the voting and count the bytes of its message bodies."""
     for count in (3, 5):
         holders = holder_group(count)
         started_s = time.process_time()
@@ -77,7 +77,7 @@
 
 
 def measure_memory() -> None:
-    """Weigh records without and with a stored answer, and a catch-up of all."""
+    """Measure the memory of records with and without an answer, and a full catch-up."""
     for answer_bytes in (0, ANSWER_BYTES):
         tracemalloc.start()
         holders = holder_group(1)
@@ -100,20 +100,20 @@
 
 
 async def timed(action) -> float:
-    """Return the milliseconds that an action takes."""
+    """Await an action and return its duration in milliseconds."""
     started_s = time.perf_counter()
     await action
     return (time.perf_counter() - started_s) * 1000
 
 
 def summary(samples_ms: list[float]) -> str:
-    """Return median and 95th of a hundred."""
+    """Format the median and the 95th percentile."""
     percentiles = statistics.quantiles(samples_ms, n=100)
     return f"median {percentiles[49]:.2f} ms, 95 in 100 within {percentiles[94]:.2f} ms"
 
 
 async def measure_calls(count: int) -> None:
-    """Time claims through grpclib, client and holders in this one process."""
+    """Time claims through grpclib with the client and the holders in this process."""
     holders = Holders(count)
     await holders.start_all()
     addresses = list(holders.addresses.items())
--- a/benchmarks/configuration_costs.py
+++ b/benchmarks/configuration_costs.py
@@ -1,7 +1,7 @@
-"""Measure what a configuration of the target size costs: coding, changes, snapshots.
+"""Measure the cost of a configuration of the target size: codec, changes, snapshots.
 
 Run `.venv/bin/python benchmarks/configuration_costs.py`. It prints processor
-times on this machine; sizes are exact.
+times of this machine; sizes are deterministic.
 """
 
 import hashlib
@@ -44,7 +44,7 @@
 
 
 def hash_of(text: str) -> str:
-    """Return a hash as a key's would look."""
+    """Return a SHA-256 digest in the form of a key hash."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
@@ -57,7 +57,7 @@
 
 
 def large_configuration() -> Configuration:
-    """Return a configuration of the size that the project grows to."""
+    """Return a configuration of the target size."""
     models = [
         Model(f"model-{i}", "pool", "v1", (ModelVersion("v1"), ModelVersion("v2")))
         for i in range(MODELS)
@@ -72,7 +72,7 @@
 
 
 def cost_ms(work: Callable[[], Any]) -> float:
-    """Return the least processor time of a few runs, in milliseconds."""
+    """Return the minimum processor time of several runs in milliseconds."""
     least_s = float("inf")
     for _ in range(REPEATS):
         started_s = time.process_time()
@@ -82,7 +82,7 @@
 
 
 def filled_machine() -> tuple[ConfigurationMachine, float]:
-    """Return a machine after many changes, and the microseconds per plan and confirm."""
+    """Return a state machine after many changes and the microseconds per plan and confirm."""
     machine = ConfigurationMachine()
     table = change_to_table(
         change_from_table({"priority_classes": {"a": {"rank": 0, "weight": 1}}})
--- a/benchmarks/confirmation_times.py
+++ b/benchmarks/confirmation_times.py
@@ -1,8 +1,8 @@
-"""Time to acknowledgement and to each router, by document, routers and link.
+"""Measure the time until a change is acknowledged and reaches each router.
 
-Six replicas before so many routers, in one process on loopback; each replica's
-connections share one link. A configuration grows to so many routes, then changes
-six times, one each 0.44 s. The routers are their views alone.
+Six replicas serve the routers in one process on loopback; the connections of each
+replica share one link. A configuration grows to the given number of routes and then
+changes six times, once every 0.44 s. Routers are reduced to their views.
 
     python -m benchmarks.confirmation_times
 """
@@ -22,7 +22,7 @@
 CHANGES = 6
 GAP_S = 0.44
 BYTES_PER_MEGABIT = 125_000
-# Routers, routes, megabits a second of each replica's link.
+# Routers, routes, megabits per second of each replica's link.
 CASES = (
     (8, 240, 6.0),
     (75, 240, 3.0),
@@ -34,7 +34,7 @@
 
 
 def _percentile(values: list[float], part: float) -> float:
-    """Return the value below which this part lies.
+    """Return the value below which a fraction `part` of the values lies.
 
     >>> _percentile([3.0, 1.0, 2.0], 0.5)
     2.0
@@ -44,7 +44,7 @@
 
 
 async def _grow_and_change(fleet: NarrowFleet, routes: int) -> tuple[VersionTimes, list, int]:
-    """Return the times of the growth and of the changes, and the leaders lost."""
+    """Return the times of the growth and of the changes, and the number of leader changes."""
     term = fleet.terms()
     growth = await fleet.publish_timed(large_configuration(2, routes), limit_s=30.0)
     changes = []
@@ -56,7 +56,7 @@
 
 
 def _row(name: str, times: list[VersionTimes]) -> str:
-    """Return the figures of some versions: acknowledged, then to the routers."""
+    """Format the figures of versions: acknowledgement, then arrival at the routers."""
     acknowledged_s = [item.acknowledged_s for item in times]
     routers_s = [at_s for item in times for at_s in item.routers_s]
     figures = (
--- a/benchmarks/control_bytes.py
+++ b/benchmarks/control_bytes.py
@@ -1,8 +1,8 @@
-"""Measure the gossip: bytes, latencies, load ages, false suspicions, processor time.
+"""Measure gossip: bytes, latencies, load ages, false suspicions and processor time.
 
 The nodes run in one process on a small seeded event loop that delays and loses
-datagrams. Figures of bytes and simulated seconds depend on the seed alone;
-processor time is that of the machine at the moment.
+datagrams. Bytes and simulated times depend only on the seed; processor times depend
+on the machine and its load.
 """
 
 import heapq
@@ -38,7 +38,7 @@
 
 
 class Conditions(NamedTuple):
-    """What the network does to datagrams."""
+    """Delays and loss of datagrams in the network."""
 
     near_delay_s: float = 0.0005
     far_delay_s: float = 0.002
@@ -181,7 +181,7 @@
         self.at(self.now_s + interval_s * jitter, lambda: self._announce(name, index))
 
     def leave_target(self, name: str) -> float:
-        """Let a target say that it leaves; return when."""
+        """Announce that a target is leaving; return the time."""
         self.silent_targets.add(name)
         index = self.target_names.index(name)
         address = self.random.choice(list(self.nodes))
@@ -190,7 +190,7 @@
         return self.now_s
 
     def reset_counters(self) -> None:
-        """Start the byte counters anew and forget events."""
+        """Reset the byte counters and discard the events."""
         self.events.clear()
         for address, node in self.nodes.items():
             node.pacer.reset_counters(self.now_s)
@@ -198,7 +198,7 @@
         self._counted_from_s = self.now_s
 
     def format_bytes(self) -> str:
-        """Return the mean, the worst mean and the highest second over all routers."""
+        """Format the mean, the highest mean and the highest second over all routers."""
         counters = [node.pacer.counters(self.now_s) for node in self.nodes.values()]
         means = [c.mean_bytes_per_s for c in counters]
         highest = max(c.highest_second_bytes for c in counters)
@@ -214,7 +214,7 @@
         )
 
     def format_kinds(self) -> str:
-        """Return the bytes a second by kind, as a mean over the routers."""
+        """Format the bytes per second by kind, as a mean over the routers."""
         totals: dict[str, float] = {}
         for node in self.nodes.values():
             counters = node.pacer.counters(self.now_s)
@@ -225,7 +225,7 @@
         return ", ".join(f"{name} {size / scale:.0f}" for name, size in sorted(totals.items()))
 
     def load_ages(self) -> list[float]:
-        """Return the age of the load of each near target at each router."""
+        """Return the age of each near target's load report at each router."""
         ages = []
         for node in self.nodes.values():
             domain = node.core.router_table.own_record.failure_domain
@@ -234,13 +234,13 @@
         return ages
 
     def count_missing_views(self) -> int:
-        """Return how many live near targets the routers miss, in all."""
+        """Return the total number of live targets missing from the routers' views."""
         live = len(self.target_names) - len(self.silent_targets)
         return sum(live - len(node.core.targets(self.now_s)) for node in self.nodes.values())
 
 
 def summarize(values: list[float]) -> str:
-    """Return the median, p99 and maximum of some values."""
+    """Format the median, p99 and maximum of some values."""
     if len(values) < 2:
         return f"{values}"
     percentiles = quantiles(values, n=100, method="inclusive")
@@ -268,7 +268,7 @@
 
 
 def measure_leaves(fleet: Fleet, count: int) -> None:
-    """Measure how long a leave takes to reach each router and the last one."""
+    """Measure the time until a leave reaches each router and the last one."""
     times: list[float] = []
     last: list[float] = []
     for name in fleet.target_names[:count]:
@@ -291,7 +291,7 @@
 
 
 def measure_total_failure(fleet: Fleet) -> None:
-    """Let every target fall silent and a third of the routers die at once."""
+    """Silence every target and remove a third of the routers at once."""
     fleet.reset_counters()
     fleet.silent_targets.update(fleet.target_names)
     for address in list(fleet.nodes)[::3]:
@@ -323,17 +323,17 @@
 ) -> None:
     """Run one fleet through steady state, leaves and a general failure.
 
-    :param routers: how many routers
-    :param targets: how many targets
-    :param domains: over how many failure domains they are spread
-    :param loss: the share of datagrams that are lost
-    :param seed: the seed of all choices
-    :param settle_s: simulated seconds before measuring
+    :param routers: number of routers
+    :param targets: number of targets
+    :param domains: number of failure domains over which they are spread
+    :param loss: share of datagrams that are lost
+    :param seed: seed of all random choices
+    :param settle_s: simulated seconds before the measurement
     :param measure_s: simulated seconds of the steady state
-    :param leaving: how many targets leave, one after the other
-    :param fail: whether everything fails at the end
-    :param near: whether all failure domains are near ones of each other
-    :param bytes_per_s: the budget of each router
+    :param leaving: number of targets that leave, one after the other
+    :param fail: whether to end with a general failure
+    :param near: whether all failure domains are near each other
+    :param bytes_per_s: control traffic budget of each router
     """
     print(f"{routers} routers, {targets} targets, {domains} domains, loss {loss}, seed {seed}")
     parameters = MembershipParameters(control_bytes_per_s=bytes_per_s)
--- a/benchmarks/control_cluster.py
+++ b/benchmarks/control_cluster.py
@@ -1,4 +1,4 @@
-"""Run control replicas and followers in this process, for measurements."""
+"""Run control replicas and followers in this process for measurements."""
 
 import asyncio
 import hashlib
@@ -39,7 +39,7 @@
 
 
 class RunningReplica(NamedTuple):
-    """One replica with all that it serves, and how long recovering its files took."""
+    """One replica with its services and the time that recovering its files took."""
 
     node: ReplicaNode
     machine: ConfigurationMachine
@@ -55,7 +55,7 @@
 
 
 def _free_address() -> str:
-    """Return an address on loopback that is free now."""
+    """Return a currently free address on loopback."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
@@ -95,7 +95,7 @@
 async def running_replicas(
     folder: Path, count: int, snapshot_every_entries: int = 1000
 ) -> AsyncIterator[tuple[list[RunningReplica], tuple[ReplicaSettings, ...]]]:
-    """Run a cluster in which all vote and one leads; the leader comes first."""
+    """Run a cluster until all replicas vote and one leads; yield the leader first."""
     bootstrap = tuple(
         ReplicaSettings(f"replica-{i}", _free_address(), f"domain-{i}") for i in range(count)
     )
@@ -114,7 +114,7 @@
 
 
 async def _wait_until_settled(running: list[RunningReplica]) -> None:
-    """Wait until all vote and one leads."""
+    """Wait until all replicas vote and one leads."""
 
     def is_settled() -> bool:
         cores = [item.node.replica.core for item in running]
@@ -122,18 +122,18 @@
         return all_vote and any(core.role == "leader" for core in cores)
 
     if not await running[0].node.replica.wait_until(is_settled, WAIT_S):
-        raise RuntimeError("no cluster came about")
+        raise RuntimeError("the cluster did not elect a leader in time")
 
 
 def make_follower(
     name: str, bootstrap: tuple[ReplicaSettings, ...], domain: str
 ) -> ConfigurationFollower:
-    """Return a follower that is not started yet."""
+    """Return a follower that is not started."""
     return ConfigurationFollower(name, domain, CallSigner(CLUSTER, KEY, name), bootstrap, Random(1))
 
 
 def account_table(name: str, concurrent: int) -> dict[str, Any]:
-    """Return a client account as operators state it."""
+    """Return a client account as in an operator's intent."""
     return {
         "key_hashes": [hashlib.sha256(f"{name}-{i}".encode()).hexdigest() for i in range(2)],
         "priority_class": "interactive",
--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -1,10 +1,9 @@
-"""Measure the control plane: confirms, restart, time to in force, bytes, memory.
+"""Measure the control plane: confirms, restarts, time until in force, bytes and memory.
 
     .venv/bin/python -m benchmarks.control_plane
 
-Three replicas and the followers share one process and one loop here, so that
-latencies are upper bounds; the memory is that of a `damaskwindd control` process
-of its own.
+Three replicas and the followers share one process and one event loop, so latencies
+are upper bounds. Memory is measured on a separate `damaskwindd control` process.
 """
 
 import argparse
@@ -41,13 +40,13 @@
 
 
 def summarize(values_s: list[float]) -> str:
-    """Return the median and the 99th of a hundred, in milliseconds."""
+    """Format the median and the 99th percentile in milliseconds."""
     cuts = quantiles(values_s, n=100)
     return f"p50 {cuts[49] * 1000:.2f} ms, p99 {cuts[98] * 1000:.2f} ms (n={len(values_s)})"
 
 
 def fsync_times(folder: Path, count: int) -> list[float]:
-    """Append and fsync, over and over, and return how long each took."""
+    """Append and fsync repeatedly; return the duration of each."""
     durations_s = []
     descriptor = os.open(folder / "probe", os.O_CREAT | os.O_WRONLY | os.O_APPEND)
     try:
@@ -62,13 +61,13 @@
 
 
 def make_record(number: int) -> bytes:
-    """Return a command that only adds to the audit trail."""
+    """Return an encoded command that only adds to the audit trail."""
     actor = Actor(BOOTSTRAP, ORIGIN, float(number))
     return encode_command(RecordCommand(actor, "measure", f"change {number}", "noted"))
 
 
 async def apply_intent(replica: RunningReplica, intent: dict) -> tuple[float, float]:
-    """Plan and confirm an intent; return the seconds that each took."""
+    """Plan and confirm an intent; return the duration of each step in seconds."""
     await replica.intents.read_current()
     started_s = time.perf_counter()
     plan = await replica.intents.plan(BOOTSTRAP, ORIGIN, intent)
@@ -78,7 +77,7 @@
 
 
 async def measure_confirms(folder: Path, sequential: int, parallel: int) -> None:
-    """Print confirm latency beside fsync time, and confirms a second."""
+    """Print the latency of confirms next to that of fsync, and the commit rate."""
     print(f"fsync of {FSYNC_BYTES} appended bytes: {summarize(fsync_times(folder, sequential))}")
     async with running_replicas(folder, 3) as (running, _):
         await apply_intent(running[0], base_intent(10))
@@ -87,7 +86,7 @@
 
 
 async def time_confirms(running: list[RunningReplica], count: int) -> None:
-    """Print how long a confirm takes at the leader and at another replica."""
+    """Print the latency of confirms at the leader and at another replica."""
     for label, replica in (("the leader", running[0]), ("another replica", running[1])):
         times = []
         for number in range(count // 2):
@@ -99,7 +98,7 @@
 
 
 async def time_commits(leader: RunningReplica, count: int) -> None:
-    """Print how many commands are committed a second, many at a time."""
+    """Print the commit rate of concurrent commands."""
     writer = leader.node.replica.writer
     groups = writer.group_count
     started_s = time.perf_counter()
@@ -119,7 +118,7 @@
 
 
 async def measure_restart(folder: Path, changes: int, snapshot_every_entries: int) -> None:
-    """Print how long a replica takes to come back after some changes."""
+    """Print the restart time of a replica after some changes."""
     async with running_replicas(folder, 1, snapshot_every_entries) as (running, bootstrap):
         replica = running[0]
         await apply_intent(replica, base_intent(10))
@@ -152,7 +151,7 @@
 async def measure_in_force(
     folder: Path, accounts: int, followers: int, changes: int, idle_s: float
 ) -> None:
-    """Print the time from a confirm to in force, and the bytes of a follower."""
+    """Print the time from a confirm until it is in force, and the bytes of a follower."""
     async with running_replicas(folder, 3) as (running, bootstrap):
         await apply_intent(running[0], base_intent(accounts))
         routers = [
@@ -166,7 +165,7 @@
 
 
 def transferred_bytes(follower: ConfigurationFollower) -> int:
-    """Return the bytes that a follower moved in both directions."""
+    """Return the bytes that a follower transferred in both directions."""
     return follower.received_bytes + follower.sent_bytes
 
 
@@ -177,7 +176,7 @@
     changes: int,
     idle_s: float,
 ) -> None:
-    """Print delays and bytes over some changes of one account each."""
+    """Print delays and bytes of changes of one account each."""
     applied: dict[int, list[float]] = {}
     for follower in routers:
         follower.subscribe(
@@ -212,7 +211,7 @@
 
 
 def resident_kib(pid: int) -> int:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in KiB."""
     for line in Path(f"/proc/{pid}/status").read_text(encoding="ascii").splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1])
@@ -220,7 +219,7 @@
 
 
 def measure_memory(folder: Path) -> None:
-    """Print the memory of a control process of its own after start."""
+    """Print the memory of a separate control process after its start."""
     ready = folder / "ready"
     settings = folder / "control.toml"
     settings.write_text(
@@ -250,7 +249,7 @@
 
 
 def main() -> None:
-    """Run what was asked for."""
+    """Run all measurements with the sizes of the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sequential", type=int, default=400)
     parser.add_argument("--parallel", type=int, default=3200)
--- a/benchmarks/control_restart.py
+++ b/benchmarks/control_restart.py
@@ -1,11 +1,11 @@
-"""Kill -9 every replica and router after many changes, and measure the restart.
+"""Kill every replica and router with SIGKILL after many changes and measure the restart.
 
     .venv/bin/python -m benchmarks.control_restart [--changes 1000] [--routers 8]
 
-Real processes: three `damaskwindd control`, and routers that keep their revision
-in a file. After the restart every confirmation that an operator was told of must
-be on each replica, in order, with a sound trail; no router may have gone back.
-The program ends non-zero otherwise.
+It runs real processes: three `damaskwindd control` and routers that store their
+revision in a file. After the restart each replica must have every confirmation that
+was acknowledged to an operator, in order and with a valid audit trail, and no router
+may have gone back to an older revision. The exit code is non-zero otherwise.
 """
 
 import argparse
@@ -22,7 +22,7 @@
 
 
 async def measure(changes: int, router_count: int, folder: Path) -> int:
-    """Make the changes, kill everything, restart, compare; return the exit code."""
+    """Make the changes, kill and restart everything, check; return the exit code."""
 
     from damaskwind.commands.tests.fault_cluster import REPLICAS, FaultCluster
     from damaskwind.standins.harness import wait_until
--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -1,8 +1,8 @@
-"""Measure what one router holds and computes when it knows a whole large fleet.
+"""Measure the memory and processor time of a router that knows a large fleet.
 
-One node is filled with the records of all routers and targets and then ticks
-alone; the figures are its memory and the processor time of its ticks and of a
-probe that it answers.
+One node is filled with the records of all routers and targets and then ticks without
+peers; the figures are its memory and the processor time of its ticks and of answering
+a probe.
 """
 
 import time
@@ -29,9 +29,9 @@
 def main(*, routers: int = 2100, targets: int = 10_000, domains: int = 40) -> None:
     """Fill a node and measure it.
 
-    :param routers: how many routers it knows
-    :param targets: how many targets it knows
-    :param domains: over how many failure domains they are spread
+    :param routers: number of routers that the node knows
+    :param targets: number of targets that the node knows
+    :param domains: number of failure domains over which they are spread
     """
     tracemalloc.start()
     node = GossipNode(record(0, domains), "benchmark", "key", (), Random(1), 0.0)
--- a/benchmarks/control_udp.py
+++ b/benchmarks/control_udp.py
@@ -1,7 +1,7 @@
-"""Run membership services on real UDP sockets of the loopback and print their cost.
+"""Run membership services on loopback UDP sockets and print their cost.
 
-All services share one process and reactor; the processor time printed is that
-of the process, divided by the services.
+All services share one process and reactor; the printed processor time is that of the
+process divided by the number of services.
 """
 
 import time
@@ -30,7 +30,7 @@
 
 
 class ServiceFleet:
-    """The services and the targets that announce themselves to them."""
+    """Membership services and the targets that announce themselves to them."""
 
     def __init__(self, routers: int, targets: int, seed: int) -> None:
         self.random = Random(seed)
@@ -60,7 +60,7 @@
             self.leave_delays_s.append(read_clock() - self.leave_started_s[-1])
 
     def announce_all(self, state: TargetState = TargetState.SERVING) -> None:
-        """Let every target announce itself to a router of its domain."""
+        """Announce every target to a router of its domain."""
         self.sequence += 1
         for index, name in enumerate(self.targets):
             domain = index % len(DOMAINS)
@@ -83,12 +83,12 @@
 def main(
     *, routers: int = 8, targets: int = 9, settle_s: float = 15.0, measure_s: float = 20.0
 ) -> None:
-    """Run the services, measure them, let all targets leave, and print.
+    """Run and measure the services, let all targets leave, and print the figures.
 
-    :param routers: how many services
-    :param targets: how many targets
-    :param settle_s: seconds before measuring
-    :param measure_s: seconds to measure
+    :param routers: number of services
+    :param targets: number of targets
+    :param settle_s: seconds before the measurement
+    :param measure_s: seconds of the measurement
     """
     fleet = ServiceFleet(routers, targets, 1)
     announcing = LoopingCall(fleet.announce_all)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,9 +1,9 @@
-"""Measure what leased shares of account limits cost a router in bytes.
+"""Measure the bytes that leased shares of account limits cost a router.
 
-Run `.venv/bin/python benchmarks/limits.py`. A simulated failure domain with real
-limiters and allocators exchanges encoded messages; both directions of each
-router are counted, with `DATAGRAM_BYTES` for IP, UDP and the carrier's own
-header. Larger fleets follow from the same run with longer leases.
+Run `.venv/bin/python benchmarks/limits.py`. The limiters and allocators of a simulated
+failure domain exchange encoded messages. The bytes of each router are counted in both
+directions, with `DATAGRAM_BYTES` for the headers of IP, UDP and the gossip datagram.
+Larger fleets follow from the same run with longer leases.
 """
 
 import time
@@ -67,7 +67,7 @@
             part.set_limits(limits, ["domain-1"])
 
     def count_message(self, source: str, target: str, payload: bytes) -> None:
-        """Count a message at both ends."""
+        """Count the bytes of a message at its sender and its receiver."""
         size_bytes = len(payload) + DATAGRAM_BYTES
         self.largest_bytes = max(self.largest_bytes, size_bytes)
         self.datagrams += 1
@@ -75,7 +75,7 @@
         self.bytes[target] += size_bytes
 
     def report(self, source: str, target: str, report: DemandReport, now_s: float) -> None:
-        """Carry a report and its grant, unless they stay in the process."""
+        """Deliver a report and its grant; encode and count them unless they are local."""
         if source != target:
             payload = self.codec.encode_report(report, target)
             self.count_message(source, target, payload)
@@ -93,7 +93,7 @@
         self.woken.add(source)
 
     def is_under_limit(self, account: str, now_s: float) -> bool:
-        """Tell whether all routers together used less than the account may."""
+        """Return whether all routers together are below the limits of the account."""
         recent = self.recent[account]
         while recent and recent[0] < now_s - RATE_WINDOW_S:
             recent.popleft()
@@ -101,7 +101,7 @@
         return self.in_use[account] < self.unit_limit and rate <= self.token_limit
 
     def attempt(self, name: str, account: str, now_s: float, until_s: float | None) -> None:
-        """Let a request in, or have it wait."""
+        """Admit a request, queue it or refuse it."""
         decision = self.limiters[name].admit(account, TOKENS, now_s, until_s)
         if decision.outcome == LimitOutcome.ADMITTED:
             self.admitted += 1
@@ -116,7 +116,7 @@
             self.false_refused += self.is_under_limit(account, now_s)
 
     def step(self, now_s: float, requests_per_s: float) -> None:
-        """Let requests come and go, and carry the messages that are due."""
+        """Start and end requests and deliver the messages that are due."""
         waiting, self.waiting = self.waiting, []
         woken, self.woken = self.woken, set()
         for retry_at_s, item in waiting:
@@ -148,7 +148,7 @@
     policy: LimitPolicy,
     requests_per_s: float,
 ) -> None:
-    """Run one domain and print the bytes a second of its routers."""
+    """Run one domain and print the bytes per second of its routers."""
     domain = Domain(routers, accounts, units, tokens_per_s, policy)
     now_s = 0.0
     while now_s < max(SETTLE_S, policy.lease_s):
@@ -177,7 +177,7 @@
 
 
 def main() -> None:
-    """Print the figures of today's size and of the size to grow to."""
+    """Print the figures of the present size and of the target size."""
     today = LimitPolicy()
     measure(3, 10, 60, 30_000, today, 10.0)
     measure(8, 10, 160, 80_000, today, 10.0)
--- a/benchmarks/limits_debt.py
+++ b/benchmarks/limits_debt.py
@@ -1,9 +1,9 @@
-"""Measure how long requests wait for the token debt of their account, and how far it is overdrawn.
+"""Measure how long requests wait for their account's token debt, and the highest overdraft.
 
     .venv/bin/python -m benchmarks.limits_debt
 
-Pure decisions over a simulated network of 2 ms, nine routers in three failure domains,
-one account, in simulated time: the figures don't depend on the machine.
+Pure decisions of nine routers in three failure domains for one account, over a simulated
+network with a delay of 2 ms. Time is simulated, so the figures don't depend on the machine.
 """
 
 from random import Random
@@ -26,7 +26,7 @@
 
 
 class DebtFleet(Fleet):
-    """A fleet that notes waits, and by how many tokens the account is ahead of its rate."""
+    """A fleet that records waits and the tokens by which the account exceeds its rate."""
 
     def __init__(self, seed: int, rotation_s: float | None) -> None:
         limits = {"x": LIMIT}
@@ -36,7 +36,7 @@
         self.rotation_s = rotation_s
 
     def finish(self, name, limiter) -> None:
-        """End requests that used what was expected of them."""
+        """End the requests that are due; each used exactly its estimated tokens."""
         ended = [account for at_s, account in self.running[name] if at_s <= self.now_s]
         self.running[name] = [item for item in self.running[name] if item[0] > self.now_s]
         if ended:
@@ -45,7 +45,7 @@
             limiter.release(account, TOKENS, TOKENS, self.now_s)
 
     def attempt(self, name, account, duration_s, tokens, until_s) -> None:
-        """Note the wait of a request that is let in."""
+        """Record the wait of an admitted request and the overdraft."""
         before = self.served.get(name, 0)
         super().attempt(name, account, duration_s, tokens, until_s)
         if self.served.get(name, 0) > before:
@@ -55,14 +55,14 @@
             self.max_overdraft_tokens = max(self.max_overdraft_tokens, self.overdraft_tokens)
 
     def choose(self, random: Random) -> str:
-        """Return the router that the next request comes in at."""
+        """Return the router that receives the next request."""
         names = list(self.limiters)
         if self.rotation_s is None:
             return random.choice(names)
         return names[int(self.now_s / self.rotation_s) % len(names)]
 
     def run(self, duration_s: float, requests_per_s: float, random: Random) -> None:
-        """Let requests come in at random routers."""
+        """Send requests to the chosen routers for `duration_s`."""
         for _ in range(int(duration_s / STEP_S)):
             self.overdraft_tokens = max(
                 0.0, self.overdraft_tokens - LIMIT.max_tokens_per_s * STEP_S
--- a/benchmarks/limits_faults.py
+++ b/benchmarks/limits_faults.py
@@ -1,8 +1,8 @@
-"""Measure false refusals and the use of a limit when allocators die or domains are cut.
+"""Measure false refusals and limit usage when allocators fail or domains are partitioned.
 
-Run `.venv/bin/python benchmarks/limits_faults.py`. Real limiters and allocators of a
-simulated fleet, 2 ms between routers. A refusal is false when the whole fleet has
-fewer requests of the account in hand than its limit.
+Run `.venv/bin/python benchmarks/limits_faults.py`. It runs the limiters and allocators
+of a simulated fleet with a delay of 2 ms between routers. A refusal is false when the
+whole fleet runs fewer requests of the account than its limit.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class MeasuredFleet(Fleet):
-    """A fleet that counts the refusals that the limit did not ask for."""
+    """A fleet that counts refusals below the limit."""
 
     false_refused = 0
 
@@ -34,7 +34,7 @@
 
 
 def drive(fleet: MeasuredFleet, random: Random, requests_per_s: float, span_s: float) -> str:
-    """Run for a while and say what was served, refused, and how much was in use."""
+    """Run for `span_s`; format served, refused and falsely refused requests and the mean use."""
     served, refused = sum(fleet.served.values()), sum(fleet.refused.values())
     false_refused, used, steps = fleet.false_refused, 0, int(span_s / STEP_S)
     names = list(fleet.limiters)
@@ -51,7 +51,7 @@
 
 
 def kill_allocator(fleet: Fleet) -> None:
-    """Kill the allocator of domain a; another one takes over and waits a lease."""
+    """Remove the allocator of domain a; its successor starts after waiting one lease."""
     stopped = fleet.allocator_of(ACCOUNT, "a")
     fleet.routers["a"].remove(stopped)
     for table in (fleet.limiters, fleet.allocators, fleet.running):
@@ -65,7 +65,7 @@
 
 
 def cut_domain(fleet: Fleet) -> None:
-    """Cut domain a off from the others."""
+    """Partition domain a from the others."""
     fleet.cut = {"a"}
 
 
--- a/benchmarks/log_price.py
+++ b/benchmarks/log_price.py
@@ -1,7 +1,7 @@
-"""Measure what one log line of a request costs a router: processor time and bytes.
+"""Measure the cost of one log line per request at a router: processor time and bytes.
 
-`python -m benchmarks.log_price --lines 20000` writes lines of the size that a
-request's end has, as a router does, and prints the mean of each.
+`python -m benchmarks.log_price --lines 20000` writes lines like those that a router
+writes at the end of a request, and prints the mean time and the size of a line.
 """
 
 import os
@@ -21,7 +21,7 @@
 
 
 def write_line(number: int) -> None:
-    """Write the line of one request."""
+    """Write the log line at the end of one request."""
     logger.info(
         "request ended",
         request=f"{number:016x}",
@@ -42,9 +42,9 @@
 
 
 def main(*, lines: int = 20_000) -> None:
-    """Print the price of a line.
+    """Print the cost of a line.
 
-    :param lines: how many to write
+    :param lines: number of lines to write
     """
     stdout_copy = os.dup(1)
     sink = os.open(os.devnull, os.O_WRONLY)
@@ -61,7 +61,7 @@
 
 
 def _line_bytes() -> int:
-    """Return the size of one line."""
+    """Return the size of one line in bytes."""
     reader, descriptor = os.pipe()
     os.dup2(descriptor, 1)
     write_line(1)
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -1,12 +1,11 @@
-"""Measure a deployment: cache reuse, load skew, control traffic and the promises.
+"""Measure a deployment: cache reuse, load skew, control traffic and guarantees.
 
     make measure DEPLOYMENT=kenanga
     make measure DEPLOYMENT=may-tinh POLICIES=bounded_rendezvous,least_loaded AGAINST=FILE
 
-It drives real router processes and stand-in engines with a seeded calendar of
-load, once for each placement policy, and writes a text, a JSON and a PNG page.
-The exit code is 1 when a promise was broken under the deployment's own policy,
-and 2 for bad usage.
+It sends a seeded load trace through real router processes to stand-in engines, once
+for each placement policy, and writes a text, a JSON and a PNG report. The exit code
+is 1 if a guarantee was violated under the first policy, and 2 for bad usage.
 """
 
 import asyncio
@@ -28,7 +27,7 @@
 async def _measure(
     deployment: str, policies: list[str], seed: int, phase_s: float, fault: str, against: str
 ) -> int:
-    """Run every policy and report."""
+    """Run every policy, write the reports and return the exit code."""
     from benchmarks.measuring.report import broken_promises, write_reports
     from benchmarks.measuring.run import run_policies
 
@@ -41,7 +40,7 @@
 
 
 def _parse_policies(policies: str) -> list[str]:
-    """Return the policies asked for, or all, the default one first."""
+    """Return the requested policies, or all of them with the default first."""
     from damaskwind.decisions.placement.placer import DEFAULT_POLICY
     from damaskwind.decisions.placement.policies import PLACEMENT_POLICIES
 
@@ -66,14 +65,14 @@
     seed: int = 1,
     phase_s: float = 8.0,
 ) -> int:
-    """Measure a deployment under placement policies; the first one must keep the promises.
+    """Measure a deployment under placement policies; the first one must keep the guarantees.
 
     :param deployment: `kenanga` or `may-tinh`
-    :param policies: names from the registry with commas, the default all of them
+    :param policies: names of registered policies, separated by commas; by default all
     :param against: the JSON report of an earlier run to compare with
-    :param fault: `ignore_leaving` or `crossed_id`, seeded on purpose
-    :param seed: of the load
-    :param phase_s: how long each of the four phases of the calendar lasts
+    :param fault: fault to inject: `ignore_leaving` or `crossed_id`
+    :param seed: seed of the load trace
+    :param phase_s: duration of each of the four phases of the trace
     """
     reactor = install_reactor()
     from benchmarks.measuring.deployment import DEPLOYMENTS
@@ -97,7 +96,7 @@
 
 
 def main() -> None:
-    """Parse the command line and exit with the outcome."""
+    """Parse the command line, measure, and exit with the exit code."""
     sys.exit(defopt.run(measure))
 
 
--- a/benchmarks/memory_of_roles.py
+++ b/benchmarks/memory_of_roles.py
@@ -1,10 +1,10 @@
-"""Measure the memory of each role: after its start, import by import, and its slopes.
+"""Measure the memory of each role: after its start, by import, and per stored object.
 
     .venv/bin/python -m benchmarks.memory_of_roles
 
-Each part runs in processes of its own. Resident memory has shared parts of
-files in it, which several processes on a VM hold once; the anonymous part is
-each process's own. Slopes are what Python allocates, by tracemalloc.
+Each measurement runs in separate processes. Resident memory includes file pages, which
+the processes of a VM share; anonymous memory is private to a process. Slopes are the
+bytes that Python allocates according to tracemalloc.
 """
 
 import asyncio
@@ -88,7 +88,7 @@
 
 
 def measure_start(role: str) -> None:
-    """Print the memory of one role's daemon some seconds after its start."""
+    """Print the memory of a role's daemon a few seconds after its start."""
     with tempfile.TemporaryDirectory() as folder:
         settings = Path(folder) / "settings.toml"
         settings.write_text(
@@ -113,7 +113,7 @@
 
 
 def print_imports(role: str) -> None:
-    """Import what a role needs, step by step, and print what each step adds."""
+    """Import the packages of a role step by step and print the memory that each step adds."""
     before = read_memory("self")
     print(f"{role}, interpreter with asyncio: {before.resident_mb:.1f} MB")
     for step in IMPORT_STEPS:
@@ -133,7 +133,7 @@
 
 
 def allocated_bytes(action: Callable[[], Any]) -> int:
-    """Return what an action leaves allocated."""
+    """Return the bytes that the result of an action occupies."""
     before, _ = tracemalloc.get_traced_memory()
     result = action()
     after, _ = tracemalloc.get_traced_memory()
@@ -158,7 +158,7 @@
 
 
 def make_holder_with_claims() -> Any:
-    """Return a claim holder with many keys whose small answers it keeps."""
+    """Return a claim holder that stores many keys with small answers."""
     from damaskwind.decisions.claims.holder import ClaimHolder, HolderPolicy
     from damaskwind.decisions.claims.messages import (
         Accepted,
@@ -185,7 +185,7 @@
 
 
 def make_history_with_configuration() -> Any:
-    """Return what a replica keeps of a configuration for its followers, once sent."""
+    """Return the history that a replica keeps for followers after sending a configuration."""
     from benchmarks.call_bytes import configuration
     from damaskwind.wire.configuration_history import ConfigurationHistory
 
@@ -196,7 +196,7 @@
 
 
 async def print_slopes() -> None:
-    """Fill a router that has no peers and print what each kind of thing costs."""
+    """Fill a router without peers and print the memory of each kind of object."""
     from benchmarks.call_bytes import configuration
     from damaskwind.decisions.membership.outputs import SpillHeard
     from damaskwind.decisions.membership.tests.samples import announcement
@@ -250,7 +250,7 @@
 
 
 def main() -> None:
-    """Measure all, or one part in this process."""
+    """Run all measurements, or the one named on the command line in this process."""
     part, *rest = sys.argv[1:] or [""]
     if part == "imports":
         print_imports(*rest)
--- a/benchmarks/path_caller.py
+++ b/benchmarks/path_caller.py
@@ -1,4 +1,4 @@
-"""A cheap caller for `router_path.py`: raw connections, nothing parsed but the end."""
+"""A cheap load generator for `router_path.py`: raw connections with minimal parsing."""
 
 import json
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class _Caller(Protocol):
-    """One connection that asks again and again, or holds one stream."""
+    """One connection that sends requests sequentially or holds one stream open."""
 
     def __init__(self, load: "LoadGenerator") -> None:
         self._load = load
@@ -22,7 +22,7 @@
         self.tokens = 0
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Ask the first time."""
+        """Send the first request."""
         self.transport.setTcpNoDelay(True)
         self._send_request()
 
@@ -33,7 +33,7 @@
         self.transport.write(self._load.request)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Count tokens, or wait for the end of a whole answer."""
+        """Count the tokens of a stream, or wait for the end of a whole answer."""
         if self._load.is_stream:
             self.tokens += data.count(_TOKEN)
             return
@@ -49,7 +49,7 @@
 
 
 class LoadGenerator:
-    """A number of connections against one address."""
+    """Generate load on one address over a number of connections."""
 
     def __init__(self, reactor: Any, host: str, port: int, key: str, body: dict) -> None:
         self.reactor = reactor
@@ -64,7 +64,7 @@
         self._errors = 0
 
     def start(self, kind: str, count: int, seconds: float) -> None:
-        """Open the connections and plan the end."""
+        """Open the connections and schedule the report."""
         self.is_stream = kind != "whole"
         body = json.dumps({**self._body, "stream": self.is_stream, "user": kind}).encode()
         head = (
@@ -86,25 +86,25 @@
             self.reactor.callLater(seconds, self._report)
 
     def _make_caller(self) -> _Caller:
-        """Make one caller."""
+        """Create one caller."""
         caller = _Caller(self)
         self._callers.append(caller)
         return caller
 
     def record_answer(self, is_ok: bool, sent_s: float) -> None:
-        """Count an answer."""
+        """Record an answer and its latency."""
         self._errors += not is_ok
         self._latencies_s.append(self.reactor.seconds() - sent_s)
 
     def _check_open(self, count: int) -> None:
-        """Report once every stream has begun, and hold on."""
+        """Report once every stream has begun, and keep the streams open."""
         if sum(caller.tokens > 0 for caller in self._callers) < count:
             self.reactor.callLater(0.1, self._check_open, count)
             return
         print(json.dumps({"open": count}), flush=True)
 
     def _report(self) -> None:
-        """Print the counts and end."""
+        """Print the counts and stop the reactor."""
         latencies = sorted(self._latencies_s) or [0.0]
         results = {
             "tokens": sum(caller.tokens for caller in self._callers),
--- a/benchmarks/path_roles.py
+++ b/benchmarks/path_roles.py
@@ -72,7 +72,7 @@
 
 
 def _listen(reactor: Any, app: Any) -> None:
-    """Serve an application and print where."""
+    """Serve an application and print its address."""
     from twisted.web.server import Site
 
     site = Site(app.resource())
@@ -83,7 +83,7 @@
 
 
 def run_engine() -> None:
-    """Answer at once, or stream one token a tick to every open stream."""
+    """Answer immediately, or write one token per tick to every open stream."""
     reactor = install_reactor()
     from klein import Klein
     from twisted.internet.defer import Deferred
@@ -120,7 +120,7 @@
 
 
 def _announcement(engine_address: str) -> dict[str, Any]:
-    """Return what the engine would announce."""
+    """Return the announcement of the engine."""
     host, port = engine_address.split(":")
     return {
         "target_id": "engine-1",
@@ -177,7 +177,7 @@
 
 
 def run_bare(engine_address: str) -> None:
-    """Relay with klein and treq and nothing else."""
+    """Relay with klein and treq alone."""
     reactor = install_reactor()
     import treq
     from klein import Klein
@@ -206,7 +206,7 @@
 
 
 def run_echo() -> None:
-    """Answer with klein and nothing else."""
+    """Answer with klein alone."""
     reactor = install_reactor()
     from klein import Klein
 
@@ -222,7 +222,7 @@
 
 
 def run_caller(address: str, kind: str, count: str, seconds: str) -> None:
-    """Drive an address with raw connections and print what came back."""
+    """Generate load on an address over raw connections and print the results."""
     reactor = install_reactor()
     from path_caller import LoadGenerator
 
--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -22,7 +22,7 @@
 
 
 def placement_cost_us(target_count: int, domain_count: int) -> float:
-    """Return the processor time of one placement in microseconds, nothing spilling."""
+    """Return the processor time of one placement without spills, in microseconds."""
     placer = Placer("bounded_rendezvous", "r", "domain-0", LOAD_FACTOR, Random(1))
     for number in range(target_count):
         view = engine_view(f"engine-{number}", TargetState.SERVING)
--- a/benchmarks/placement_engines.py
+++ b/benchmarks/placement_engines.py
@@ -1,4 +1,4 @@
-"""The chats and engines of the placement benchmark, in a few lines each."""
+"""Minimal models of chats and engines for the placement benchmark."""
 
 from collections import OrderedDict
 
@@ -32,7 +32,7 @@
 
 
 class Chat:
-    """A chat: its account, digest, and the length of its history."""
+    """A chat with its account, digest and history length."""
 
     __slots__ = ("account", "digest", "history_tokens", "key", "turns_left", "turns_done")
 
@@ -46,7 +46,7 @@
 
 
 class Engine:
-    """An engine: work in hand, and an LRU cache of prefixes counted in tokens."""
+    """An engine with its load and an LRU cache of prefixes, both in tokens."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -62,25 +62,25 @@
         self.epoch = 0
 
     def load_at(self, now_s: float) -> float:
-        """Work the load off up to now and return it."""
+        """Subtract the tokens decoded up to now and return the load."""
         self.load_tokens -= self.running * DECODE_TOKENS_PER_S * (now_s - self.updated_s)
         self.updated_s = now_s
         return self.load_tokens
 
     def cached_prefix_tokens(self, chat: Chat) -> int:
-        """Return how many tokens of the chat's prompt are cached, without touching them."""
+        """Return the cached tokens of the chat's prompt without updating their recency."""
         shared = self.cache.get(f"account-{chat.account}", 0)
         return max(self.cache.get(chat.digest, 0), shared)
 
     def store(self, key: str, tokens: int) -> None:
-        """Cache a prefix and evict the least recently used ones over the limit."""
+        """Cache a prefix and evict the least recently used ones beyond the limit."""
         self.cached_tokens += tokens - self.cache.pop(key, 0)
         self.cache[key] = tokens
         while self.cached_tokens > CACHE_TOKENS:
             self.cached_tokens -= self.cache.popitem(last=False)[1]
 
     def restart(self, now_s: float) -> None:
-        """Lose the cache and all work."""
+        """Drop the cache and all requests."""
         self.cache.clear()
         self.cached_tokens = self.running = 0
         self.load_tokens = 0.0
@@ -89,7 +89,7 @@
 
 
 def engine_view(name: str, state: TargetState) -> TargetView:
-    """Return what a router knows of an engine."""
+    """Return a router's view of an engine."""
     offers = (ModelOffer("m", "1"),)
     address = Address("127.0.0.1", 1)
     return TargetView(
--- a/benchmarks/placement_figures.py
+++ b/benchmarks/placement_figures.py
@@ -11,7 +11,7 @@
 
 
 class Setting(NamedTuple):
-    """One run's size and events."""
+    """The size and the events of one run."""
 
     policy: str
     routers: int
@@ -29,7 +29,7 @@
 
 
 class Sample(NamedTuple):
-    """The true loads at one moment, as ratios to their mean."""
+    """The true loads at one moment, relative to their mean."""
 
     mean_tokens: float
     max_ratio: float
@@ -50,7 +50,7 @@
     estimate_errors: list[tuple[float, float]],
     place_s: Iterable[float],
 ) -> dict[str, str]:
-    """Return the figures of a run by name; an estimate's error comes with its stated sd."""
+    """Format the figures of a run by name; each estimate error is paired with its stated sd."""
     maxima = [sample.max_ratio for sample in samples]
     slack = [sample.max_ratio - sample.large_request_ratio for sample in samples]
     errors = [error for error, _ in estimate_errors]
--- a/benchmarks/placement_gossip.py
+++ b/benchmarks/placement_gossip.py
@@ -1,11 +1,10 @@
-"""Measure the placement fed by the real gossip: ages, losses and notes as they come.
+"""Measure placement on real gossip, with its report ages, losses and spill notes.
 
-The placement's engines and chats (`placement_scale`) and the gossip's nodes
-(`control_bytes`) run on one seeded clock. Targets announce their published loads to
-random routers; every answer tells its router the load it carries; loads, spill notes,
-leaves and returns reach the other routers only by the gossip and within its budget.
-Engines that leave say so and come back as a new incarnation; flapping lists stay the
-placement driver's own.
+The engines and chats of `placement_scale` and the gossip nodes of `control_bytes` run
+on one seeded clock. Targets announce their published loads to random routers, and
+every answer reports the load to its router. Loads, spill notes, leaves and returns
+reach the other routers only by gossip within its budget. Engines announce a leave and
+return as a new incarnation; flapping is still simulated by `placement_scale`.
 
     .venv/bin/python -m benchmarks.placement_gossip --routers 50 --engines 250
 """
@@ -34,7 +33,7 @@
 
 
 class EngineNetwork(control_bytes.Fleet):
-    """The gossip's routers, whose targets announce what the engines carry."""
+    """The gossip fleet, whose targets announce the loads of the engines."""
 
     def __init__(self, *arguments: Any) -> None:
         self.engines: dict[str, Engine] = {}
@@ -42,7 +41,7 @@
         super().__init__(*arguments)
 
     def announcement(self, name: str, index: int, state: TargetState) -> TargetAnnouncement:
-        """Return the next announcement, with the load that the engine last published."""
+        """Return the next announcement with the last published load of the engine."""
         plain = super().announcement(name, index, state)
         plain = plain._replace(incarnation=plain.incarnation + self.incarnations.get(name, 0))
         engine = self.engines.get(name)
@@ -53,14 +52,14 @@
         return plain._replace(load=engine_report(engine, age_s))
 
     def return_target(self, name: str) -> None:
-        """Let a target that left come back as a new incarnation."""
+        """Return a target that left as a new incarnation."""
         self.incarnations[name] = self.incarnations.get(name, 0) + 1
         self.silent_targets.discard(name)
         self._announce(name, self.target_names.index(name))
 
 
 class GossipFleet(Fleet):
-    """The placement's fleet, with the gossip in place of its assumed delays."""
+    """The placement fleet with real gossip in place of assumed delays."""
 
     def __init__(self, setting: Setting, loss: float, bytes_per_s: int) -> None:
         super().__init__(setting)
@@ -91,12 +90,12 @@
         self.at(setting.warm_up_s, self.network.reset_counters)
 
     def step(self) -> None:
-        """Let the gossip catch up with the placement's clock."""
+        """Advance the gossip to the time of the placement."""
         self.at(self.now_s + STEP_S, self.step)
         self.network.run(SETTLE_S + self.now_s)
 
     def handle_event(self, number: int, event: Any) -> None:
-        """Give one router's placer what its gossip tells."""
+        """Apply a gossip event to the placer of one router."""
         placer = self.placers[number]
         if isinstance(event, LoadHeard):
             placer.observe_report(self.engine_of[event.target_id], event.report, self.now_s)
@@ -108,7 +107,7 @@
             placer.update_target(self.view(self.engine_of[event.target.target_id]), self.now_s)
 
     def handle_spill_notes(self, number: int, event: SpillHeard) -> None:
-        """Give one router the notes that it heard and count how late they are."""
+        """Apply received spill notes at one router and record their delays."""
         for note in event.notes:
             named = note._replace(target_id=self.engine_of[note.target_id])
             self.placers[number].observe_spill_note(named, self.now_s)
@@ -117,20 +116,20 @@
                 self.note_delays_s.append(self.now_s - published_s)
 
     def report(self, engine: Engine) -> None:
-        """Publish an engine's load; announcements and answers carry it."""
+        """Publish an engine's load for the next announcements and answers."""
         self.at(self.now_s + 0.5, self.report, engine)
         if engine.alive:
             engine.published = (engine.load_at(self.now_s), self.now_s)
 
     def answered(self, router: int, engine: Engine) -> None:
-        """Tell a router the load on an answer, with its true age, and its gossip too."""
+        """Report the load on an answer, with its true age, to the router's placer and gossip."""
         report = engine_report(engine, self.now_s - engine.published[1])
         self.placers[router].observe_report(engine.name, report, self.now_s)
         target_id = self.name_of[engine.name]
         self.nodes[router].observe_load(target_id, report, SETTLE_S + self.now_s)
 
     def gossip(self) -> None:
-        """Hand every router's notes to its gossip."""
+        """Publish every router's spill notes in its gossip."""
         self.at(self.now_s + 0.5, self.gossip)
         for placer, node in zip(self.placers, self.nodes, strict=True):
             notes = placer.pop_spill_notes(self.now_s)
@@ -144,7 +143,7 @@
                 self.counts["notes"] += len(notes)
 
     def announce_state(self, name: str, state: TargetState) -> None:
-        """Let an engine itself say that it leaves or is back."""
+        """Announce that an engine is leaving or has returned."""
         if state is TargetState.SERVING:
             self.engines[name].published = (0.0, self.now_s)
             self.network.return_target(self.name_of[name])
@@ -152,7 +151,7 @@
             self.network.leave_target(self.name_of[name])
 
     def sample(self) -> None:
-        """Note also how old the loads are that the placers use."""
+        """Also record the ages of the loads that the placers use."""
         super().sample()
         alive = [engine.name for engine in self.engines.values() if engine.alive]
         for placer in self.placers[::10]:
@@ -160,7 +159,7 @@
             self.ages_s += [age for age in ages if age is not None]
 
     def format_gossip(self) -> str:
-        """Return how old loads are and how many notes arrive in time."""
+        """Format the load ages and the share of notes that arrive in time."""
         possible = max(1, self.counts["followed notes"] * (self.setting.routers - 1))
         in_time = sum(after_s <= NOTE_DEADLINE_S for after_s in self.note_delays_s)
         return (
@@ -186,7 +185,7 @@
 
 
 def main() -> None:
-    """Read the arguments, run each seed."""
+    """Parse the command line and run each seed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--policy", default="bounded_rendezvous")
     parser.add_argument("--routers", type=int, default=50)
--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -1,10 +1,10 @@
-"""Measure placement policies over many routers and engines, decisions alone.
+"""Measure placement policies over many routers and engines, without any I/O.
 
-A seeded event loop drives the real placers. An engine is a few lines: a queue of
-prompt tokens, a fixed pace per running answer, and an LRU cache of chat prefixes.
-Chats return after a pause on a random router; reports reach each router late or
-never; two accounts surge, one of them with a single chat key in parallel; engines
-leave, come back with an empty cache, or flap on some routers' lists only.
+A seeded event loop drives the real placers. An engine is modelled as a queue of prompt
+tokens, a fixed decode rate per running answer and an LRU cache of chat prefixes. Chats
+continue after a pause at a random router; reports reach each router late or never; two
+accounts surge, one of them with parallel requests of a single chat key; engines leave,
+return with an empty cache, or flap on the lists of some routers only.
 
     .venv/bin/python -m benchmarks.placement_scale --policies bounded_rendezvous,rendezvous
 """
@@ -68,7 +68,7 @@
         self.place_s: deque[float] = deque(maxlen=100_000)
 
     def _placer(self, number: int) -> Placer:
-        """Make one router's placer that knows every engine."""
+        """Create the placer of one router with every engine in its list."""
         policy = "rendezvous" if self.setting.policy == ORACLE else self.setting.policy
         domains = [f"d{i}" for i in range(self.setting.domains)]
         near = domains if self.setting.near else ()
@@ -80,12 +80,12 @@
         return placer
 
     def view(self, name: str) -> TargetView:
-        """Return what a router knows of an engine that serves."""
+        """Return a router's view of a serving engine."""
         domain = f"d{int(name[-4:]) % self.setting.domains}"
         return engine_view(name, TargetState.SERVING)._replace(failure_domain=domain)
 
     def at(self, when_s: float, action: Callable[..., None], *arguments: Any) -> None:
-        """Run an action at a time."""
+        """Schedule an action at a time."""
         heapq.heappush(self.events, (when_s, next(self.order), action, arguments))
 
     def run(self) -> None:
@@ -96,7 +96,7 @@
             action(*arguments)
 
     def _schedule_initial_events(self) -> None:
-        """Lay out the arrivals, reports, gossip, samples, churn and surge."""
+        """Schedule the first arrivals, reports, gossip, samples, churn and surge."""
         rate = self.setting.requests_per_s_per_engine * self.setting.engines / MEAN_TURNS
         self.at(0.0, self.new_chat, rate, None)
         for engine in self.engines.values():
@@ -115,7 +115,7 @@
             self.at(self.setting.warm_up_s / 2, self.churn)
 
     def new_chat(self, rate: float, until_s: float | None) -> None:
-        """Open a chat now and the next one after an exponential gap."""
+        """Start a chat now and schedule the next one after an exponential gap."""
         if until_s is not None and self.now_s > until_s:
             return
         self.at(self.now_s + self.random.expovariate(rate), self.new_chat, rate, until_s)
@@ -134,7 +134,7 @@
         self.send_turn(Chat(11, "batch-key", 1), next(self.order))
 
     def send_turn(self, chat: Chat, tail: int = 0, excluded: frozenset[str] = frozenset()) -> None:
-        """Let a chat ask its next question through a random router."""
+        """Send the next request of a chat through a random router."""
         router = self.random.randrange(self.setting.routers)
         prompt_tokens = (chat.history_tokens or SYSTEM_TOKENS) + TURN_TOKENS
         new_tokens = TURN_TOKENS if chat.turns_done else prompt_tokens
@@ -154,7 +154,7 @@
     def _choose(
         self, chat: Chat, router: int, need_tokens: int, tail: int, excluded: frozenset[str]
     ) -> str | None:
-        """Ask the router's placer, or the all-knowing one."""
+        """Place a request by the router's placer or by the oracle."""
         if self.setting.policy == ORACLE:
             return self._choose_all_knowing(chat)
         query = PlacementQuery(
@@ -169,7 +169,7 @@
         return choice.target_id
 
     def _choose_all_knowing(self, chat: Chat) -> str:
-        """Take the longest cached prefix under the true bound, else the least loaded."""
+        """Choose the longest cached prefix under the true load bound, else the least loaded."""
         alive = [engine for engine in self.engines.values() if engine.alive]
         if self.now_s - self.true_mean[1] > 0.1:
             mean = fmean(engine.load_at(self.now_s) for engine in alive)
@@ -182,7 +182,7 @@
         return min(alive, key=lambda engine: engine.load_at(self.now_s)).name
 
     def _serve(self, chat: Chat, engine: Engine, router: int, prompt: int, need: int) -> None:
-        """Start a request at an engine and plan its first token and its end."""
+        """Start a request at an engine and schedule its first token."""
         request_id = str(next(self.order))
         self.placers[router].started(request_id, engine.name, chat.digest, need, self.now_s)
         reused = min(engine.cached_prefix_tokens(chat), prompt)
@@ -201,7 +201,7 @@
         self.at(engine.prefill_free_s, self.first_token, *arguments)
 
     def first_token(self, *arguments: Any) -> None:
-        """End the prompt, start the answer, and tell the router the published load."""
+        """End the prefill, start the answer, report the published load and schedule the end."""
         _, engine, epoch, router, _, uncached, answer = arguments
         if epoch == engine.epoch:
             engine.load_at(self.now_s)
@@ -211,11 +211,11 @@
         self.at(self.now_s + answer / DECODE_TOKENS_PER_S, self.end, *arguments)
 
     def answered(self, router: int, engine: Engine) -> None:
-        """Tell a router the load that rides on an answer."""
+        """Report the load carried by an answer to its router."""
         self.placers[router].observe_report(engine.name, engine_report(engine, 0.0), self.now_s)
 
     def end(self, *arguments: Any) -> None:
-        """End an answer; the chat returns after a pause."""
+        """End an answer; the chat continues after a pause."""
         chat, engine, epoch, router, request_id, _, answer = arguments
         self.placers[router].finished(request_id, epoch == engine.epoch, self.now_s)
         if epoch == engine.epoch:
@@ -229,7 +229,7 @@
             self.at(self.now_s + self.random.expovariate(1 / MEAN_PAUSE_S), self.send_turn, chat)
 
     def report(self, engine: Engine) -> None:
-        """Publish an engine's load and let it reach the routers late or never."""
+        """Publish an engine's load; the report reaches the routers late or never."""
         self.at(self.now_s + PUBLISH_EVERY_S, self.report, engine)
         if not engine.alive:
             return
@@ -252,7 +252,7 @@
             placer.observe_report(name, aged, self.now_s)
 
     def gossip(self) -> None:
-        """Pass every router's notes to every other one, half a second late."""
+        """Send every router's spill notes to all others with a delay of half a second."""
         self.at(self.now_s + GOSSIP_EVERY_S, self.gossip)
         for number, placer in enumerate(self.placers):
             notes = placer.pop_spill_notes(self.now_s)
@@ -262,14 +262,14 @@
                 self.at(self.now_s + GOSSIP_EVERY_S, self.deliver_notes, number, notes)
 
     def deliver_notes(self, sender: int, notes: Any) -> None:
-        """Deliver notes."""
+        """Deliver spill notes to every router except their sender."""
         for number, placer in enumerate(self.placers):
             if number != sender:
                 for note in notes:
                     placer.observe_spill_note(note, self.now_s)
 
     def churn(self) -> None:
-        """Stop one engine for a while, and let another one flap on some routers' lists."""
+        """Stop one engine for a while and flap another one on half of the routers' lists."""
         period_s = 2000.0 / self.setting.engines
         self.at(self.now_s + period_s, self.churn)
         leaver, flapper = self.random.sample(list(self.engines.values()), 2)
@@ -283,25 +283,25 @@
             self.at(self.now_s + 5.0, self.set_state, placer, flapper.name, TargetState.SERVING)
 
     def come_back(self, engine: Engine) -> None:
-        """Start an engine again, with an empty cache."""
+        """Restart an engine with an empty cache."""
         engine.alive = True
         engine.updated_s = self.now_s
         self.announce_state(engine.name, TargetState.SERVING)
 
     def announce_state(self, name: str, state: TargetState) -> None:
-        """Let each router learn of a target's state at its own time."""
+        """Deliver a target's state to each router after a random delay."""
         for placer in self.placers:
             self.at(self.now_s + self.random.uniform(0.0, 2.0), self.set_state, placer, name, state)
 
     def set_state(self, placer: Placer, name: str, state: TargetState) -> None:
-        """Change one router's list; a target that left is forgotten."""
+        """Update one router's list; a target that is not serving is removed."""
         if state is TargetState.SERVING:
             placer.update_target(self.view(name), self.now_s)
         else:
             placer.remove_target(name)
 
     def sample(self) -> None:
-        """Note the true skew, and the estimates' errors at one router."""
+        """Record the true skew and the estimation errors at one router."""
         self.at(self.now_s + 1.0, self.sample)
         alive = [engine for engine in self.engines.values() if engine.alive]
         loads = sorted(engine.load_at(self.now_s) for engine in alive)
@@ -335,7 +335,7 @@
 
 
 def main() -> None:
-    """Read the arguments, run each policy."""
+    """Parse the command line and run each policy."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--policies", default=f"{ORACLE},{','.join(sorted(PLACEMENT_POLICIES))}")
     parser.add_argument("--routers", default="50")
--- a/benchmarks/platform_start.py
+++ b/benchmarks/platform_start.py
@@ -1,7 +1,7 @@
 """Measure start-up and memory of the programs for the operator platform.
 
-Run `sh deploy/build.sh` first. Each role is started on loopback, alone, and
-asked until it answers: `python -m benchmarks.platform_start --starts 5`.
+Run `sh deploy/build.sh` first. Each role is started alone on loopback and polled until
+it accepts connections: `python -m benchmarks.platform_start --starts 5`.
 """
 
 import os
@@ -25,12 +25,12 @@
 PORTS = {"front": 23101, "ready": 23102, "control": 23103}
 LISTENED = {"router": "ready", "control": "control"}
 START_LIMIT_S = 20.0
-# Memory is read when the start is over and nothing has been asked for yet.
+# Memory is read after the start has settled and before any request.
 SETTLE_S = 1.5
 
 
 class Start(NamedTuple):
-    """One start: until the socket answers, processor time and memory then."""
+    """One start: time until the socket accepts, then processor time and peak memory."""
 
     listening_s: float
     processor_s: float
@@ -38,7 +38,7 @@
 
 
 def settings_text(folder: str) -> str:
-    """Return a settings file as the platform writes it."""
+    """Return the text of a settings file as the platform writes it."""
     listen = "\n".join(f'{name} = "{HOST}:{port}"' for name, port in PORTS.items())
     return f"""
 nodeName = "bench"
@@ -61,7 +61,7 @@
 
 
 def start_once(role: str) -> Start:
-    """Start a role, wait until it listens, and stop it."""
+    """Start a role, measure it once it listens, and stop it."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "local.toml"
         file.write_text(settings_text(folder))
@@ -83,7 +83,7 @@
 
 
 def wait_until_listening(port: int, started_s: float) -> float:
-    """Return the seconds until a connection stands."""
+    """Return the seconds until the port accepts a connection."""
     while read_clock() - started_s < START_LIMIT_S:
         try:
             socket.create_connection((HOST, port), 0.2).close()
@@ -103,7 +103,7 @@
 
 
 def main(*, starts: int = 5) -> None:
-    """Start each role so many times and print medians, least and most."""
+    """Start each role `starts` times; print the median, the lowest and the highest figures."""
     for role in LISTENED:
         runs = [start_once(role) for _ in range(starts)]
         for name, values in zip(Start._fields, zip(*runs, strict=True), strict=True):
--- a/benchmarks/rest_at_size.py
+++ b/benchmarks/rest_at_size.py
@@ -1,8 +1,9 @@
-"""Replay targets that ask for rest before 8 to 195 routers, in three ways of keeping their word.
+"""Simulate targets that request a rest, with 8 to 195 routers and three strategies.
 
-A third of the targets after the other turns everybody away for a spell and asks each router that it
-turns away for some seconds of rest. Requests have keys, so that a target is the home of its own.
-The repeats that a router may send are its part of the users' budget.
+The targets take turns by thirds: a third rejects every request for a period and requests a
+rest of some seconds from each router that it rejects. Routers forget the request, keep it, or
+keep it and share it. Requests have keys, so that each key has a preferred target. The retries
+of a router are its share of the fleet's retry budget.
 
     python -m benchmarks.rest_at_size
 """
@@ -25,7 +26,7 @@
 STRATEGIES = ("forgotten", "kept", "shared")
 IN_FLIGHT_S = 0.5
 BUSY_S = 0.1
-# News of one router reach the others with the next sums.
+# The signals that one router received reach the others with the next sums.
 SHARE_DELAY_S = 0.5
 WORK_S = 0.4
 MAX_SENDS = 3
@@ -33,7 +34,7 @@
 
 
 class RestLoad(NamedTuple):
-    """What is played: how many routers and targets, and what comes at each target a second."""
+    """The size of the fleet, the request rate per target and the rest that targets request."""
 
     routers: int
     targets: int
@@ -44,7 +45,7 @@
 
 
 class RestFigures(NamedTuple):
-    """The most arrivals in a rest, parts of the requests, and of the targets that serve."""
+    """Most arrivals in a rest, outcomes as shares of the requests, and the highest load ratio."""
 
     worst_arrivals: int
     served: float
@@ -78,7 +79,7 @@
         ]
 
     def is_resting(self, name: str, now_s: float) -> bool:
-        """Tell whether a target turns everybody away: a third after the other."""
+        """Return whether a target rejects everything; the thirds take turns."""
         third = int(now_s / self.load.rest_period_s) % 3
         return self.names.index(name) % 3 == third
 
@@ -96,7 +97,7 @@
         return RestFigures(worst, *parts, self.most_held)
 
     def _apply_due_events(self, now_s: float) -> None:
-        """Let what has ended end, and what was told arrive."""
+        """Apply the completions and the shared signals that are due."""
         while self.completions and self.completions[0][0] <= now_s:
             self.in_progress[heappop(self.completions)[2]] -= 1
         while self.shared_signals and self.shared_signals[0][0] <= now_s:
@@ -176,12 +177,12 @@
 
 
 def simulate(strategy: str, load: RestLoad, seed: int) -> RestFigures:
-    """Play a load in one way of keeping what targets ask for."""
+    """Simulate a load under one strategy for the rests that targets request."""
     return _Simulation(strategy, load, seed).run()
 
 
 def main() -> int:
-    """Print the figures of all ways at three sizes, two seeds each."""
+    """Print the figures of all strategies at three sizes with two seeds each."""
     for routers, targets in ((8, 12), (57, 56), (195, 39)):
         for seed in (1, 2):
             for strategy in STRATEGIES:
--- a/benchmarks/router_path.py
+++ b/benchmarks/router_path.py
@@ -1,10 +1,10 @@
-"""Measure the router's data path beside bare klein and treq in the same run.
+"""Measure the router's data path next to bare klein and treq in the same run.
 
     .venv/bin/python benchmarks/router_path.py [--seconds 5] [--streams 100]
 
-Each role runs in a process of its own. Rates per core are counts divided by the
-processor time that the measured process itself used, so that a busy machine
-widens the spread but does not change what is measured.
+Each role runs in a separate process. Rates per core are counts divided by the processor
+time of the measured process, so that a busy machine widens the spread of the figures
+but does not bias them.
 """
 
 import argparse
@@ -23,18 +23,18 @@
 
 
 class Server(NamedTuple):
-    """A process that listens."""
+    """A process that listens on an address."""
 
     process: subprocess.Popen
     address: str
 
     def cpu_s(self) -> float:
-        """Return the processor time used so far."""
+        """Return the processor time used so far in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def resident_mb(self) -> float:
-        """Return the resident memory."""
+        """Return the resident memory in megabytes."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * 4096 / BYTES_PER_MB
 
@@ -42,7 +42,7 @@
 def start(role: str, *arguments: str) -> Server:
     """Start a role and read the address that it prints."""
     command = [sys.executable, __file__, "--role", role, *arguments]
-    # The bare relay knows nothing of callers that leave and logs each of them.
+    # The bare relay does not handle callers that disconnect and logs an error for each.
     errors = subprocess.DEVNULL if role == "bare" else None
     process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=errors, text=True)
     line = process.stdout.readline()
@@ -52,7 +52,7 @@
 
 
 def drive(address: str, kind: str, count: int, seconds: float) -> dict:
-    """Run a caller against an address and return what it counted."""
+    """Run a caller against an address and return its results."""
     command = [sys.executable, __file__, "--role", "caller", address, kind, str(count)]
     command.append(str(seconds))
     result = subprocess.run(command, capture_output=True, text=True, timeout=seconds + 60)
@@ -62,7 +62,7 @@
 
 
 def measure_streams(server: Server, streams: int, seconds: float) -> str:
-    """Relay streams and return tokens a second of one core."""
+    """Relay streams and format the tokens per second of one core."""
     before_s = server.cpu_s()
     results = drive(server.address, "stream", streams, seconds)
     used_s = server.cpu_s() - before_s
@@ -74,7 +74,7 @@
 
 
 def measure_requests(server: Server, connections: int, seconds: float) -> str:
-    """Answer whole requests and return requests a second of one core."""
+    """Answer whole requests and format the requests per second of one core."""
     before_s = server.cpu_s()
     results = drive(server.address, "whole", connections, seconds)
     used_s = server.cpu_s() - before_s
@@ -85,14 +85,14 @@
 
 
 def measure_latency(address: str, seconds: float) -> str:
-    """Ask one request after the other and return the latency."""
+    """Send requests sequentially and format the latency percentiles."""
     results = drive(address, "whole", 1, seconds)
     percentiles = [f"p{name} {results[f'p{name}_ms']:.2f} ms" for name in (50, 95, 99)]
     return ", ".join(percentiles)
 
 
 def measure_memory(server: Server, streams: int) -> str:
-    """Hold streams open and return the memory that they take."""
+    """Hold streams open and format the memory that they use."""
     idle_mb = server.resident_mb()
     command = [sys.executable, __file__, "--role", "caller", server.address, "hold", str(streams)]
     caller = subprocess.Popen([*command, "0"], stdout=subprocess.PIPE, text=True)
@@ -104,7 +104,7 @@
 
 
 def relay_bare(streams: int, seconds: float) -> str:
-    """Relay streams with klein and treq alone, on an engine of its own."""
+    """Relay streams with klein and treq alone, from a separate engine."""
     engine = start("engine")
     bare = start("bare", engine.address)
     try:
@@ -114,14 +114,14 @@
 
 
 def stop(servers: list[Server]) -> None:
-    """End processes and wait for them."""
+    """Terminate processes and wait for them."""
     for server in servers:
         server.process.terminate()
         server.process.wait()
 
 
 def run(seconds: float, streams: int) -> None:
-    """Start all roles, measure, and print."""
+    """Start all roles, run the measurements and print the figures."""
     with tempfile.TemporaryDirectory() as folder:
         engine = start("engine")
         settings = router_settings(Path(folder), engine.address)
@@ -145,7 +145,7 @@
 
 
 def main() -> None:
-    """Run a role, or the whole benchmark."""
+    """Run one role or the whole benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--role", choices=sorted(ROLES))
     parser.add_argument("--seconds", type=float, default=5.0)
--- a/benchmarks/tests/test_rest_at_size.py
+++ b/benchmarks/tests/test_rest_at_size.py
@@ -1,4 +1,4 @@
-"""Targets that ask for rest before many routers get no more than the users allow."""
+"""Targets that request a rest receive at most the allowed arrivals from many routers."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class RestAtSizeTest(unittest.TestCase):
-    def test_kept_words_leave_targets_alone_and_serve_more(self):
+    def test_keeping_rest_requests_reduces_arrivals_and_serves_more(self):
         for load in LOADS:
             with self.subTest(load=load):
                 forgotten, kept = (
--- a/tools/fuzz.py
+++ b/tools/fuzz.py
@@ -1,8 +1,8 @@
-"""Run stateful fuzzing for as long as asked and print the first failure, shrunk.
+"""Run stateful fuzzing for a given time and print the first failure, shrunk.
 
-A target is a function that runs histories from a seed; targets register
-themselves here by a decorator. Without a seed a fresh one is taken and printed,
-so that every run can be repeated.
+A target is a function that runs histories from a seed; targets are registered here by
+a decorator. Without a seed a random one is drawn and printed, so that every run can be
+repeated.
 """
 
 import random
@@ -16,7 +16,7 @@
 
 
 class Result(Protocol):
-    """What a target gives back."""
+    """The result of a fuzz target."""
 
     histories: int
     duration_s: float
@@ -32,7 +32,7 @@
 
 
 def fuzz_target(name: str) -> Callable[[FuzzTarget], FuzzTarget]:
-    """Register a function of seed, seconds, histories and seeded bug."""
+    """Return a decorator that registers a function of seed, seconds, histories and seeded bug."""
 
     def register(function: FuzzTarget) -> FuzzTarget:
         FUZZ_TARGETS[name] = function
@@ -67,7 +67,7 @@
 
 @fuzz_target("targets")
 def fuzz_targets(seed: int, seconds: float, histories: int, bug: str | None) -> Result:
-    """Fuzz the merged tables of targets against what the targets said."""
+    """Fuzz the merged tables of targets against the reports that the targets sent."""
     from damaskwind.decisions.membership.tests import fuzzing
 
     return fuzzing.fuzz_targets(seed, seconds, histories, bug)
@@ -91,7 +91,7 @@
 
 @fuzz_target("limits")
 def fuzz_limits(seed: int, seconds: float, histories: int, bug: str | None) -> Result:
-    """Fuzz the leased shares of account limits against the sum of what is in use."""
+    """Fuzz the leased shares of account limits against their total use."""
     from damaskwind.decisions.limits.tests import fuzzing
 
     return fuzzing.fuzz_limits(seed, seconds, histories, bug)
@@ -99,7 +99,7 @@
 
 @fuzz_target("requests")
 def fuzz_requests(seed: int, seconds: float, histories: int, bug: str | None) -> Result:
-    """Fuzz the router's dispatcher against what the targets count."""
+    """Fuzz the router's dispatcher against the targets' own counts."""
     from damaskwind.router.tests.request_fuzzing import fuzz_requests as run
 
     return run(seed, seconds, histories, bug)
@@ -115,10 +115,10 @@
 ) -> int:
     """Fuzz every target, or one, and return 1 if any history failed.
 
-    :param seconds: stop starting histories after so many seconds, for each target
+    :param seconds: start no further history of a target after this many seconds
     :param seed: repeat the run of this seed
-    :param histories: stop after so many histories
-    :param bug: put this bug in on purpose; the run should then fail
+    :param histories: stop after this many histories of a target
+    :param bug: inject this seeded bug; the run should then fail
     :param target: fuzz only this target
     """
     if seed is None:
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,8 +1,8 @@
-"""Run every test module in a process of its own and print one count.
+"""Run every test module in a separate process and print one count.
 
-Each module gets a fresh interpreter, since Twisted's reactor is one per
-process, and runs under trial on the asyncio reactor. The counts are read from
-trial's own summary. Doctests of the pure packages run as one more job.
+Each module gets a new interpreter, since Twisted has one reactor per process, and
+runs under trial on the asyncio reactor. The counts are parsed from trial's summary.
+The doctests of the pure packages run as an additional job.
 """
 
 import os
@@ -30,7 +30,7 @@
 
 
 class ModuleResult(NamedTuple):
-    """What one test module gave: its name, counts, seconds and output."""
+    """The result of one test module: its counts, duration and output."""
 
     name: str
     passed: int
@@ -53,13 +53,13 @@
 
 
 def environment() -> dict[str, str]:
-    """Return the environment of a test module: the benchmarks are no installed package."""
+    """Return the environment of a test module, with the root for the uninstalled benchmarks."""
     paths = [str(ROOT), os.environ.get("PYTHONPATH", "")]
     return {**os.environ, "PYTHONPATH": os.pathsep.join(filter(None, paths))}
 
 
 def run_module(name: str) -> ModuleResult:
-    """Run one module under trial and count from trial's summary."""
+    """Run one module under trial and parse the counts from its summary."""
     started_s = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         command = [sys.executable, "-m", "twisted.trial", "--reactor=asyncio"]
@@ -73,7 +73,7 @@
                 text=True,
                 timeout=MODULE_TIMEOUT_S,
             )
-            # The report of trial comes last, since the end is what is printed.
+            # Trial's report comes last, since only the end of the output is printed.
             output = completed.stderr + completed.stdout
             exit_code = completed.returncode
         except subprocess.TimeoutExpired as error:
@@ -83,7 +83,7 @@
 
 
 def count(name: str, output: str, exit_code: int, duration_s: float) -> ModuleResult:
-    """Turn trial's output into counts; anything unclear is one failure."""
+    """Parse trial's output into counts; output without a summary is one failure."""
     ran = RAN_PATTERN.findall(output)
     summary = SUMMARY_PATTERN.findall(output)
     if not ran or not summary:
@@ -127,7 +127,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the modules whose failure is known, one a line before a comma."""
+    """Return the modules with known failures: one per line, before the first comma."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
@@ -135,7 +135,7 @@
 
 
 def main() -> int:
-    """Run what was asked for, or everything, and print the count last."""
+    """Run the selected modules, or all and the doctests, and print the count last."""
     selected = sys.argv[1:]
     names = [module_name(path) for path in test_paths()]
     if selected:
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,7 +1,7 @@
-"""Soak the real programs: `python tools/soak.py --seeds 50`, or one seed again by `--seed`.
+"""Run soak tests of the real programs: `python tools/soak.py --seeds 50`, or one `--seed`.
 
-Each seed is a fleet, a load and a schedule of faults. What breaks a promise is printed and
-left in a folder with the plan, the programs' logs and the findings.
+Each seed determines a fleet, a load and a schedule of faults. Violated guarantees are printed;
+the plan, the programs' logs and the findings of a failed seed are kept in a folder.
 """
 
 import random
@@ -30,14 +30,14 @@
     folder: str = "",
     bug: str = "",
 ) -> int:
-    """Play soaks one after the other; fail if one of them broke a promise.
+    """Run soak tests sequentially; fail if one of them violated a guarantee.
 
-    :param seeds: how many fresh seeds to play
-    :param seed: play this one in their place
-    :param seconds: how long the load and the faults of each last
-    :param only: places of the faults to keep, with commas, to shorten a failing plan by hand
-    :param folder: where findings go; by default a fresh temporary folder
-    :param bug: the promise whose seeded fault is put into the programs first
+    :param seeds: number of fresh seeds to run
+    :param seed: run this seed instead
+    :param seconds: duration of the load and the faults of each seed
+    :param only: indexes of the faults to keep, with commas, to shorten a failing plan by hand
+    :param folder: folder of the findings; by default a new temporary folder
+    :param bug: the guarantee whose seeded bug is injected into the programs
     """
     chosen_seeds = [seed] if seed else [random.randrange(1, SEED_BELOW) for _ in range(seeds)]
     kept_faults = {int(place) for place in only.split(",")} if only else None
@@ -52,7 +52,7 @@
     findings_folder: Path,
     bug: str,
 ) -> int:
-    """Play all seeds; keep the folders of those that broke something."""
+    """Run all seeds; keep the folders of those that violated a guarantee."""
     from damaskwind.platform.tests.soak.seeded_faults import SEEDED_FAULTS
     from damaskwind.platform.tests.soak.verdict import play_seed
 
