--- a/benchmarks/confirmation_times.py
+++ b/benchmarks/confirmation_times.py
@@ -33,14 +33,14 @@
 )
 
 
-def _percentile(values: list[float], part: float) -> float:
-    """Return the value below which a fraction `part` of the values lies.
+def _percentile(values: list[float], fraction: float) -> float:
+    """Return the value below which a `fraction` of the values lies.
 
     >>> _percentile([3.0, 1.0, 2.0], 0.5)
     2.0
     """
     ordered = sorted(values)
-    return ordered[min(int(part * len(ordered)), len(ordered) - 1)]
+    return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)]
 
 
 async def _grow_and_change(fleet: NarrowFleet, routes: int) -> tuple[VersionTimes, list, int]:
--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -263,20 +263,20 @@
     with tempfile.TemporaryDirectory(dir=options.folder) as name:
         base = Path(name)
 
-        def fresh(part: str) -> Path:
-            path = base / part
+        def fresh(subfolder: str) -> Path:
+            path = base / subfolder
             path.mkdir()
             return path
 
         asyncio.run(measure_confirms(fresh("confirms"), options.sequential, options.parallel))
         for changes in (1000, 10_000):
             for every in (SNAPSHOT_EVERY, SNAPSHOT_NEVER):
-                part = fresh(f"restart-{changes}-{every}")
-                asyncio.run(measure_restart(part, changes, every))
+                subfolder = fresh(f"restart-{changes}-{every}")
+                asyncio.run(measure_restart(subfolder, changes, every))
         for accounts in options.accounts:
-            part = fresh(f"force-{accounts}")
+            subfolder = fresh(f"force-{accounts}")
             scenario = measure_in_force(
-                part, accounts, options.followers, options.changes, options.idle_s
+                subfolder, accounts, options.followers, options.changes, options.idle_s
             )
             asyncio.run(scenario)
         measure_memory(fresh("memory"))
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -63,8 +63,8 @@
         self.allocators = {
             name: ShareAllocator(name, "domain-1", policy, 0.0, is_alone=True) for name in names
         }
-        for part in (*self.limiters.values(), *self.allocators.values()):
-            part.set_limits(limits, ["domain-1"])
+        for table in (*self.limiters.values(), *self.allocators.values()):
+            table.set_limits(limits, ["domain-1"])
 
     def count_message(self, source: str, target: str, payload: bytes) -> None:
         """Count the bytes of a message at its sender and its receiver."""
--- a/benchmarks/limits_debt.py
+++ b/benchmarks/limits_debt.py
@@ -87,7 +87,7 @@
         max_overdraft_tokens = max(max_overdraft_tokens, int(fleet.max_overdraft_tokens))
     waits_s.sort()
     p50_ms, p95_ms, p99_ms = (
-        1000 * waits_s[int(len(waits_s) * part)] for part in (0.5, 0.95, 0.99)
+        1000 * waits_s[int(len(waits_s) * fraction)] for fraction in (0.5, 0.95, 0.99)
     )
     rate = len(waits_s) * TOKENS / (MEASURE_S * len(SEEDS))
     print(
