--- a/benchmarks/measuring/control_traffic.py
+++ b/benchmarks/measuring/control_traffic.py
@@ -101,7 +101,9 @@
 def highest_rate(samples: list[ControlSample], span_s: float) -> float | None:
     """Return the highest bytes per second over any window of polls of at least `span_s`.
 
-    >>> highest_rate([ControlPoint(0, 0, 0), ControlPoint(1, 10, 0), ControlPoint(2, 90, 0)], 2.0)
+    >>> highest_rate(
+    ...     [ControlSample(0, 0, 0), ControlSample(1, 10, 0), ControlSample(2, 90, 0)], 2.0
+    ... )
     45.0
     """
     ends = busiest_window(samples, span_s)
--- a/benchmarks/measuring/first_token.py
+++ b/benchmarks/measuring/first_token.py
@@ -62,7 +62,7 @@
 
     >>> record = {"choices": [{"at_ms": 50.0}, {"at_ms": 90.0}],
     ...     "events": [{"at_ms": 51.0, "event": "queued"}], "attempts": [{"started_ms": 90.0}]}
-    >>> cut_by_part(FirstToken("a", 100.0, 2.0), record)["queue"]
+    >>> split_delay(FirstToken("a", 100.0, 2.0), record)["queue"]
     39.0
     """
     first_choice_ms = record["choices"][0]["at_ms"] if record["choices"] else 0.0
