--- a/benchmarks/capacity_claims.py
+++ b/benchmarks/capacity_claims.py
@@ -1,9 +1,9 @@
-"""Measure what a claim costs the holders and the router, each side by itself.
+"""Measure the cost of a claim at the holders and at the router separately.
 
     .venv/bin/python -m benchmarks.capacity_claims [--holders 5]
 
-The holders run in this process, the client in a child process; a claim here is
-its two phases and the record of its outcome, as a request with a key makes them.
+The holders run in this process, the client in a child process. As for a keyed
+request, a claim consists of its two phases and the record of its outcome.
 """
 
 import argparse
@@ -35,7 +35,7 @@
 
 
 class ClaimCosts(NamedTuple):
-    """What a claim with its record costs; times of one claim, of processor but for delays."""
+    """Costs of one claim with its record; processor times except for the delays."""
 
     holders: int
     holder_ms: float
@@ -45,14 +45,14 @@
 
 
 async def _drive(addresses: list[tuple[str, Address]]) -> dict[str, float]:
-    """Claim and record, one at a time and then many at once."""
+    """Claim and record keys, first one at a time and then concurrently."""
     client = ClaimsClient(addresses, CLUSTER, KEY, "router", Random(1), read_clock)
     digest = request_digest("POST", "/x", b"body")
 
     async def claim(key: str) -> float:
-        begun_s = time.perf_counter()
+        started_s = time.perf_counter()
         outcome = await client.claim(key, digest, f"request-{key}", 30.0)
-        delay_s = time.perf_counter() - begun_s
+        delay_s = time.perf_counter() - started_s
         if outcome.kind != ClaimKind.GRANTED:
             raise RuntimeError(f"claim of a fresh key: {outcome}")
         await client.record(key, outcome.accepted, Outcome(Verdict.RAN, ANSWER), 30.0)
@@ -61,29 +61,29 @@
     for number in range(WARM_UP):
         await claim(f"w{number}")
     delays_s = [await claim(f"s{number}") for number in range(SERIAL_CLAIMS)]
-    cut = statistics.quantiles(delays_s, n=100)
-    gate = asyncio.Semaphore(PARALLEL)
+    percentiles_s = statistics.quantiles(delays_s, n=100)
+    semaphore = asyncio.Semaphore(PARALLEL)
 
-    async def gated(key: str) -> None:
-        async with gate:
+    async def claim_limited(key: str) -> None:
+        async with semaphore:
             await claim(key)
 
     print("begin", flush=True)
     sys.stdin.readline()
     cpu_s = time.process_time()
-    await asyncio.gather(*(gated(f"p{number}") for number in range(PARALLEL_CLAIMS)))
+    await asyncio.gather(*(claim_limited(f"p{number}") for number in range(PARALLEL_CLAIMS)))
     spent_s = time.process_time() - cpu_s
     await client.close()
-    return {"router_s": spent_s, "p50_s": cut[49], "p95_s": cut[94]}
+    return {"router_s": spent_s, "p50_s": percentiles_s[49], "p95_s": percentiles_s[94]}
 
 
 async def _measure(count: int) -> ClaimCosts:
-    """Hold claims for a client in a child process and measure this side."""
+    """Serve claims for a client in a child process and measure the holders."""
     holders = Holders(count)
     await holders.start_all()
     command = [sys.executable, "-m", "benchmarks.capacity_claims", "--drive"]
     child = subprocess.Popen(
-        [*command, json.dumps([[name, *where] for name, where in holders.addresses.items()])],
+        [*command, json.dumps([[name, *address] for name, address in holders.addresses.items()])],
         stdout=subprocess.PIPE,
         stdin=subprocess.PIPE,
         text=True,
@@ -93,11 +93,13 @@
         if not await loop.run_in_executor(None, child.stdout.readline):
             raise RuntimeError("the client did not run")
         cpu_s = time.process_time()
-        told, _ = await loop.run_in_executor(None, lambda: child.communicate("\n", timeout=WAIT_S))
+        output, _ = await loop.run_in_executor(
+            None, lambda: child.communicate("\n", timeout=WAIT_S)
+        )
         spent_s = time.process_time() - cpu_s
     finally:
         await holders.close()
-    figures: dict[str, Any] = json.loads(told)
+    figures: dict[str, Any] = json.loads(output)
     return ClaimCosts(
         count,
         spent_s / PARALLEL_CLAIMS / count * 1e3,
@@ -108,7 +110,7 @@
 
 
 def measure_claims(count: int) -> ClaimCosts:
-    """Return what claims at `count` holders cost one holder and the router."""
+    """Measure the cost of claims at `count` holders for one holder and the router."""
     return asyncio.run(_measure(count))
 
 
--- a/benchmarks/control_bytes.py
+++ b/benchmarks/control_bytes.py
@@ -1,8 +1,8 @@
-"""Measure the gossip: bytes, latencies, load ages, false suspicions, processor time.
+"""Measure gossip: bytes, latencies, load ages, false suspicions and processor time.
 
 The nodes run in one process on a small seeded event loop that delays and loses
-datagrams. Figures of bytes and simulated seconds depend on the seed alone;
-processor time is that of the machine at the moment.
+datagrams. Bytes and simulated times depend only on the seed; processor times depend
+on the machine and its load.
 """
 
 import heapq
@@ -38,7 +38,7 @@
 
 
 class Conditions(NamedTuple):
-    """What the network does to datagrams."""
+    """Delays and loss of datagrams in the network."""
 
     near_delay_s: float = 0.0005
     far_delay_s: float = 0.002
@@ -86,7 +86,7 @@
     def _add_router(self, index: int, seeds: tuple, parameters: Any) -> None:
         address = self._address(index)
         domain = self.domains[index % len(self.domains)]
-        me = RouterRecord(
+        own_record = RouterRecord(
             f"router-{index:04d}",
             1764691200000,
             RouterState.ALIVE,
@@ -96,7 +96,7 @@
         )
         random = Random(self.random.random())
         near = self.domains if self.near else ()
-        node = GossipNode(me, "benchmark", KEY, seeds, random, 0.0, parameters, near)
+        node = GossipNode(own_record, "benchmark", KEY, seeds, random, 0.0, parameters, near)
         node.handler = lambda event: self.events.append((self.now_s, address, event))
         self.nodes[address] = node
         self.cpu_s[address] = 0.0
@@ -120,10 +120,10 @@
         started_s = time.process_time()
         sends = node.tick(self.now_s)
         self.cpu_s[address] += time.process_time() - started_s
-        self._post(address, sends)
+        self._send(address, sends)
         self.at(self.now_s + TICK_S, lambda: self._tick(address))
 
-    def _post(self, source: Address, sends: list[Datagram]) -> None:
+    def _send(self, source: Address, sends: list[Datagram]) -> None:
         for datagram in sends:
             if self.random.random() < self.conditions.loss or self.cut(source, datagram.address):
                 continue
@@ -137,7 +137,7 @@
         started_s = time.process_time()
         sends = node.receive(datagram.payload, source, self.now_s)
         self.cpu_s[datagram.address] += time.process_time() - started_s
-        self._post(datagram.address, sends)
+        self._send(datagram.address, sends)
 
     def announcement(self, name: str, index: int, state: TargetState) -> TargetAnnouncement:
         """Return the next announcement of a target."""
@@ -181,7 +181,7 @@
         self.at(self.now_s + interval_s * jitter, lambda: self._announce(name, index))
 
     def leave_target(self, name: str) -> float:
-        """Let a target say that it leaves; return when."""
+        """Announce that a target is leaving; return the time."""
         self.silent_targets.add(name)
         index = self.target_names.index(name)
         address = self.random.choice(list(self.nodes))
@@ -189,16 +189,16 @@
         self.nodes[address].announce(announcement, 450, self.now_s)
         return self.now_s
 
-    def start_count(self) -> None:
-        """Start the byte counters anew and forget events."""
+    def reset_counters(self) -> None:
+        """Reset the byte counters and discard the events."""
         self.events.clear()
         for address, node in self.nodes.items():
             node.pacer.reset_counters(self.now_s)
             self.cpu_s[address] = 0.0
         self._counted_from_s = self.now_s
 
-    def bytes_line(self) -> str:
-        """Return the mean, the worst mean and the highest second over all routers."""
+    def format_bytes(self) -> str:
+        """Format the mean, the highest mean and the highest second over all routers."""
         counters = [node.pacer.counters(self.now_s) for node in self.nodes.values()]
         means = [c.mean_bytes_per_s for c in counters]
         highest = max(c.highest_second_bytes for c in counters)
@@ -213,19 +213,19 @@
             f" dropped {dropped}, core {100 * cpu:.2f}%"
         )
 
-    def kinds_line(self) -> str:
-        """Return the bytes a second by kind, as a mean over the routers."""
+    def format_kinds(self) -> str:
+        """Format the bytes per second by kind, as a mean over the routers."""
         totals: dict[str, float] = {}
         for node in self.nodes.values():
             counters = node.pacer.counters(self.now_s)
-            for way, kinds in (("out", counters.sent_bytes), ("in", counters.received_bytes)):
+            for direction, kinds in (("out", counters.sent_bytes), ("in", counters.received_bytes)):
                 for kind, size in kinds.items():
-                    totals[f"{way} {kind}"] = totals.get(f"{way} {kind}", 0) + size
+                    totals[f"{direction} {kind}"] = totals.get(f"{direction} {kind}", 0) + size
         scale = len(self.nodes) * (self.now_s - self._counted_from_s)
         return ", ".join(f"{name} {size / scale:.0f}" for name, size in sorted(totals.items()))
 
     def load_ages(self) -> list[float]:
-        """Return the age of the load of each near target at each router."""
+        """Return the age of each near target's load report at each router."""
         ages = []
         for node in self.nodes.values():
             domain = node.core.router_table.own_record.failure_domain
@@ -233,25 +233,25 @@
             ages += [view.report_age_s for view in views if view.failure_domain == domain]
         return ages
 
-    def missing(self) -> int:
-        """Return how many live near targets the routers miss, in all."""
+    def count_missing_views(self) -> int:
+        """Return the total number of live targets missing from the routers' views."""
         live = len(self.target_names) - len(self.silent_targets)
         return sum(live - len(node.core.targets(self.now_s)) for node in self.nodes.values())
 
 
-def spread(values: list[float]) -> str:
-    """Return the median, p99 and maximum of some values."""
+def summarize(values: list[float]) -> str:
+    """Format the median, p99 and maximum of some values."""
     if len(values) < 2:
         return f"{values}"
-    cuts = quantiles(values, n=100, method="inclusive")
-    return f"p50 {cuts[49]:.2f}, p99 {cuts[98]:.2f}, max {max(values):.2f}"
+    percentiles = quantiles(values, n=100, method="inclusive")
+    return f"p50 {percentiles[49]:.2f}, p99 {percentiles[98]:.2f}, max {max(values):.2f}"
 
 
-def steady(fleet: Fleet, settle_s: float, measure_s: float) -> None:
+def measure_steady_state(fleet: Fleet, settle_s: float, measure_s: float) -> None:
     """Measure the steady state."""
     fleet.run(settle_s)
-    print(f"  after {settle_s:.0f} s: target views missing {fleet.missing()}")
-    fleet.start_count()
+    print(f"  after {settle_s:.0f} s: target views missing {fleet.count_missing_views()}")
+    fleet.reset_counters()
     ages: list[float] = []
     for step in range(int(measure_s / 5)):
         fleet.run(settle_s + 5 * (step + 1))
@@ -259,30 +259,30 @@
     gone = sum(isinstance(event, TargetGone) for _, _, event in fleet.events)
     dead = sum(isinstance(event, RouterGone) for _, _, event in fleet.events)
     suspicions = sum(node.core.suspicions for node in fleet.nodes.values())
-    print(f"  steady: {fleet.bytes_line()}")
-    print(f"  {fleet.kinds_line()}")
+    print(f"  steady: {fleet.format_bytes()}")
+    print(f"  {fleet.format_kinds()}")
     print(
-        f"  load age {spread(ages)} s; false lapses {gone}, false deaths {dead},"
-        f" suspicions since start {suspicions}; views missing {fleet.missing()}"
+        f"  load age {summarize(ages)} s; false lapses {gone}, false deaths {dead},"
+        f" suspicions since start {suspicions}; views missing {fleet.count_missing_views()}"
     )
 
 
-def leaves(fleet: Fleet, count: int) -> None:
-    """Measure how long a leave takes to reach each router and the last one."""
+def measure_leaves(fleet: Fleet, count: int) -> None:
+    """Measure the time until a leave reaches each router and the last one."""
     times: list[float] = []
     last: list[float] = []
     for name in fleet.target_names[:count]:
         fleet.events.clear()
         left_s = fleet.leave_target(name)
         fleet.run(left_s + 4.0)
-        heard = [
+        delays_s = [
             when_s - left_s
             for when_s, _, event in fleet.events
             if isinstance(event, TargetGone) and event.target_id == name
         ]
-        times += heard
-        last.append(max(heard) if len(heard) == len(fleet.nodes) else 4.0)
-    print(f"  leave to each router {spread(times)} s; to the last one {spread(last)} s")
+        times += delays_s
+        last.append(max(delays_s) if len(delays_s) == len(fleet.nodes) else 4.0)
+    print(f"  leave to each router {summarize(times)} s; to the last one {summarize(last)} s")
     returned = sum(
         isinstance(event, TargetChanged) and event.target.target_id in fleet.silent_targets
         for _, _, event in fleet.events
@@ -290,19 +290,19 @@
     print(f"  targets that came back after leaving: {returned}")
 
 
-def everything_fails(fleet: Fleet) -> None:
-    """Let every target fall silent and a third of the routers die at once."""
-    fleet.start_count()
+def measure_total_failure(fleet: Fleet) -> None:
+    """Silence every target and remove a third of the routers at once."""
+    fleet.reset_counters()
     fleet.silent_targets.update(fleet.target_names)
     for address in list(fleet.nodes)[::3]:
         del fleet.nodes[address]
     fleet.run(fleet.now_s + 60.0)
-    held = sum(len(node.core.targets(fleet.now_s)) for node in fleet.nodes.values())
+    remaining = sum(len(node.core.targets(fleet.now_s)) for node in fleet.nodes.values())
     live = [len(node.core.routers()) for node in fleet.nodes.values()]
-    print(f"  everything fails: {fleet.bytes_line()}")
-    print(f"  {fleet.kinds_line()}")
+    print(f"  everything fails: {fleet.format_bytes()}")
+    print(f"  {fleet.format_kinds()}")
     print(
-        f"  targets still held {held}; routers held alive {min(live)} to {max(live)}"
+        f"  targets still held {remaining}; routers held alive {min(live)} to {max(live)}"
         f" of {len(fleet.nodes)}"
     )
 
@@ -323,26 +323,26 @@
 ) -> None:
     """Run one fleet through steady state, leaves and a general failure.
 
-    :param routers: how many routers
-    :param targets: how many targets
-    :param domains: over how many failure domains they are spread
-    :param loss: the share of datagrams that are lost
-    :param seed: the seed of all choices
-    :param settle_s: simulated seconds before measuring
+    :param routers: number of routers
+    :param targets: number of targets
+    :param domains: number of failure domains over which they are spread
+    :param loss: share of datagrams that are lost
+    :param seed: seed of all random choices
+    :param settle_s: simulated seconds before the measurement
     :param measure_s: simulated seconds of the steady state
-    :param leaving: how many targets leave, one after the other
-    :param fail: whether everything fails at the end
-    :param near: whether all failure domains are near ones of each other
-    :param bytes_per_s: the budget of each router
+    :param leaving: number of targets that leave, one after the other
+    :param fail: whether to end with a general failure
+    :param near: whether all failure domains are near each other
+    :param bytes_per_s: control traffic budget of each router
     """
     print(f"{routers} routers, {targets} targets, {domains} domains, loss {loss}, seed {seed}")
     parameters = MembershipParameters(control_bytes_per_s=bytes_per_s)
     fleet = Fleet(routers, targets, domains, seed, Conditions(loss=loss), parameters, near)
-    steady(fleet, settle_s, measure_s)
+    measure_steady_state(fleet, settle_s, measure_s)
     if leaving:
-        leaves(fleet, leaving)
+        measure_leaves(fleet, leaving)
     if fail:
-        everything_fails(fleet)
+        measure_total_failure(fleet)
 
 
 if __name__ == "__main__":
--- a/benchmarks/control_restart.py
+++ b/benchmarks/control_restart.py
@@ -1,11 +1,11 @@
-"""Kill -9 every replica and router after many changes, and measure the restart.
+"""Kill every replica and router with SIGKILL after many changes and measure the restart.
 
     .venv/bin/python -m benchmarks.control_restart [--changes 1000] [--routers 8]
 
-Real processes: three `damaskwindd control`, and routers that keep their revision
-in a file. After the restart every confirmation that an operator was told of must
-be on each replica, in order, with a sound trail; no router may have gone back.
-The program ends non-zero otherwise.
+It runs real processes: three `damaskwindd control` and routers that store their
+revision in a file. After the restart each replica must have every confirmation that
+was acknowledged to an operator, in order and with a valid audit trail, and no router
+may have gone back to an older revision. The exit code is non-zero otherwise.
 """
 
 import argparse
@@ -22,7 +22,7 @@
 
 
 async def measure(changes: int, router_count: int, folder: Path) -> int:
-    """Make the changes, kill everything, restart, compare; return the exit code."""
+    """Make the changes, kill and restart everything, check; return the exit code."""
 
     from damaskwind.commands.tests.fault_cluster import REPLICAS, FaultCluster
     from damaskwind.standins.harness import wait_until
@@ -37,13 +37,15 @@
             await cluster.add_viewer(REPLICAS[number % 3], f"viewer-{number}")
             durations_s.append(read_clock() - started_s)
         last = cluster.confirmed[-1].revision
-        behind_s = await cluster.wait_in_force(routers, last)
-        cuts = quantiles(durations_s, n=100)
+        propagation_s = await cluster.wait_in_force(routers, last)
+        percentiles = quantiles(durations_s, n=100)
         print(
             f"{changes} changes planned and confirmed, one at a time, through each replica in turn:"
         )
-        print(f"  each p50 {cuts[49] * 1000:.0f} ms, p99 {cuts[98] * 1000:.0f} ms")
-        print(f"  the last one in force on {router_count} routers after another {behind_s:.2f} s")
+        print(f"  each p50 {percentiles[49] * 1000:.0f} ms, p99 {percentiles[98] * 1000:.0f} ms")
+        print(
+            f"  the last one in force on {router_count} routers after another {propagation_s:.2f} s"
+        )
         await cluster.kill(*REPLICAS, *routers)
         started_s = read_clock()
         await cluster.restart(*REPLICAS, *routers)
@@ -53,8 +55,8 @@
         await cluster.wait_in_force(routers, last)
         in_force_s = read_clock() - started_s
         faults = await cluster.find_faults()
-        after = await cluster.add_viewer_anywhere(REPLICAS, "after-the-restart")
-        await cluster.wait_in_force(routers, after.revision)
+        final = await cluster.add_viewer_anywhere(REPLICAS, "after-the-restart")
+        await cluster.wait_in_force(routers, final.revision)
         faults += await cluster.find_faults()
         print(f"kill -9 of {len(REPLICAS) + router_count} processes and restart at once:")
         print(f"  all started after {ready_s:.1f} s, a leader after {leader_s:.1f} s")
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,9 +1,9 @@
-"""Measure what leased shares of account limits cost a router in bytes.
+"""Measure the bytes that leased shares of account limits cost a router.
 
-Run `.venv/bin/python benchmarks/limits.py`. A simulated failure domain with real
-limiters and allocators exchanges encoded messages; both directions of each
-router are counted, with `DATAGRAM_BYTES` for IP, UDP and the carrier's own
-header. Larger fleets follow from the same run with longer leases.
+Run `.venv/bin/python benchmarks/limits.py`. The limiters and allocators of a simulated
+failure domain exchange encoded messages. The bytes of each router are counted in both
+directions, with `DATAGRAM_BYTES` for the headers of IP, UDP and the gossip datagram.
+Larger fleets follow from the same run with longer leases.
 """
 
 import time
@@ -39,7 +39,7 @@
         limits = {
             f"account-{number:04d}": AccountLimit(units, tokens_per_s) for number in range(accounts)
         }
-        self.known = {"domain-1": names}
+        self.routers_by_domain = {"domain-1": names}
         self.policy = policy
         self.accounts = list(limits)
         self.random = Random(1)
@@ -54,7 +54,7 @@
         self.false_refused = 0
         self.unit_limit, self.token_limit = units, tokens_per_s
         self.in_use = dict.fromkeys(limits, 0)
-        self.lately = {account: deque() for account in limits}
+        self.recent = {account: deque() for account in limits}
         self.codec = LimitsCodec()
         self.codec.set_names(limits, ["domain-1"])
         self.limiters = {
@@ -63,11 +63,11 @@
         self.allocators = {
             name: ShareAllocator(name, "domain-1", policy, 0.0, is_alone=True) for name in names
         }
-        for part in (*self.limiters.values(), *self.allocators.values()):
-            part.set_limits(limits, ["domain-1"])
+        for table in (*self.limiters.values(), *self.allocators.values()):
+            table.set_limits(limits, ["domain-1"])
 
-    def count(self, source: str, target: str, payload: bytes) -> None:
-        """Count a message at both ends."""
+    def count_message(self, source: str, target: str, payload: bytes) -> None:
+        """Count the bytes of a message at its sender and its receiver."""
         size_bytes = len(payload) + DATAGRAM_BYTES
         self.largest_bytes = max(self.largest_bytes, size_bytes)
         self.datagrams += 1
@@ -75,38 +75,38 @@
         self.bytes[target] += size_bytes
 
     def report(self, source: str, target: str, report: DemandReport, now_s: float) -> None:
-        """Carry a report and its grant, unless they stay in the process."""
+        """Deliver a report and its grant; encode and count them unless they are local."""
         if source != target:
             payload = self.codec.encode_report(report, target)
-            self.count(source, target, payload)
+            self.count_message(source, target, payload)
             report = self.codec.decode_report(source, target, payload)
         grant = self.allocators[target].handle_report(report, now_s)
         if source != target:
             payload = self.codec.encode_grant(grant)
-            self.count(target, source, payload)
+            self.count_message(target, source, payload)
             grant = self.codec.decode_grant(target, payload)
         for router_id, recall in self.allocators[target].pop_recalls():
             if router_id != target:
-                self.count(target, router_id, self.codec.encode_grant(recall))
+                self.count_message(target, router_id, self.codec.encode_grant(recall))
             self.limiters[router_id].apply_grant(recall, now_s)
         self.limiters[source].apply_grant(grant, now_s)
         self.woken.add(source)
 
     def is_under_limit(self, account: str, now_s: float) -> bool:
-        """Tell whether all routers together used less than the account may."""
-        lately = self.lately[account]
-        while lately and lately[0] < now_s - RATE_WINDOW_S:
-            lately.popleft()
-        rate = (len(lately) + 1) * TOKENS / RATE_WINDOW_S
+        """Return whether all routers together are below the limits of the account."""
+        recent = self.recent[account]
+        while recent and recent[0] < now_s - RATE_WINDOW_S:
+            recent.popleft()
+        rate = (len(recent) + 1) * TOKENS / RATE_WINDOW_S
         return self.in_use[account] < self.unit_limit and rate <= self.token_limit
 
     def attempt(self, name: str, account: str, now_s: float, until_s: float | None) -> None:
-        """Let a request in, or have it wait."""
+        """Admit a request, queue it or refuse it."""
         decision = self.limiters[name].admit(account, TOKENS, now_s, until_s)
         if decision.outcome == LimitOutcome.ADMITTED:
             self.admitted += 1
             self.in_use[account] += 1
-            self.lately[account].append(now_s)
+            self.recent[account].append(now_s)
             self.running[name].append((now_s + DURATION_S, account))
         elif decision.outcome == LimitOutcome.WAIT:
             item = (name, account, decision.wait_until_s)
@@ -116,18 +116,18 @@
             self.false_refused += self.is_under_limit(account, now_s)
 
     def step(self, now_s: float, requests_per_s: float) -> None:
-        """Let requests come and go, and carry the messages that are due."""
+        """Start and end requests and deliver the messages that are due."""
         waiting, self.waiting = self.waiting, []
         woken, self.woken = self.woken, set()
-        for try_again_s, item in waiting:
-            if try_again_s <= now_s or item[0] in woken:
+        for retry_at_s, item in waiting:
+            if retry_at_s <= now_s or item[0] in woken:
                 self.attempt(item[0], item[1], now_s, item[2])
             else:
-                self.waiting.append((try_again_s, item))
+                self.waiting.append((retry_at_s, item))
         for name, limiter in self.limiters.items():
             due = requests_per_s * STEP_S
-            count = int(due) + (self.random.random() < due % 1)
-            for _ in range(count):
+            count_message = int(due) + (self.random.random() < due % 1)
+            for _ in range(count_message):
                 self.attempt(name, self.random.choice(self.accounts), now_s, None)
             ended = [account for at_s, account in self.running[name] if at_s <= now_s]
             self.running[name] = [item for item in self.running[name] if item[0] > now_s]
@@ -136,7 +136,7 @@
             for account in ended:
                 self.in_use[account] -= 1
                 limiter.release(account, TOKENS, TOKENS, now_s)
-            for target, report in limiter.reports(self.known, now_s):
+            for target, report in limiter.reports(self.routers_by_domain, now_s):
                 self.report(name, target, report, now_s)
 
 
@@ -148,7 +148,7 @@
     policy: LimitPolicy,
     requests_per_s: float,
 ) -> None:
-    """Run one domain and print the bytes a second of its routers."""
+    """Run one domain and print the bytes per second of its routers."""
     domain = Domain(routers, accounts, units, tokens_per_s, policy)
     now_s = 0.0
     while now_s < max(SETTLE_S, policy.lease_s):
@@ -177,7 +177,7 @@
 
 
 def main() -> None:
-    """Print the figures of today's size and of the size to grow to."""
+    """Print the figures of the present size and of the target size."""
     today = LimitPolicy()
     measure(3, 10, 60, 30_000, today, 10.0)
     measure(8, 10, 160, 80_000, today, 10.0)
--- a/benchmarks/log_price.py
+++ b/benchmarks/log_price.py
@@ -1,7 +1,7 @@
-"""Measure what one log line of a request costs a router: processor time and bytes.
+"""Measure the cost of one log line per request at a router: processor time and bytes.
 
-`python -m benchmarks.log_price --lines 20000` writes lines of the size that a
-request's end has, as a router does, and prints the mean of each.
+`python -m benchmarks.log_price --lines 20000` writes lines like those that a router
+writes at the end of a request, and prints the mean time and the size of a line.
 """
 
 import os
@@ -21,7 +21,7 @@
 
 
 def write_line(number: int) -> None:
-    """Write the line of one request."""
+    """Write the log line at the end of one request."""
     logger.info(
         "request ended",
         request=f"{number:016x}",
@@ -42,26 +42,26 @@
 
 
 def main(*, lines: int = 20_000) -> None:
-    """Print the price of a line.
+    """Print the cost of a line.
 
-    :param lines: how many to write
+    :param lines: number of lines to write
     """
-    shown = os.dup(1)
+    stdout_copy = os.dup(1)
     sink = os.open(os.devnull, os.O_WRONLY)
     os.dup2(sink, 1)
     writer = log_to_stdout("INFO", "bench")
-    begun_s = time.process_time()
+    started_s = time.process_time()
     for number in range(lines):
         write_line(number)
-    spent_s = time.process_time() - begun_s
+    cpu_s = time.process_time() - started_s
     writer.write(b"")
     size_bytes = _line_bytes()
-    os.dup2(shown, 1)
-    print(f"{1e6 * spent_s / lines:.1f} us and {size_bytes} bytes a line, {lines} lines")
+    os.dup2(stdout_copy, 1)
+    print(f"{1e6 * cpu_s / lines:.1f} us and {size_bytes} bytes a line, {lines} lines")
 
 
 def _line_bytes() -> int:
-    """Return the size of one line."""
+    """Return the size of one line in bytes."""
     reader, descriptor = os.pipe()
     os.dup2(descriptor, 1)
     write_line(1)
--- a/benchmarks/path_caller.py
+++ b/benchmarks/path_caller.py
@@ -1,11 +1,11 @@
-"""A cheap caller for `router_path.py`: raw connections, nothing parsed but the end."""
+"""A cheap load generator for `router_path.py`: raw connections with minimal parsing."""
 
 import json
 from typing import Any
 
 from twisted.internet.protocol import Factory, Protocol
 
-__all__ = ["Load"]
+__all__ = ["LoadGenerator"]
 
 OPEN_INTERVAL_S = 0.004
 _TOKEN = b'"content":'
@@ -13,27 +13,27 @@
 
 
 class _Caller(Protocol):
-    """One connection that asks again and again, or holds one stream."""
+    """One connection that sends requests sequentially or holds one stream open."""
 
-    def __init__(self, load: "Load") -> None:
+    def __init__(self, load: "LoadGenerator") -> None:
         self._load = load
         self._received = b""
         self._sent_s = 0.0
         self.tokens = 0
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Ask the first time."""
+        """Send the first request."""
         self.transport.setTcpNoDelay(True)
-        self._ask()
+        self._send_request()
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         """Send one request."""
         self._sent_s = self._load.reactor.seconds()
         self._received = b""
         self.transport.write(self._load.request)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Count tokens, or wait for the end of a whole answer."""
+        """Count the tokens of a stream, or wait for the end of a whole answer."""
         if self._load.is_stream:
             self.tokens += data.count(_TOKEN)
             return
@@ -44,12 +44,12 @@
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0)
         ended = len(body) >= length if length else body.endswith(b"0\r\n\r\n")
         if ended:
-            self._load.answered(head.startswith(b"HTTP/1.1 200"), self._sent_s)
-            self._ask()
+            self._load.record_answer(head.startswith(b"HTTP/1.1 200"), self._sent_s)
+            self._send_request()
 
 
-class Load:
-    """A number of connections against one address."""
+class LoadGenerator:
+    """Generate load on one address over a number of connections."""
 
     def __init__(self, reactor: Any, host: str, port: int, key: str, body: dict) -> None:
         self.reactor = reactor
@@ -64,7 +64,7 @@
         self._errors = 0
 
     def start(self, kind: str, count: int, seconds: float) -> None:
-        """Open the connections and plan the end."""
+        """Open the connections and schedule the report."""
         self.is_stream = kind != "whole"
         body = json.dumps({**self._body, "stream": self.is_stream, "user": kind}).encode()
         head = (
@@ -73,7 +73,7 @@
             f"content-length: {len(body)}\r\n\r\n"
         )
         self.request = head.encode() + body
-        factory = Factory.forProtocol(self._make)
+        factory = Factory.forProtocol(self._make_caller)
         factory.noisy = False
         from twisted.internet.endpoints import TCP4ClientEndpoint
 
@@ -85,34 +85,34 @@
         else:
             self.reactor.callLater(seconds, self._report)
 
-    def _make(self) -> _Caller:
-        """Make one caller."""
+    def _make_caller(self) -> _Caller:
+        """Create one caller."""
         caller = _Caller(self)
         self._callers.append(caller)
         return caller
 
-    def answered(self, good: bool, sent_s: float) -> None:
-        """Count an answer."""
-        self._errors += not good
+    def record_answer(self, is_ok: bool, sent_s: float) -> None:
+        """Record an answer and its latency."""
+        self._errors += not is_ok
         self._latencies_s.append(self.reactor.seconds() - sent_s)
 
     def _check_open(self, count: int) -> None:
-        """Report once every stream has begun, and hold on."""
+        """Report once every stream has begun, and keep the streams open."""
         if sum(caller.tokens > 0 for caller in self._callers) < count:
             self.reactor.callLater(0.1, self._check_open, count)
             return
         print(json.dumps({"open": count}), flush=True)
 
     def _report(self) -> None:
-        """Print the counts and end."""
+        """Print the counts and stop the reactor."""
         latencies = sorted(self._latencies_s) or [0.0]
-        counted = {
+        results = {
             "tokens": sum(caller.tokens for caller in self._callers),
             "requests": len(self._latencies_s),
             "errors": self._errors,
         }
         for name in (50, 95, 99):
             index = min(len(latencies) - 1, len(latencies) * name // 100)
-            counted[f"p{name}_ms"] = latencies[index] * 1000
-        print(json.dumps(counted), flush=True)
+            results[f"p{name}_ms"] = latencies[index] * 1000
+        print(json.dumps(results), flush=True)
         self.reactor.stop()
--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -1,10 +1,10 @@
-"""Measure placement policies over many routers and engines, decisions alone.
+"""Measure placement policies over many routers and engines, without any I/O.
 
-A seeded event loop drives the real placers. An engine is a few lines: a queue of
-prompt tokens, a fixed pace per running answer, and an LRU cache of chat prefixes.
-Chats return after a pause on a random router; reports reach each router late or
-never; two accounts surge, one of them with a single chat key in parallel; engines
-leave, come back with an empty cache, or flap on some routers' lists only.
+A seeded event loop drives the real placers. An engine is modelled as a queue of prompt
+tokens, a fixed decode rate per running answer and an LRU cache of chat prefixes. Chats
+continue after a pause at a random router; reports reach each router late or never; two
+accounts surge, one of them with parallel requests of a single chat key; engines leave,
+return with an empty cache, or flap on the lists of some routers only.
 
     .venv/bin/python -m benchmarks.placement_scale --policies bounded_rendezvous,rendezvous
 """
@@ -20,8 +20,8 @@
 from typing import Any
 
 from benchmarks.placement_engines import (
+    DECODE_TOKENS_PER_S,
     DOMAIN,
-    PACE_TOKENS_PER_S,
     POOL,
     Chat,
     Engine,
@@ -59,7 +59,7 @@
         self.order = count()
         self.now_s = 0.0
         self.engines = {f"engine-{i:04}": Engine(f"engine-{i:04}") for i in range(setting.engines)}
-        self.mean_true = (0.0, -1.0)
+        self.true_mean = (0.0, -1.0)
         self.placers = [self._placer(i) for i in range(setting.routers)]
         self.accounts = [1.0 / (1 + i) ** 0.5 for i in range(ACCOUNTS)]
         self.counts: Counter[str] = Counter()
@@ -68,7 +68,7 @@
         self.place_s: deque[float] = deque(maxlen=100_000)
 
     def _placer(self, number: int) -> Placer:
-        """Make one router's placer that knows every engine."""
+        """Create the placer of one router with every engine in its list."""
         policy = "rendezvous" if self.setting.policy == ORACLE else self.setting.policy
         domains = [f"d{i}" for i in range(self.setting.domains)]
         near = domains if self.setting.near else ()
@@ -80,40 +80,42 @@
         return placer
 
     def view(self, name: str) -> TargetView:
-        """Return what a router knows of an engine that serves."""
+        """Return a router's view of a serving engine."""
         domain = f"d{int(name[-4:]) % self.setting.domains}"
         return engine_view(name, TargetState.SERVING)._replace(failure_domain=domain)
 
     def at(self, when_s: float, action: Callable[..., None], *arguments: Any) -> None:
-        """Run an action at a time."""
+        """Schedule an action at a time."""
         heapq.heappush(self.events, (when_s, next(self.order), action, arguments))
 
     def run(self) -> None:
         """Run to the end of the setting."""
-        self._plan()
+        self._schedule_initial_events()
         while self.events and self.events[0][0] <= self.setting.seconds:
             self.now_s, _, action, arguments = heapq.heappop(self.events)
             action(*arguments)
 
-    def _plan(self) -> None:
-        """Lay out the arrivals, reports, gossip, samples, churn and surge."""
+    def _schedule_initial_events(self) -> None:
+        """Schedule the first arrivals, reports, gossip, samples, churn and surge."""
         rate = self.setting.requests_per_s_per_engine * self.setting.engines / MEAN_TURNS
         self.at(0.0, self.new_chat, rate, None)
         for engine in self.engines.values():
             self.at(self.random.random() * PUBLISH_EVERY_S, self.report, engine)
         self.at(GOSSIP_EVERY_S, self.gossip)
         self.at(self.setting.warm_up_s, self.sample)
-        calm_s = self.setting.seconds - self.setting.warm_up_s
+        measured_s = self.setting.seconds - self.setting.warm_up_s
         if self.setting.surge:
-            start_s = self.setting.warm_up_s + calm_s / 3
+            start_s = self.setting.warm_up_s + measured_s / 3
             share = sum(self.accounts[10:12]) / sum(self.accounts)
-            self.at(start_s, self.new_chat, rate * share * (SURGE_FACTOR - 1), start_s + calm_s / 3)
-            self.at(start_s, self.burst, start_s + calm_s / 3, rate * share)
+            self.at(
+                start_s, self.new_chat, rate * share * (SURGE_FACTOR - 1), start_s + measured_s / 3
+            )
+            self.at(start_s, self.burst, start_s + measured_s / 3, rate * share)
         if self.setting.churn:
             self.at(self.setting.warm_up_s / 2, self.churn)
 
     def new_chat(self, rate: float, until_s: float | None) -> None:
-        """Open a chat now and the next one after an exponential gap."""
+        """Start a chat now and schedule the next one after an exponential gap."""
         if until_s is not None and self.now_s > until_s:
             return
         self.at(self.now_s + self.random.expovariate(rate), self.new_chat, rate, until_s)
@@ -122,17 +124,17 @@
         else:
             account = self.random.choice((10, 11))
         turns = 1 + int(self.random.expovariate(1 / (MEAN_TURNS - 0.5)))
-        self.turn(Chat(account, f"chat-{next(self.order)}", turns))
+        self.send_turn(Chat(account, f"chat-{next(self.order)}", turns))
 
     def burst(self, until_s: float, rate: float) -> None:
         """Send single requests that all share one chat key."""
         if self.now_s > until_s:
             return
         self.at(self.now_s + self.random.expovariate(rate), self.burst, until_s, rate)
-        self.turn(Chat(11, "batch-key", 1), next(self.order))
+        self.send_turn(Chat(11, "batch-key", 1), next(self.order))
 
-    def turn(self, chat: Chat, tail: int = 0, excluded: frozenset[str] = frozenset()) -> None:
-        """Let a chat ask its next question through a random router."""
+    def send_turn(self, chat: Chat, tail: int = 0, excluded: frozenset[str] = frozenset()) -> None:
+        """Send the next request of a chat through a random router."""
         router = self.random.randrange(self.setting.routers)
         prompt_tokens = (chat.history_tokens or SYSTEM_TOKENS) + TURN_TOKENS
         new_tokens = TURN_TOKENS if chat.turns_done else prompt_tokens
@@ -140,50 +142,50 @@
         target_id = self._choose(chat, router, need_tokens, tail, excluded)
         if target_id is None:
             self.counts["queued"] += 1
-            self.at(self.now_s + 0.2, self.turn, chat, tail)
+            self.at(self.now_s + 0.2, self.send_turn, chat, tail)
             return
         engine = self.engines[target_id]
         if not engine.alive:
             self.counts["retried"] += 1
-            self.turn(chat, tail, excluded | {target_id})
+            self.send_turn(chat, tail, excluded | {target_id})
             return
         self._serve(chat, engine, router, prompt_tokens, need_tokens)
 
     def _choose(
         self, chat: Chat, router: int, need_tokens: int, tail: int, excluded: frozenset[str]
     ) -> str | None:
-        """Ask the router's placer, or the all-knowing one."""
+        """Place a request by the router's placer or by the oracle."""
         if self.setting.policy == ORACLE:
             return self._choose_all_knowing(chat)
         query = PlacementQuery(
             chat.digest, (f"{chat.key}-{tail}",), str(chat.account), need_tokens, DOMAIN, POOL
         )
         query = query._replace(excluded=excluded, is_new=chat.turns_done == 0)
-        begun_s = time.perf_counter()
+        started_s = time.perf_counter()
         choice = self.placers[router].place(query, self.now_s)
-        self.place_s.append(time.perf_counter() - begun_s)
+        self.place_s.append(time.perf_counter() - started_s)
         if self.now_s > self.setting.warm_up_s:
             self.counts[f"reason {choice.reason}"] += 1
         return choice.target_id
 
     def _choose_all_knowing(self, chat: Chat) -> str:
-        """Take the longest cached prefix under the true bound, else the least loaded."""
+        """Choose the longest cached prefix under the true load bound, else the least loaded."""
         alive = [engine for engine in self.engines.values() if engine.alive]
-        if self.now_s - self.mean_true[1] > 0.1:
+        if self.now_s - self.true_mean[1] > 0.1:
             mean = fmean(engine.load_at(self.now_s) for engine in alive)
-            self.mean_true = (mean, self.now_s)
-        bound = LOAD_FACTOR * self.mean_true[0]
+            self.true_mean = (mean, self.now_s)
+        bound = LOAD_FACTOR * self.true_mean[0]
         holders = [engine for engine in alive if chat.digest in engine.cache]
         under = [engine for engine in holders if engine.load_at(self.now_s) <= bound]
         if under:
-            return max(under, key=lambda engine: engine.reuse(chat)).name
+            return max(under, key=lambda engine: engine.cached_prefix_tokens(chat)).name
         return min(alive, key=lambda engine: engine.load_at(self.now_s)).name
 
     def _serve(self, chat: Chat, engine: Engine, router: int, prompt: int, need: int) -> None:
-        """Start a request at an engine and plan its first token and its end."""
+        """Start a request at an engine and schedule its first token."""
         request_id = str(next(self.order))
         self.placers[router].started(request_id, engine.name, chat.digest, need, self.now_s)
-        reused = min(engine.reuse(chat), prompt)
+        reused = min(engine.cached_prefix_tokens(chat), prompt)
         if self.now_s > self.setting.warm_up_s:
             self.counts["reused"] += reused
             self.counts["prompt"] += prompt
@@ -199,21 +201,21 @@
         self.at(engine.prefill_free_s, self.first_token, *arguments)
 
     def first_token(self, *arguments: Any) -> None:
-        """End the prompt, start the answer, and tell the router the published load."""
+        """End the prefill, start the answer, report the published load and schedule the end."""
         _, engine, epoch, router, _, uncached, answer = arguments
         if epoch == engine.epoch:
             engine.load_at(self.now_s)
             engine.load_tokens -= uncached
             engine.running += 1
             self.answered(router, engine)
-        self.at(self.now_s + answer / PACE_TOKENS_PER_S, self.end, *arguments)
+        self.at(self.now_s + answer / DECODE_TOKENS_PER_S, self.end, *arguments)
 
     def answered(self, router: int, engine: Engine) -> None:
-        """Tell a router the load that rides on an answer."""
+        """Report the load carried by an answer to its router."""
         self.placers[router].observe_report(engine.name, engine_report(engine, 0.0), self.now_s)
 
     def end(self, *arguments: Any) -> None:
-        """End an answer; the chat returns after a pause."""
+        """End an answer; the chat continues after a pause."""
         chat, engine, epoch, router, request_id, _, answer = arguments
         self.placers[router].finished(request_id, epoch == engine.epoch, self.now_s)
         if epoch == engine.epoch:
@@ -224,10 +226,10 @@
         chat.turns_done += 1
         chat.turns_left -= 1
         if chat.turns_left > 0:
-            self.at(self.now_s + self.random.expovariate(1 / MEAN_PAUSE_S), self.turn, chat)
+            self.at(self.now_s + self.random.expovariate(1 / MEAN_PAUSE_S), self.send_turn, chat)
 
     def report(self, engine: Engine) -> None:
-        """Publish an engine's load and let it reach the routers late or never."""
+        """Publish an engine's load; the report reaches the routers late or never."""
         self.at(self.now_s + PUBLISH_EVERY_S, self.report, engine)
         if not engine.alive:
             return
@@ -239,65 +241,67 @@
         for number in range(DELAY_CLASSES):
             delay_s = self.random.uniform(0.05, 1.0)
             if self.random.random() > 0.05:
-                self.at(self.now_s + delay_s, self.hear, engine.name, report, delay_s, number)
+                self.at(
+                    self.now_s + delay_s, self.deliver_report, engine.name, report, delay_s, number
+                )
 
-    def hear(self, name: str, report: LoadReport, delay_s: float, number: int) -> None:
+    def deliver_report(self, name: str, report: LoadReport, delay_s: float, number: int) -> None:
         """Deliver a report to one class of routers."""
         aged = report._replace(age_s=delay_s)
         for placer in self.placers[number::DELAY_CLASSES]:
             placer.observe_report(name, aged, self.now_s)
 
     def gossip(self) -> None:
-        """Pass every router's notes to every other one, half a second late."""
+        """Send every router's spill notes to all others with a delay of half a second."""
         self.at(self.now_s + GOSSIP_EVERY_S, self.gossip)
         for number, placer in enumerate(self.placers):
             notes = placer.pop_spill_notes(self.now_s)
             if self.now_s > self.setting.warm_up_s:
                 self.counts["notes"] += len(notes)
             if notes and self.setting.notes:
-                self.at(self.now_s + GOSSIP_EVERY_S, self.hear_notes, number, notes)
+                self.at(self.now_s + GOSSIP_EVERY_S, self.deliver_notes, number, notes)
 
-    def hear_notes(self, sender: int, notes: Any) -> None:
-        """Deliver notes."""
+    def deliver_notes(self, sender: int, notes: Any) -> None:
+        """Deliver spill notes to every router except their sender."""
         for number, placer in enumerate(self.placers):
             if number != sender:
                 for note in notes:
                     placer.observe_spill_note(note, self.now_s)
 
     def churn(self) -> None:
-        """Stop one engine for a while, and let another one flap on some routers' lists."""
+        """Stop one engine for a while and flap another one on half of the routers' lists."""
         period_s = 2000.0 / self.setting.engines
         self.at(self.now_s + period_s, self.churn)
         leaver, flapper = self.random.sample(list(self.engines.values()), 2)
         if leaver.alive:
             leaver.alive = False
             leaver.restart(self.now_s)
-            self.tell_all(leaver.name, TargetState.LAPSED)
+            self.announce_state(leaver.name, TargetState.LAPSED)
             self.at(self.now_s + 15.0, self.come_back, leaver)
         for placer in self.random.sample(self.placers, (len(self.placers) + 1) // 2):
-            self.tell(placer, flapper.name, TargetState.LAPSED)
-            self.at(self.now_s + 5.0, self.tell, placer, flapper.name, TargetState.SERVING)
+            self.set_state(placer, flapper.name, TargetState.LAPSED)
+            self.at(self.now_s + 5.0, self.set_state, placer, flapper.name, TargetState.SERVING)
 
     def come_back(self, engine: Engine) -> None:
-        """Start an engine again, with an empty cache."""
+        """Restart an engine with an empty cache."""
         engine.alive = True
-        engine.as_of_s = self.now_s
-        self.tell_all(engine.name, TargetState.SERVING)
+        engine.updated_s = self.now_s
+        self.announce_state(engine.name, TargetState.SERVING)
 
-    def tell_all(self, name: str, state: TargetState) -> None:
-        """Let each router learn of a target's state at its own time."""
+    def announce_state(self, name: str, state: TargetState) -> None:
+        """Deliver a target's state to each router after a random delay."""
         for placer in self.placers:
-            self.at(self.now_s + self.random.uniform(0.0, 2.0), self.tell, placer, name, state)
+            self.at(self.now_s + self.random.uniform(0.0, 2.0), self.set_state, placer, name, state)
 
-    def tell(self, placer: Placer, name: str, state: TargetState) -> None:
-        """Change one router's list; a target that left is forgotten."""
+    def set_state(self, placer: Placer, name: str, state: TargetState) -> None:
+        """Update one router's list; a target that is not serving is removed."""
         if state is TargetState.SERVING:
             placer.update_target(self.view(name), self.now_s)
         else:
             placer.remove_target(name)
 
     def sample(self) -> None:
-        """Note the true skew, and the estimates' errors at one router."""
+        """Record the true skew and the estimation errors at one router."""
         self.at(self.now_s + 1.0, self.sample)
         alive = [engine for engine in self.engines.values() if engine.alive]
         loads = sorted(engine.load_at(self.now_s) for engine in alive)
@@ -316,12 +320,12 @@
 
 def run(setting: Setting) -> Fleet:
     """Run one setting and print its figures."""
-    begun_s = time.perf_counter()
+    started_s = time.perf_counter()
     fleet = Fleet(setting)
     fleet.run()
     print(" ".join(f"{name}={value}" for name, value in setting._asdict().items()))
     found = figures(setting, fleet.counts, fleet.samples, fleet.errors, fleet.place_s)
-    found["wall s"] = f"{time.perf_counter() - begun_s:.0f}"
+    found["wall s"] = f"{time.perf_counter() - started_s:.0f}"
     print("    " + "; ".join(f"{name} {value}" for name, value in found.items()))
     reasons = {key: value for key, value in fleet.counts.items() if key.startswith("reason")}
     total = max(1, sum(reasons.values()))
@@ -331,7 +335,7 @@
 
 
 def main() -> None:
-    """Read the arguments, run each policy."""
+    """Parse the command line and run each policy."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--policies", default=f"{ORACLE},{','.join(sorted(PLACEMENT_POLICIES))}")
     parser.add_argument("--routers", default="50")
--- a/benchmarks/router_path.py
+++ b/benchmarks/router_path.py
@@ -1,10 +1,10 @@
-"""Measure the router's data path beside bare klein and treq in the same run.
+"""Measure the router's data path next to bare klein and treq in the same run.
 
     .venv/bin/python benchmarks/router_path.py [--seconds 5] [--streams 100]
 
-Each role runs in a process of its own. Rates per core are counts divided by the
-processor time that the measured process itself used, so that a busy machine
-widens the spread but does not change what is measured.
+Each role runs in a separate process. Rates per core are counts divided by the processor
+time of the measured process, so that a busy machine widens the spread of the figures
+but does not bias them.
 """
 
 import argparse
@@ -23,18 +23,18 @@
 
 
 class Server(NamedTuple):
-    """A process that listens."""
+    """A process that listens on an address."""
 
     process: subprocess.Popen
     address: str
 
     def cpu_s(self) -> float:
-        """Return the processor time used so far."""
+        """Return the processor time used so far in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def resident_mb(self) -> float:
-        """Return the resident memory."""
+        """Return the resident memory in megabytes."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * 4096 / BYTES_PER_MB
 
@@ -42,7 +42,7 @@
 def start(role: str, *arguments: str) -> Server:
     """Start a role and read the address that it prints."""
     command = [sys.executable, __file__, "--role", role, *arguments]
-    # The bare relay knows nothing of callers that leave and logs each of them.
+    # The bare relay does not handle callers that disconnect and logs an error for each.
     errors = subprocess.DEVNULL if role == "bare" else None
     process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=errors, text=True)
     line = process.stdout.readline()
@@ -52,47 +52,47 @@
 
 
 def drive(address: str, kind: str, count: int, seconds: float) -> dict:
-    """Run a caller against an address and return what it counted."""
+    """Run a caller against an address and return its results."""
     command = [sys.executable, __file__, "--role", "caller", address, kind, str(count)]
     command.append(str(seconds))
-    done = subprocess.run(command, capture_output=True, text=True, timeout=seconds + 60)
-    if done.returncode:
-        raise RuntimeError(done.stderr[-2000:])
-    return json.loads(done.stdout)
+    result = subprocess.run(command, capture_output=True, text=True, timeout=seconds + 60)
+    if result.returncode:
+        raise RuntimeError(result.stderr[-2000:])
+    return json.loads(result.stdout)
 
 
 def measure_streams(server: Server, streams: int, seconds: float) -> str:
-    """Relay streams and return tokens a second of one core."""
+    """Relay streams and format the tokens per second of one core."""
     before_s = server.cpu_s()
-    counted = drive(server.address, "stream", streams, seconds)
+    results = drive(server.address, "stream", streams, seconds)
     used_s = server.cpu_s() - before_s
-    per_core = counted["tokens"] / used_s
+    per_core = results["tokens"] / used_s
     return (
         f"{per_core:9.0f} tokens/s per core ({1e6 / per_core:.1f} us a token,"
-        f" {counted['tokens']} tokens, {used_s:.2f} s of processor time)"
+        f" {results['tokens']} tokens, {used_s:.2f} s of processor time)"
     )
 
 
 def measure_requests(server: Server, connections: int, seconds: float) -> str:
-    """Answer whole requests and return requests a second of one core."""
+    """Answer whole requests and format the requests per second of one core."""
     before_s = server.cpu_s()
-    counted = drive(server.address, "whole", connections, seconds)
+    results = drive(server.address, "whole", connections, seconds)
     used_s = server.cpu_s() - before_s
     return (
-        f"{counted['requests'] / used_s:9.0f} requests/s per core"
-        f" ({used_s / counted['requests'] * 1e6:.0f} us a request, {counted['errors']} errors)"
+        f"{results['requests'] / used_s:9.0f} requests/s per core"
+        f" ({used_s / results['requests'] * 1e6:.0f} us a request, {results['errors']} errors)"
     )
 
 
 def measure_latency(address: str, seconds: float) -> str:
-    """Ask one request after the other and return the latency."""
-    counted = drive(address, "whole", 1, seconds)
-    shown = [f"p{name} {counted[f'p{name}_ms']:.2f} ms" for name in (50, 95, 99)]
-    return ", ".join(shown)
+    """Send requests sequentially and format the latency percentiles."""
+    results = drive(address, "whole", 1, seconds)
+    percentiles = [f"p{name} {results[f'p{name}_ms']:.2f} ms" for name in (50, 95, 99)]
+    return ", ".join(percentiles)
 
 
 def measure_memory(server: Server, streams: int) -> str:
-    """Hold streams open and return the memory that they take."""
+    """Hold streams open and format the memory that they use."""
     idle_mb = server.resident_mb()
     command = [sys.executable, __file__, "--role", "caller", server.address, "hold", str(streams)]
     caller = subprocess.Popen([*command, "0"], stdout=subprocess.PIPE, text=True)
@@ -104,7 +104,7 @@
 
 
 def relay_bare(streams: int, seconds: float) -> str:
-    """Relay streams with klein and treq alone, on an engine of its own."""
+    """Relay streams with klein and treq alone, from a separate engine."""
     engine = start("engine")
     bare = start("bare", engine.address)
     try:
@@ -114,14 +114,14 @@
 
 
 def stop(servers: list[Server]) -> None:
-    """End processes and wait for them."""
+    """Terminate processes and wait for them."""
     for server in servers:
         server.process.terminate()
         server.process.wait()
 
 
 def run(seconds: float, streams: int) -> None:
-    """Start all roles, measure, and print."""
+    """Start all roles, run the measurements and print the figures."""
     with tempfile.TemporaryDirectory() as folder:
         engine = start("engine")
         settings = router_settings(Path(folder), engine.address)
@@ -145,7 +145,7 @@
 
 
 def main() -> None:
-    """Run a role, or the whole benchmark."""
+    """Run one role or the whole benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--role", choices=sorted(ROLES))
     parser.add_argument("--seconds", type=float, default=5.0)
