--- a/packages/commands/src/damaskwind/commands/operator_status.py
+++ b/packages/commands/src/damaskwind/commands/operator_status.py
@@ -91,7 +91,7 @@
             (name, item["revision"], item["lag"], item["age_s"])
             for name, item in sorted(status.routers.items())
         ]
-        parts.append(columns(("router", "in force", "lag", "told s ago"), rows))
+        parts.append(columns(("router", "in force", "lag", "reported s ago"), rows))
     newest = max(status.replicas.values(), key=lambda body: body["revision"], default={})
     if newest.get("changes"):
         rows = [
--- a/packages/commands/src/damaskwind/commands/tests/data_path_traffic.py
+++ b/packages/commands/src/damaskwind/commands/tests/data_path_traffic.py
@@ -127,7 +127,7 @@
             last = traffic.answers[-count:]
             return len(last) == count and all(self.is_complete_answer(*one) for one in last)
 
-        await wait_until(all_complete, 30, "whole answers again")
+        await wait_until(all_complete, 30, "complete answers again")
 
     async def wait_for_traffic(self, since_s, duration_s, traffic):
         """Wait until the duration has passed and enough answers have arrived."""
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control.py
@@ -20,8 +20,8 @@
 
     async def has_stepped_down(self, leader):
         """Return whether a replica reports neither to be current nor to lead."""
-        told = await self.cluster.replica_status(leader)
-        return not told["is_current"] and told["role"] != "leader"
+        status = await self.cluster.replica_status(leader)
+        return not status["is_current"] and status["role"] != "leader"
 
     @asyncio_test
     async def test_isolated_leader_stops_and_nothing_is_reverted(self):
@@ -58,7 +58,7 @@
         async def reports_it_may_be_behind():
             return (await cluster.router_state("stranded"))["may_be_behind"]
 
-        await wait_until(reports_it_may_be_behind, DEADLINE_S, "a stranded router that says so")
+        await wait_until(reports_it_may_be_behind, DEADLINE_S, "a stranded router that reports it")
         state = await cluster.router_state("stranded")
         self.assertEqual(state["revision_in_force"], before.revision)
 
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
@@ -57,8 +57,8 @@
         await cluster.start_router("outside", elsewhere)
         await wait_until(lambda: self.is_ready("inside"), DEADLINE_S, "a ready router")
         replica, others, known, unknown = await self.cut_off(domain)
-        told = await cluster.replica_status(replica)
-        self.assertLess(told["revision"], known.revision)
+        status = await cluster.replica_status(replica)
+        self.assertLess(status["revision"], known.revision)
         await wait_until(
             lambda: self.has_lost_majority(replica), DEADLINE_S, "a replica without a majority"
         )
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_answers.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_answers.py
@@ -92,7 +92,7 @@
         self.assertEqual(ids, {f"chatcmpl-{answer.request_id}".encode()})
         self.outcomes["stream whole"] += 1
 
-    async def whole(self, address, name):
+    async def chat(self, address, name):
         """Request a chat answer without streaming."""
         text = f"whole {name}"
         answer = await self.fleet.chat(address, text, SIZE_TOKENS, stream=False)
@@ -124,7 +124,7 @@
     async def caller(self, number, phase):
         """Send all kinds of requests in turn, alternating between the routers."""
         addresses = list(self.fleet.routers.values())
-        kinds = (self.stream, self.whole, self.service, self.large)
+        kinds = (self.stream, self.chat, self.service, self.large)
         for turn in range(ROUNDS):
             address = addresses[(number + turn) % len(addresses)]
             await kinds[(number // 2 + turn) % len(kinds)](address, f"{phase} {number}/{turn}")
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
@@ -21,15 +21,15 @@
 
 
 class DrainTest(FleetTestCase):
-    async def read_stream(self, stream, begun, texts):
+    async def read_stream(self, stream, started_streams, texts):
         """Read a stream to its end."""
         text = ""
         async for chunk in stream:
-            begun.add(id(stream))
+            started_streams.add(id(stream))
             text += "".join(choice.delta.content or "" for choice in chunk.choices)
         texts.append(text)
 
-    async def one_stream(self, client, number, begun, texts):
+    async def one_stream(self, client, number, started_streams, texts):
         """Start a stream and read it to its end."""
         stream = await client.chat.completions.create(
             model="damask",
@@ -37,18 +37,18 @@
             stream=True,
             max_tokens=STREAM_TOKENS,
         )
-        await self.read_stream(stream, begun, texts)
+        await self.read_stream(stream, started_streams, texts)
 
-    def probe(self, router, told):
+    def probe(self, router, statuses):
         """Check readiness like the platform's balancer, until the listener is closed.
 
         Runs in its own thread: on the event loop that reads two hundred streams, a check waited
         24.8 s on a busy machine, longer than the drain.
         """
-        while told[-1:] != [0]:
+        while statuses[-1:] != [0]:
             status = self.readiness(self.fleet.routers[router])
-            if told[-1:] != [status]:
-                told.append(status)
+            if statuses[-1:] != [status]:
+                statuses.append(status)
             sleep(PROBE_S)
 
     def readiness(self, address):
@@ -84,25 +84,25 @@
         engines = [{"target_id": f"engine-{number}", **fields} for number in range(4)]
         await fleet.start_targets("targets", engines, [])
         await fleet.wait_until_ready()
-        begun, texts, told = set(), [], []
+        started_streams, texts, statuses = set(), [], []
         client = self.client("router-1")
         streams = [
-            asyncio.ensure_future(self.one_stream(client, number, begun, texts))
+            asyncio.ensure_future(self.one_stream(client, number, started_streams, texts))
             for number in range(STREAMS)
         ]
         idle, idle_writer = await self.open_connection("router-1")
         busy, busy_writer = await self.open_connection("router-1")
         busy_writer.write(self.raw_chat("kept", STREAM_TOKENS))
-        await wait_until(lambda: len(begun) == STREAMS, 30, "two hundred begun streams")
+        await wait_until(lambda: len(started_streams) == STREAMS, 30, "two hundred started streams")
         await busy.readuntil(b"data: ")
         self.assertFalse(any(stream.done() for stream in streams))
 
         router = fleet.harness.processes["router-1"]
-        probing = asyncio.ensure_future(asyncio.to_thread(self.probe, "router-1", told))
-        await wait_until(lambda: told == [200], 10, "a first probe")
+        probing = asyncio.ensure_future(asyncio.to_thread(self.probe, "router-1", statuses))
+        await wait_until(lambda: statuses == [200], 10, "a first probe")
         router.send(signal.SIGTERM)
         await asyncio.wait_for(probing, 30)
-        self.assertEqual(told, [200, 503, 0], "readiness fails first, then the listener closes")
+        self.assertEqual(statuses, [200, 503, 0], "readiness fails first, then the listener closes")
         self.assertIsNone(router.exit_code)
         before = (await fleet.total_counts("events"))["run"]
         # Neither an idle connection nor one with an answer in progress may bring a new request.
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
@@ -48,17 +48,17 @@
         await fleet.harness.processes["doomed-process"].kill()
         fleet.remove_targets("doomed")
         answers = await asyncio.gather(*streams)
-        whole = [
+        are_complete = [
             self.is_complete_answer(text, answer, LONG_TOKENS)
             for text, answer in zip(texts, answers, strict=True)
         ]
-        cut = [
+        truncated = [
             answer
-            for is_complete_answer, answer in zip(whole, answers, strict=True)
+            for is_complete_answer, answer in zip(are_complete, answers, strict=True)
             if not is_complete_answer
         ]
-        self.assertTrue(cut)
-        for answer in cut:
+        self.assertTrue(truncated)
+        for answer in truncated:
             self.assertIn(b'"may-have-run"', answer.body)
             self.assertIn(answer.request_id, ran_by_doomed)
         await self.wait_for_complete_answers(traffic, 30)
--- a/packages/commands/src/damaskwind/commands/tests/test_operator.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator.py
@@ -80,11 +80,11 @@
 
     async def first_operator(self):
         done = await self.run_command("key", "--json")
-        fresh = json.loads(done.stdout)
-        plan_id = await self.planned(OPERATORS.format(fresh["key_hash"]))
+        new_key = json.loads(done.stdout)
+        plan_id = await self.planned(OPERATORS.format(new_key["key_hash"]))
         done = await self.run_command("confirm", plan_id)
         self.assertEqual((done.returncode, done.stderr), (ExitCode.OK, ""))
-        self.key = fresh["key"]
+        self.key = new_key["key"]
         for replica in self.fleet.replicas:
             replica.catch_up()
 
@@ -165,19 +165,19 @@
             router = f"127.0.0.1:{port.getHost().port}"
             both = [*self.fleet.endpoints, router, "127.0.0.1:1"]
             done = await self.run_command("status", "--json", endpoints=both)
-            told = json.loads(done.stdout)
-            self.assertEqual(told["routers"]["router-1"]["lag"], 1)
-            self.assertEqual(told["routers"]["router-2"]["lag"], 0)
-            self.assertEqual(list(told["silent"]), ["http://127.0.0.1:1"])
+            answer = json.loads(done.stdout)
+            self.assertEqual(answer["routers"]["router-1"]["lag"], 1)
+            self.assertEqual(answer["routers"]["router-2"]["lag"], 0)
+            self.assertEqual(list(answer["silent"]), ["http://127.0.0.1:1"])
             done = await self.run_command("status", endpoints=both)
             self.assertIn("router-2", done.stdout)
-            for command, wanted in (
+            for command, expected in (
                 (("targets",), "e1"),
                 (("drain", "e1"), "leaving"),
                 (("explain", "r-1"), "r-1"),
             ):
                 done = await self.run_command(*command, endpoints=both)
-                self.assertIn(wanted, done.stdout, done.stderr)
+                self.assertIn(expected, done.stdout, done.stderr)
             done = await self.run_command("explain", "r-2", endpoints=[router])
             self.assertEqual(done.returncode, ExitCode.REFUSED)
             done = await self.run_command("replicas", "remove", "c4")
@@ -186,10 +186,10 @@
             await to_future(port.stopListening())
 
     def test_the_example_intents_are_sound_together(self):
-        whole = Configuration()
+        configuration = Configuration()
         for name in ("first-operators", "kenanga-base", "deadline-night", "remove-account"):
             change = change_from_table(read_table_file(EXAMPLES / f"{name}.toml"))
-            self.assertEqual(check_change(whole, change), [], name)
-            whole = apply_change(whole, change)
+            self.assertEqual(check_change(configuration, change), [], name)
+            configuration = apply_change(configuration, change)
         base = change_from_table(read_table_file(EXAMPLES / "may-tinh-base.toml"))
         self.assertEqual(check_change(Configuration(), base), [])
--- a/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
@@ -36,20 +36,24 @@
         return [report.holds for report in verify_endpoints(FakeClient(*trails), known)]
 
     def test_a_gap_that_another_replica_fills_is_no_fault(self):
-        whole = entries(10)
-        with_gap = whole[:3] + whole[6:]
-        self.assertEqual(self.holds(whole, with_gap, whole[4:], []), [True] * 4)
+        full_trail = entries(10)
+        with_gap = full_trail[:3] + full_trail[6:]
+        self.assertEqual(self.holds(full_trail, with_gap, full_trail[4:], []), [True] * 4)
         self.assertEqual(self.holds(with_gap), [False])
-        self.assertEqual(self.holds(with_gap, whole[:5]), [False, True])
+        self.assertEqual(self.holds(with_gap, full_trail[:5]), [False, True])
 
     def test_a_gap_filled_by_another_chain_is_a_fault(self):
-        whole = entries(10)
-        other = whole[4]._replace(operator="lin", entry_hash="")
+        full_trail = entries(10)
+        other = full_trail[4]._replace(operator="lin", entry_hash="")
         other = other._replace(entry_hash=entry_hash(other))
-        self.assertEqual(self.holds(whole[:3] + whole[5:], [whole[3], other]), [False, True])
+        self.assertEqual(
+            self.holds(full_trail[:3] + full_trail[5:], [full_trail[3], other]), [False, True]
+        )
 
     def test_replicas_that_differ_or_do_not_answer_are_told(self):
-        whole = entries(5)
-        changed = whole[4]._replace(operator="lin")
+        full_trail = entries(5)
+        changed = full_trail[4]._replace(operator="lin")
         changed = changed._replace(entry_hash=entry_hash(changed))
-        self.assertEqual(self.holds(whole, [*whole[:4], changed], None), [True, False, False])
+        self.assertEqual(
+            self.holds(full_trail, [*full_trail[:4], changed], None), [True, False, False]
+        )
--- a/packages/commands/src/damaskwind/commands/tests/test_operator_with_replicas.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator_with_replicas.py
@@ -59,8 +59,8 @@
         await wait_until(self.all_vote, DEADLINE_S, "three voters at each replica")
 
     async def all_vote(self):
-        _code, told = await self.tell("status", "--json")
-        replicas = [body["replica"] for body in told["replicas"].values()]
+        _code, output = await self.run_for_json("status", "--json")
+        replicas = [body["replica"] for body in output["replicas"].values()]
         return len(replicas) == 3 and all(len(body["voters"]) == 3 for body in replicas)
 
     async def run_command(self, *arguments, at=(0, 1, 2)):
@@ -68,21 +68,21 @@
         environment = {"DAMASKWIND_ENDPOINTS": endpoints, "DAMASKWIND_KEY": self.key}
         return await asyncio.to_thread(run_blocking, arguments, environment)
 
-    async def tell(self, *arguments, at=(0, 1, 2)):
+    async def run_for_json(self, *arguments, at=(0, 1, 2)):
         done = await self.run_command(*arguments, at=at)
         return done.returncode, json.loads(done.stdout) if done.stdout else done.stderr
 
     async def plan(self, text, at=(0, 1, 2)):
         path = self.folder / "intent.toml"
         path.write_text(text, encoding="utf-8")
-        code, told = await self.tell("plan", str(path), "--json", at=at)
-        self.assertEqual(code, ExitCode.OK, told)
-        return told["plan"]["id"]
+        code, output = await self.run_for_json("plan", str(path), "--json", at=at)
+        self.assertEqual(code, ExitCode.OK, output)
+        return output["plan"]["id"]
 
     async def confirm(self, plan_id, at=(0, 1, 2)):
-        code, told = await self.tell("confirm", plan_id, "--json", at=at)
-        self.assertEqual(code, ExitCode.OK, told)
-        return told["outcome"]["revision"], told["repeated"]
+        code, output = await self.run_for_json("confirm", plan_id, "--json", at=at)
+        self.assertEqual(code, ExitCode.OK, output)
+        return output["outcome"]["revision"], output["repeated"]
 
     async def confirm_somewhere(self, plan_id):
         """Try to confirm at all replicas; return whether it succeeded."""
@@ -90,8 +90,8 @@
         return done.returncode == ExitCode.OK
 
     async def leader(self):
-        _code, told = await self.tell("status", "--json")
-        named = {body["replica"]["leader"] for body in told["replicas"].values()}
+        _code, output = await self.run_for_json("status", "--json")
+        named = {body["replica"]["leader"] for body in output["replicas"].values()}
         return int(named.pop().rsplit("-", 1)[1]) if len(named) == 1 and "" not in named else None
 
     @asyncio_test
@@ -112,9 +112,9 @@
             lambda: self.confirm_somewhere(planned), DEADLINE_S, "a confirmation without it"
         )
         self.assertEqual(await self.confirm(planned), (2, True))
-        code, told = await self.tell("confirm", rival, "--json")
+        code, output = await self.run_for_json("confirm", rival, "--json")
         self.assertEqual(code, ExitCode.REFUSED)
-        self.assertEqual(told["error"]["outcome"]["conflicts"][0]["plan_id"], planned)
+        self.assertEqual(output["error"]["outcome"]["conflicts"][0]["plan_id"], planned)
         for name in self.harness.processes:
             await self.harness.processes[name].kill()
         for name in self.harness.processes:
@@ -123,7 +123,7 @@
             lambda: self.confirm_somewhere(planned), DEADLINE_S, "the first outcome again"
         )
         self.assertEqual(await self.confirm(planned), (2, True))
-        await wait_until(self.all_verified, DEADLINE_S, "the same sound trail at each replica")
+        await wait_until(self.all_verified, DEADLINE_S, "the same valid trail at each replica")
         for index in (0, 1):
             await self.harness.processes[f"control-{index}"].kill()
         done = await self.run_command("plan", str(self.folder / "intent.toml"))
@@ -139,6 +139,6 @@
         return None if index is None else index + 1
 
     async def all_verified(self):
-        code, told = await self.tell("audit", "--verify", "--json")
-        heads = {report["verdict"]["head"]["sequence"] for report in told if report["holds"]}
-        return code == ExitCode.OK and len(told) == 3 and len(heads) == 1
+        code, output = await self.run_for_json("audit", "--verify", "--json")
+        heads = {report["verdict"]["head"]["sequence"] for report in output if report["holds"]}
+        return code == ExitCode.OK and len(output) == 3 and len(heads) == 1
