--- a/packages/commands/src/damaskwind/commands/operator.py
+++ b/packages/commands/src/damaskwind/commands/operator.py
@@ -194,7 +194,7 @@
 def fatal_requests(context: Context, lift: str = "") -> int:
     """Show the requests that are suspected or fatal on the operator platform, or lift one.
 
-    Uses a replica's metrics address as the endpoint.
+    Needs a replica's metrics address as the endpoint.
 
     :param lift: the digest of a request to allow again
     """
@@ -213,7 +213,7 @@
 def evacuations(context: Context, empty: str = "", take_back: str = "") -> int:
     """Show the evacuated failure domains of the operator platform, or evacuate or restore one.
 
-    Uses a replica's metrics address as the endpoint.
+    Needs a replica's metrics address as the endpoint.
 
     :param empty: a failure domain whose targets get no more requests
     :param take_back: a failure domain whose targets get requests again
--- a/packages/commands/src/damaskwind/commands/operator_context.py
+++ b/packages/commands/src/damaskwind/commands/operator_context.py
@@ -52,8 +52,8 @@
 
 _OPTION_HELP = """
 
-    :param endpoint: IP:port, repeatable or a comma list; default: from the environment
-    :param key_file: file that holds the operator's key; default: DAMASKWIND_KEY
+    :param endpoint: IP:port, repeatable or a comma list; from the environment if not given
+    :param key_file: file that holds the operator's key; DAMASKWIND_KEY if not given
     :param timeout_s: seconds to wait for each endpoint
     :param json: print JSON for scripts
 """
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_disks.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_disks.py
@@ -27,7 +27,7 @@
         return {voter["replica_id"]: voter["identity"] for voter in voters}.get(name)
 
     @asyncio_test
-    async def test_second_vm_lost_right_after_the_repair_of_a_disk(self):
+    async def test_second_vm_lost_right_after_disk_repair(self):
         cluster = self.cluster
         await cluster.start_replicas()
         leader = await cluster.leader()
@@ -60,7 +60,7 @@
         self.assertEqual(await cluster.find_faults(), [])
 
     @asyncio_test
-    async def test_changes_while_leaders_are_starved_are_known_when_sent_again(self):
+    async def test_resent_changes_succeed_while_leaders_are_paused(self):
         """Changes whose leader loses its lease end with "the outcome is not known yet".
 
         A leader without processor time for longer than its lease loses it during a change, which is
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
@@ -49,7 +49,7 @@
         return replica, others, known, unknown
 
     @asyncio_test
-    async def test_router_started_inside_takes_the_highest_known_there(self):
+    async def test_router_started_in_a_partition_applies_the_highest_revision_there(self):
         cluster = self.cluster
         await cluster.start_replicas()
         domain, elsewhere = DOMAINS[2], DOMAINS[0]
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_operators.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_operators.py
@@ -45,7 +45,7 @@
         return won
 
     @asyncio_test
-    async def test_of_two_on_one_revision_one_wins_and_the_other_is_told_who(self):
+    async def test_concurrent_plans_one_wins_and_the_other_gets_the_conflict(self):
         await self.cluster.start_replicas()
         wins = [await self.race(number) for number in range(6)]
         self.assertEqual([won.revision for won in wins], list(range(2, 8)))
@@ -79,7 +79,7 @@
         return self.cluster.record_confirmation(body, name)
 
     @asyncio_test
-    async def test_lost_answer_is_told_elsewhere_also_by_the_next_leader(self):
+    async def test_lost_answer_is_repeated_by_other_replicas_and_the_next_leader(self):
         cluster = self.cluster
         await cluster.start_replicas()
         leader = await cluster.leader()
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_answers.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_answers.py
@@ -146,7 +146,7 @@
         self.assertGreater(self.outcomes["large call whole"], 0, self.outcomes)
 
     @asyncio_test
-    async def test_each_caller_gets_its_own_whole_answer_or_an_honest_failure(self):
+    async def test_each_caller_gets_its_own_complete_answer_or_a_visible_failure(self):
         await self.start()
         for phase, faults in PHASES.items():
             await self.arm_all(faults)
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_domains.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_domains.py
@@ -20,7 +20,7 @@
     timeout = 120
 
     @asyncio_test
-    async def test_domain_cut_off_serves_with_what_it_has(self):
+    async def test_partitioned_domain_serves_with_its_own_targets(self):
         fleet = self.fleet
         fleet.add_unreachable_replicas()
         await fleet.start_routers(3, policy={"first_byte_timeout_s": 1.0, "load_factor": 4.0})
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
@@ -77,7 +77,7 @@
         return (head + body).encode()
 
     @asyncio_test
-    async def test_two_hundred_streams_outlive_sigterm_and_nothing_new_comes(self):
+    async def test_streams_finish_after_sigterm_and_new_requests_are_refused(self):
         fleet = self.fleet
         await fleet.start_routers(2, policy={"load_factor": 4.0}, drain_delay_s=4.0)
         fields = {"token_interval_s": TOKEN_S, "max_running_requests": 128}
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_leaving.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_leaving.py
@@ -21,7 +21,7 @@
     timeout = 120
 
     @asyncio_test
-    async def test_leaving_target_gets_nothing_new_and_finishes_its_work(self):
+    async def test_leaving_target_gets_no_new_requests_and_finishes_its_own(self):
         fleet = self.fleet
         fleet.add_unreachable_replicas()
         await fleet.start_routers(4, policy={"load_factor": 2.0})
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
@@ -23,7 +23,7 @@
     timeout = 120
 
     @asyncio_test
-    async def test_flapping_and_killed_processes_cut_only_what_was_theirs(self):
+    async def test_flapping_and_killed_processes_break_only_their_own_answers(self):
         fleet = self.fleet
         fleet.add_unreachable_replicas()
         await fleet.start_routers(4, policy={"load_factor": 2.0, "ejection_base_s": 0.5})
--- a/packages/commands/src/damaskwind/commands/tests/test_operator.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator.py
@@ -116,7 +116,7 @@
         self.assertEqual(done.stdout.count("BROKEN"), 1)
 
     @asyncio_test
-    async def test_the_next_endpoint_is_tried_and_exit_codes_tell_how_it_ended(self):
+    async def test_next_endpoint_is_tried_and_exit_codes_match_the_outcome(self):
         await self.first_operator()
         first, second = self.fleet.endpoints
         plan_id = await self.planned(CLASS.format(5))
@@ -157,7 +157,7 @@
         self.assertEqual(done.returncode, ExitCode.BAD_USAGE)
 
     @asyncio_test
-    async def test_status_replicas_and_what_routers_answer(self):
+    async def test_status_and_commands_for_replicas_and_routers(self):
         await self.first_operator()
         app = router_app()
         port = reactor.listenTCP(0, Site(app.resource()), interface="127.0.0.1")
@@ -185,7 +185,7 @@
         finally:
             await to_future(port.stopListening())
 
-    def test_the_example_intents_are_sound_together(self):
+    def test_example_intents_are_valid_in_sequence(self):
         configuration = Configuration()
         for name in ("first-operators", "kenanga-base", "deadline-night", "remove-account"):
             change = change_from_table(read_table_file(EXAMPLES / f"{name}.toml"))
--- a/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator_audit.py
@@ -50,7 +50,7 @@
             self.holds(full_trail[:3] + full_trail[5:], [full_trail[3], other]), [False, True]
         )
 
-    def test_replicas_that_differ_or_do_not_answer_are_told(self):
+    def test_differing_and_unreachable_replicas_are_reported(self):
         full_trail = entries(5)
         changed = full_trail[4]._replace(operator="lin")
         changed = changed._replace(entry_hash=entry_hash(changed))
--- a/packages/commands/src/damaskwind/commands/tests/test_operator_with_replicas.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_operator_with_replicas.py
@@ -95,7 +95,7 @@
         return int(named.pop().rsplit("-", 1)[1]) if len(named) == 1 and "" not in named else None
 
     @asyncio_test
-    async def test_confirmations_outlive_the_leader_and_a_restart_of_all(self):
+    async def test_confirmations_survive_the_leader_and_a_restart_of_all(self):
         await self.start_all()
         key = "dw-operator-secret"
         operator = f'[operators.mei]\nkey_hash = "{hash_key(key)}"\n'
--- a/packages/commands/src/damaskwind/commands/tests/test_request_trace.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_request_trace.py
@@ -45,7 +45,7 @@
     def trace(self, lines, request_id="abc"):
         return trace_request(request_id, read_lines(lines))
 
-    def test_lines_of_its_targets_and_of_its_router_are_found_in_order(self):
+    def test_lines_of_targets_and_router_are_found_in_order(self):
         found = self.trace(LOGS)
         self.assertEqual([item.fields["request"] for item in found.request], ["abc"])
         self.assertEqual(
@@ -61,7 +61,7 @@
     def test_order_of_files_does_not_matter(self):
         self.assertEqual(self.trace(LOGS), self.trace(reversed(LOGS)))
 
-    def test_torn_and_foreign_lines_are_counted_and_harm_nothing(self):
+    def test_truncated_and_foreign_lines_are_counted_and_ignored(self):
         torn = [b"starting up\n", ENDED[:40], b"\n", b"{}\n", b'{"time_s":"x","event":1}\n']
         found = self.trace([*torn, *LOGS])
         self.assertEqual(found.unreadable, 4)
--- a/packages/commands/src/damaskwind/commands/tests/test_role_imports.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_role_imports.py
@@ -20,7 +20,7 @@
         done = subprocess.run(command, capture_output=True, text=True, check=True, timeout=60)
         return set(done.stdout.split())
 
-    def test_roles_load_no_needless_package(self):
+    def test_roles_load_no_unused_package(self):
         for role in ("control", "router"):
             loaded = self.loaded(f"damaskwind.{role}.process")
             self.assertIn("klein", loaded)
