--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
@@ -49,7 +49,7 @@
         return replica, others, known, unknown
 
     @asyncio_test
-    async def test_router_started_inside_takes_the_highest_known_there(self):
+    async def test_router_started_in_a_partition_applies_the_highest_revision_there(self):
         cluster = self.cluster
         await cluster.start_replicas()
         domain, elsewhere = DOMAINS[2], DOMAINS[0]
@@ -57,8 +57,8 @@
         await cluster.start_router("outside", elsewhere)
         await wait_until(lambda: self.is_ready("inside"), DEADLINE_S, "a ready router")
         replica, others, known, unknown = await self.cut_off(domain)
-        told = await cluster.replica_status(replica)
-        self.assertLess(told["revision"], known.revision)
+        status = await cluster.replica_status(replica)
+        self.assertLess(status["revision"], known.revision)
         await wait_until(
             lambda: self.has_lost_majority(replica), DEADLINE_S, "a replica without a majority"
         )
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
@@ -23,7 +23,7 @@
     timeout = 120
 
     @asyncio_test
-    async def test_flapping_and_killed_processes_cut_only_what_was_theirs(self):
+    async def test_flapping_and_killed_processes_break_only_their_own_answers(self):
         fleet = self.fleet
         fleet.add_unreachable_replicas()
         await fleet.start_routers(4, policy={"load_factor": 2.0, "ejection_base_s": 0.5})
@@ -48,17 +48,17 @@
         await fleet.harness.processes["doomed-process"].kill()
         fleet.remove_targets("doomed")
         answers = await asyncio.gather(*streams)
-        whole = [
+        are_complete = [
             self.is_complete_answer(text, answer, LONG_TOKENS)
             for text, answer in zip(texts, answers, strict=True)
         ]
-        cut = [
+        truncated = [
             answer
-            for is_complete_answer, answer in zip(whole, answers, strict=True)
+            for is_complete_answer, answer in zip(are_complete, answers, strict=True)
             if not is_complete_answer
         ]
-        self.assertTrue(cut)
-        for answer in cut:
+        self.assertTrue(truncated)
+        for answer in truncated:
             self.assertIn(b'"may-have-run"', answer.body)
             self.assertIn(answer.request_id, ran_by_doomed)
         await self.wait_for_complete_answers(traffic, 30)
