--- a/packages/commands/src/damaskwind/commands/tests/fault_oracle.py
+++ b/packages/commands/src/damaskwind/commands/tests/fault_oracle.py
@@ -37,7 +37,7 @@
 def find_decreases(revisions: Sequence[int]) -> list[tuple[int, int]]:
     """Return each pair of successive revisions in which the second is lower.
 
-    >>> descents([1, 2, 2, 1, 3])
+    >>> find_decreases([1, 2, 2, 1, 3])
     [(2, 1)]
     """
     return [(before, after) for before, after in pairwise(revisions) if after < before]
