--- a/packages/control/src/damaskwind/control/orders/delivery.py
+++ b/packages/control/src/damaskwind/control/orders/delivery.py
@@ -35,8 +35,8 @@
 
     lease_s: float
     attempt_timeout_s: float = 2.0
-    backoff_first_s: float = 0.25
-    backoff_limit_s: float = 30.0
+    initial_backoff_s: float = 0.25
+    max_backoff_s: float = 30.0
     max_concurrent_attempts: int = 32
 
     @property
@@ -102,9 +102,9 @@
             progress.next_attempt_s = now_s
             return
         timing = self._timing
-        max_backoff_s = min(timing.backoff_first_s * 2**progress.failures, timing.backoff_limit_s)
+        backoff_s = min(timing.initial_backoff_s * 2**progress.failures, timing.max_backoff_s)
         progress.failures = min(progress.failures + 1, 32)
-        progress.next_attempt_s = now_s + self._random.uniform(0, max_backoff_s)
+        progress.next_attempt_s = now_s + self._random.uniform(0, backoff_s)
 
     def _is_due(self, order: TargetOrder, now_s: float) -> bool:
         """Tell whether an attempt to send an order should start."""
--- a/packages/control/src/damaskwind/control/orders/tests/test_delivery.py
+++ b/packages/control/src/damaskwind/control/orders/tests/test_delivery.py
@@ -56,7 +56,7 @@
         for _ in range(40):
             self.assertEqual(self.numbers([order(1)], 4, now_s), [1])
             self.delivery.record_result(order(1), 4, AttemptResult.FAILED, now_s)
-            now_s += TIMING.backoff_limit_s
+            now_s += TIMING.max_backoff_s
 
     def test_result_of_an_attempt_of_another_term_is_ignored(self):
         self.numbers([], 4, 0.0)
--- a/packages/control/src/damaskwind/control/orders/tests/test_sender.py
+++ b/packages/control/src/damaskwind/control/orders/tests/test_sender.py
@@ -15,7 +15,7 @@
 from damaskwind.standins.harness import unique_loopback_host, wait_until
 from damaskwind.standins.settings import EngineSettings, FencingMode
 
-TIMING = DeliveryTiming(lease_s=0.3, attempt_timeout_s=1.0, backoff_first_s=0.05)
+TIMING = DeliveryTiming(lease_s=0.3, attempt_timeout_s=1.0, initial_backoff_s=0.05)
 OFFERED = ("damask@2", "damask@2+rumi")
 
 
--- a/packages/control/src/damaskwind/control/replica/transport.py
+++ b/packages/control/src/damaskwind/control/replica/transport.py
@@ -28,8 +28,8 @@
 BATCH_LIMIT_BYTES = 8 * 1024 * 1024
 CALL_TIMEOUT_S = 2.0
 MIN_BYTES_PER_S = 1024 * 1024
-BACKOFF_FIRST_S = 0.05
-BACKOFF_LIMIT_S = 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 
 
 class Channels:
@@ -145,7 +145,7 @@
 
     async def _run(self, replica_id: str, queue: _PeerQueue) -> None:
         """Send batches until closed; back off with full jitter after a failure."""
-        backoff_s = BACKOFF_FIRST_S
+        backoff_s = INITIAL_BACKOFF_S
         while not self._is_closed:
             await queue.has_messages.wait()
             queue.has_messages.clear()
@@ -155,11 +155,11 @@
                 queue.last_call_duration_s = read_clock() - queue.call_started_s
                 queue.call_started_s = None
                 if is_delivered:
-                    backoff_s = BACKOFF_FIRST_S
+                    backoff_s = INITIAL_BACKOFF_S
                     continue
                 queue.bodies.clear()
                 await asyncio.sleep(self._random.uniform(0, backoff_s))
-                backoff_s = min(2 * backoff_s, BACKOFF_LIMIT_S)
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def _send_batch(self, replica_id: str, queue: _PeerQueue) -> bool:
         """Send one batch and return whether it was delivered."""
--- a/packages/decisions/src/damaskwind/decisions/health/ejection.py
+++ b/packages/decisions/src/damaskwind/decisions/health/ejection.py
@@ -81,7 +81,7 @@
         circuit.tick(now_s, random)
         return circuit.has_trial(now_s)
 
-    def note_sent(self, target_id: str, now_s: float) -> None:
+    def record_sent(self, target_id: str, now_s: float) -> None:
         """Record that a request is being sent; it is the trial of a half-open circuit."""
         circuit = self._circuits.get(target_id)
         if circuit is not None and circuit.has_trial(now_s):
--- a/packages/decisions/src/damaskwind/decisions/health/tests/test_ejection.py
+++ b/packages/decisions/src/damaskwind/decisions/health/tests/test_ejection.py
@@ -51,7 +51,7 @@
         self.assertFalse(pool.may_send("t0", POLICY.ejection_base_s * 0.99, self.random))
         later_s = POLICY.ejection_base_s * 1.51
         self.assertTrue(pool.may_send("t0", later_s, self.random))
-        pool.note_sent("t0", later_s)
+        pool.record_sent("t0", later_s)
         self.assertFalse(pool.may_send("t0", later_s, self.random))
         self.assertTrue(pool.may_send("t0", later_s + POLICY.trial_timeout_s, self.random))
         pool.observe("t0", True, later_s, self.random)
--- a/packages/decisions/src/damaskwind/decisions/membership/core.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/core.py
@@ -184,26 +184,26 @@
         source: Address,
         message: Message,
         now_s: float,
-        available_bytes: int = _UNLIMITED_BYTES,
+        headroom_bytes: int = _UNLIMITED_BYTES,
     ) -> Output:
         """Process an authenticated message from another router."""
         self._state.advance(now_s)
         handler = HANDLERS.get(type(message))
         if self._left or handler is None or sender_id == self.router_table.own_record.router_id:
             return self._state.take_output()
-        self._gossip.available_bytes = available_bytes
+        self._gossip.headroom_bytes = headroom_bytes
         sender = self._state.sender_record(sender_id, sender_incarnation)
         local_domain = self.router_table.own_record.failure_domain
         self._state.sender_is_local = sender is not None and sender.failure_domain == local_domain
         handler(self._state, sender, source, message, self.now_s)
         return self._state.take_output()
 
-    def tick(self, now_s: float, available_bytes: int = _UNLIMITED_BYTES) -> Output:
+    def tick(self, now_s: float, headroom_bytes: int = _UNLIMITED_BYTES) -> Output:
         """Run periodic work; to be called about ten times a second."""
         self._state.advance(now_s)
         if self._left:
             return self._state.take_output()
-        self._gossip.available_bytes = available_bytes
+        self._gossip.headroom_bytes = headroom_bytes
         self._check_probes()
         for tombstone in self.target_table.expire_leases(self.now_s):
             self._state.events.append(TargetGone(tombstone.target_id, GoneReason.LAPSED))
--- a/packages/decisions/src/damaskwind/decisions/membership/gossip.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/gossip.py
@@ -62,7 +62,7 @@
         self.vectors = VectorExchange(targets, near_domains)
         self.introduced: set[str] = set()
         self.revision = 0
-        self.available_bytes = 0
+        self.headroom_bytes = 0
         self._parameters = parameters
         self._routers = routers
         self._targets = targets
@@ -106,7 +106,7 @@
     def _flood_peer(self, router_id: str, scope: str, fanout: int, now_s: float) -> Send | None:
         """Return one datagram of updates for a peer, or `None` without updates or budget."""
         parameters = self._parameters
-        limit_bytes = min(self.available_bytes - _HEADER_BYTES, parameters.updates_bytes)
+        limit_bytes = min(self.headroom_bytes - _HEADER_BYTES, parameters.updates_bytes)
         if limit_bytes < _MIN_UPDATES_BYTES:
             if not self.rumours.has_pending_leaves(fanout, scope == "remote"):
                 return None
@@ -117,7 +117,7 @@
         )
         if batch is None:
             return None
-        self.available_bytes -= packed_bytes(sum(map(estimate_bytes, batch.items))) + _HEADER_BYTES
+        self.headroom_bytes -= packed_bytes(sum(map(estimate_bytes, batch.items))) + _HEADER_BYTES
         record = self._routers.get(router_id)
         return Send(router_id, record.address, group_updates(batch.items), batch.urgency)
 
@@ -259,7 +259,7 @@
         if is_local and self.vectors.is_usable:
             # The vector carries the loads; these are for targets that it does not cover yet.
             limit_bytes = min(limit_bytes, parameters.uncovered_loads_bytes)
-        elif is_local and self.available_bytes >= parameters.spare_headroom_bytes:
+        elif is_local and self.headroom_bytes >= parameters.spare_headroom_bytes:
             limit_bytes += parameters.spare_probe_bytes
         other_bytes = _HEADER_BYTES + _SUMMARY_BYTES
         if updates is not None:
@@ -293,7 +293,7 @@
         # An ack too large for this second's budget arrives too late for its probe, and a
         # join that is still queued makes a whole group of loads useless to routers that
         # have not received it.
-        vector_headroom_bytes = self.available_bytes
+        vector_headroom_bytes = self.headroom_bytes
         if self.rumours.has_pending_floods(parameters.fanout):
             vector_headroom_bytes = 0
         limit_bytes = min(limit_bytes, max(vector_headroom_bytes, parameters.sample_vector_bytes))
@@ -305,19 +305,19 @@
             return b""
         parameters = self._parameters
         limit_bytes = int(parameters.notes_share * parameters.control_bytes_per_s)
-        limit_bytes = min(limit_bytes, parameters.notes_limit_bytes, self.available_bytes // 4)
+        limit_bytes = min(limit_bytes, parameters.notes_limit_bytes, self.headroom_bytes // 4)
         return self.spills.pack(limit_bytes, self._note_send_limit(), now_s)
 
     def flood_notes(self, now_s: float) -> list[Send]:
         """Return a datagram of spill notes, if many are pending and the budget is ample."""
-        limit_bytes = min(self.available_bytes - _NOTES_RESERVE_BYTES, _NOTES_DATAGRAM_BYTES)
+        limit_bytes = min(self.headroom_bytes - _NOTES_RESERVE_BYTES, _NOTES_DATAGRAM_BYTES)
         peers = self._local_peers()[:1]
         if not peers or limit_bytes < _MIN_UPDATES_BYTES:
             return []
         if self.spills.pending_count(self._note_send_limit()) < _FLOOD_MIN_NOTES:
             return []
         notes = self.spills.pack(limit_bytes, self._note_send_limit(), now_s)
-        self.available_bytes -= len(notes) + _HEADER_BYTES
+        self.headroom_bytes -= len(notes) + _HEADER_BYTES
         address = self._routers.get(peers[0]).address
         return [Send(peers[0], address, News(spills=notes), Urgency.ROUTINE)]
 
--- a/packages/decisions/src/damaskwind/decisions/membership/target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_table.py
@@ -45,7 +45,7 @@
 # clock was stepped back, and not that a report is late.
 STALE_INCARNATION_S = 10.0
 # A report that puts the end of a cold spell later by at most this belongs to the same spell.
-COLD_SPELL_TOLERANCE_S = 0.3
+COLD_PERIOD_TOLERANCE_S = 0.3
 
 
 class Changes(NamedTuple):
@@ -150,13 +150,13 @@
         record = record._replace(
             clock_steps=steps,
             superseded_born_ms=superseded_born_ms,
-            cold_sequence=self._cold_spell_sequence(record, now_s),
+            cold_sequence=self._cold_period_sequence(record, now_s),
         )
         changed = self.merge(record, now_s)
         self.mark_seen(record.target_id, now_s, record.born_ms)
         return changed
 
-    def _cold_spell_sequence(self, record: TargetRecord, now_s: float) -> int:
+    def _cold_period_sequence(self, record: TargetRecord, now_s: float) -> int:
         """Return the first sequence of a report's cold spell: its own if it starts a new one.
 
         A spell is new if it ends later than the known one.
@@ -166,7 +166,7 @@
             return 0
         is_new = (
             record.cold_s > 0
-            and now_s + record.cold_s > entry.cold_until_s + COLD_SPELL_TOLERANCE_S
+            and now_s + record.cold_s > entry.cold_until_s + COLD_PERIOD_TOLERANCE_S
         )
         return record.sequence if is_new else entry.record.cold_sequence
 
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_table.py
@@ -246,7 +246,7 @@
         self.assertFalse(table.is_superseded("runs", 1.2))
 
 
-class ColdSpellTest(unittest.TestCase):
+class ColdPeriodTest(unittest.TestCase):
     """A target reports how long it stays cold; the report has to reach all processes."""
 
     def test_target_that_becomes_cold_again_is_a_change(self):
@@ -262,7 +262,7 @@
         self.assertAlmostEqual(update.cold_s, 1.9)
         self.assertEqual(update.cold_sequence, 10)
 
-    def test_cold_spells_received_by_different_replicas_converge(self):
+    def test_cold_periods_received_by_different_replicas_converge(self):
         first, second = TargetTable(), TargetTable()
         for table in (first, second):
             table.merge(record(sequence=1), 0.0)
--- a/packages/router/src/damaskwind/router/forwarding/attempt.py
+++ b/packages/router/src/damaskwind/router/forwarding/attempt.py
@@ -189,7 +189,7 @@
         connection.send(Request(request.method, request.target, headers, request.body))
         head = await self._read_head_in_time(connection, call, target.target_id, may_reroute)
         first_s = read_clock() - sent_s
-        self.activity.note_received(target.target_id, read_clock())
+        self.activity.record_received(target.target_id, read_clock())
         self.on_answer_started(call, target.target_id, first_s)
         signals = self._read_signals(head, target)
         if head.status == MISDIRECTED or header(head.headers, self._names.not_run) is not None:
@@ -282,7 +282,7 @@
             data = await self._read_data_in_time(connection, gap_s if may_reroute else None)
             if data is None:
                 break
-            self.activity.note_received(target.target_id, read_clock())
+            self.activity.record_received(target.target_id, read_clock())
             delivery.write_stream(data)
             await delivery.drained()
         self.connections.release(target.target_id, connection, head.headers)
@@ -324,5 +324,5 @@
             header(headers, self._names.leaving),
             header(headers, b"date"),
         )
-        self._target_states.note_signal(target, signals)
+        self._target_states.record_signals(target, signals)
         return signals
--- a/packages/router/src/damaskwind/router/forwarding/cold_targets.py
+++ b/packages/router/src/damaskwind/router/forwarding/cold_targets.py
@@ -18,7 +18,7 @@
     def __init__(self, view: FleetView, random: Random) -> None:
         self._view = view
         self._periods = ColdPeriods(random)
-        view.on_cold.append(self._note_cold)
+        view.on_cold.append(self._record_cold)
         view.on_evacuations_lifted.append(self._mark_cold_after_evacuation)
 
     def cold_state(self, record: TargetRecord, now_s: float) -> ColdState:
@@ -35,7 +35,7 @@
             return state._replace(may_send=False)
         return state
 
-    def note_sent(self, record: TargetRecord, now_s: float) -> None:
+    def record_sent(self, record: TargetRecord, now_s: float) -> None:
         """Record that a request is being sent to a target."""
         routers = self._view.max_routers.value(now_s) or 1
         self._periods.sent(record.target_id, self._view.cold_start_limits(record.service), routers)
@@ -48,7 +48,7 @@
         """Return the number of targets that are cold now."""
         return self._periods.count(read_clock())
 
-    def _note_cold(self, record: TargetRecord) -> None:
+    def _record_cold(self, record: TargetRecord) -> None:
         """Record that a target reported to be cold."""
         self._periods.mark_cold(record.target_id, read_clock(), record.cold_s)
         logger.info("target cold", target=record.target_id, cold_s=round(record.cold_s, 2))
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -281,7 +281,7 @@
             self.targets.mark_others_seen(SilentTargets(others.silent, now_s - others.age_s))
         for target_id in self.targets.forget(now_s):
             logger.info("target forgotten", target=target_id)
-            self._note_gone(target_id)
+            self._notify_gone(target_id)
         self.suspicions.handle_news(host, news)
         self._router_counts[host] = news.routers
         self.routers = max(1, *self._router_counts.values())
@@ -324,9 +324,9 @@
             incarnation = self.targets.incarnation_of(record.target_id)
             if self.targets.merge(record, now_s):
                 if incarnation not in (None, record.incarnation) and record.service:
-                    self._note_restarted(record)
+                    self._notify_restarted(record)
                 if record.cold_s > 0:
-                    self._note_cold(record)
+                    self._notify_cold(record)
                 logger.info(
                     "target known",
                     target=record.target_id,
@@ -338,15 +338,15 @@
                     told_by=host,
                 )
                 if record.phase is TargetPhase.GONE:
-                    self._note_gone(record.target_id)
+                    self._notify_gone(record.target_id)
 
-    def _note_restarted(self, record: TargetRecord) -> None:
+    def _notify_restarted(self, record: TargetRecord) -> None:
         """Run the callbacks that drop the state of a target's former incarnation."""
         logger.info("target restarted", target=record.target_id, born_ms=record.born_ms)
         for callback in self.on_restarted:
             callback(record)
 
-    def _note_cold(self, record: TargetRecord) -> None:
+    def _notify_cold(self, record: TargetRecord) -> None:
         """Run the callbacks for a target that reports to be cold."""
         for callback in self.on_cold:
             callback(record)
@@ -355,7 +355,7 @@
         """Return the terms for cold targets of a service: how long, and at which rate."""
         return self.table.cold_start_limits(service) if self.table else ColdStartLimits()
 
-    def _note_gone(self, target_id: str) -> None:
+    def _notify_gone(self, target_id: str) -> None:
         for callback in self.on_gone:
             callback(target_id)
 
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -95,9 +95,9 @@
         self.admissions = PoolAdmissions(self.target_states, random)
         self.throttles = ServiceThrottles(self.target_states, random)
         self.crash_detector = CrashDetector(self.target_states)
-        self.crash_detector.on_crashed.append(self._note_target_crashed)
+        self.crash_detector.on_crashed.append(self._record_target_crash)
         self._sender = AttemptSender(self.target_states, names)
-        self._sender.on_answer_started = self._note_answer_started
+        self._sender.on_answer_started = self._record_answer_started
         self._budgets: dict[str, SharedRetryBudget] = {}
         self._started_s = read_clock() if started_s is None else started_s
         self.answers = FinalAnswers(self.admissions, self._started_s)
@@ -158,7 +158,7 @@
         failure: AttemptOutcome | None = None
         placement = self._choose_target(call)
         if placement is None:
-            self._note_pause(call)
+            self._set_retry_after(call)
             return outcome
         if call.key is None and not self.throttles.admits(call.service):
             call.retry_after_s = self.throttles.retry_after_s(call)
@@ -173,7 +173,7 @@
             placement = self._choose_target(call)
         while True:
             if placement is None:
-                self._note_pause(call)
+                self._set_retry_after(call)
                 return failure or outcome
             if call.reached and not self._budget(call.service).take(read_clock()):
                 return failure or outcome._replace(why=f"{outcome.why}; retry budget spent")
@@ -225,7 +225,7 @@
         self.admissions.sent(call, target.target_id)
         call.sends += 1
         call.tried.add(target.target_id)
-        self.target_states.note_sent(target, begun_s)
+        self.target_states.record_sent(target, begun_s)
         may_reroute = call.route.may_repeat and call.sends < call.route.max_attempts
         # Until the outcome is known, the request may be running.
         could_have_run, call.may_have_run = call.may_have_run, True
@@ -260,7 +260,7 @@
             call.sends -= 1
             return outcome
         if call.key is None:
-            self._note_service_result(call, outcome, now_s - begun_s)
+            self._record_service_result(call, outcome, now_s - begun_s)
         call.reached += outcome.was_reached
         if not outcome.was_reached:
             call.unreached += 1
@@ -271,7 +271,7 @@
             call.may_have_run = could_have_run
             if outcome.was_reached and not outcome.is_displaced:
                 self.admissions.rejected_by_target(call, target.target_id)
-        self.target_states.note_ended(target, _send_result(outcome), now_s)
+        self.target_states.record_ended(target, _send_result(outcome), now_s)
         if outcome.is_connection_lost:
             broken = BrokenSend(call.digest, level, call.facts.request_id)
             call.exit_probe = self.crash_detector.probe(target, broken)
@@ -279,7 +279,7 @@
             self.view.suspicions.record_completion(call.digest)
         return outcome
 
-    def _note_service_result(self, call: Call, outcome: AttemptOutcome, took_s: float) -> None:
+    def _record_service_result(self, call: Call, outcome: AttemptOutcome, took_s: float) -> None:
         """Record the answer time or the refusal of a service that reports no load."""
         result = _send_result(outcome)
         if outcome.answer is not None or result.is_good:
@@ -287,15 +287,15 @@
         elif result.was_refused and not result.is_displaced and not outcome.asks_for_pause:
             self.throttles.rejected(call)
 
-    def _note_target_crashed(self, target: TargetRecord, sends: list[BrokenSend]) -> None:
+    def _record_target_crash(self, target: TargetRecord, sends: list[BrokenSend]) -> None:
         """Put the requests in flight at a target that crashed under suspicion."""
         self.view.suspicions.record_target_end((item.digest, item.level) for item in sends)
 
-    def _note_answer_started(self, call: Call, target_id: str, first_s: float) -> None:
+    def _record_answer_started(self, call: Call, target_id: str, first_s: float) -> None:
         """Record how long a target took to begin its answer."""
         self.tallies.observe("first_piece", first_s, kind=call.route.kind.value)
         objective_share = first_s / call.route.objective_s
-        self.target_states.note_answer_started(
+        self.target_states.record_answer_started(
             call.service, target_id, objective_share, read_clock()
         )
         self.admissions.answer_started(call)
@@ -341,7 +341,7 @@
             if is_allowed(record.failure_domain, call.regions, self._region_of)
         }
 
-    def _note_pause(self, call: Call) -> None:
+    def _set_retry_after(self, call: Call) -> None:
         """Let the caller retry when the first pause ends, if all targets asked for one."""
         rest_s = self.target_states.rest_left_s(self._allowed_targets(call).values(), read_clock())
         if rest_s is not None:
--- a/packages/router/src/damaskwind/router/forwarding/target_activity.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_activity.py
@@ -21,7 +21,7 @@
     >>> waiting = activity.begin_wait("t", 0.0)
     >>> activity.is_unresponsive("t", 0.4), activity.is_unresponsive("t", 0.6)
     (False, True)
-    >>> activity.note_received("t", 0.6); activity.is_unresponsive("t", 1.0)
+    >>> activity.record_received("t", 0.6); activity.is_unresponsive("t", 1.0)
     False
     >>> activity.end_wait("t", waiting); activity.is_unresponsive("t", 9.0)
     False
@@ -45,7 +45,7 @@
         if not waiting:
             self._waiting.pop(target_id, None)
 
-    def note_received(self, target_id: str, now_s: float) -> None:
+    def record_received(self, target_id: str, now_s: float) -> None:
         """Record that a target sent something."""
         self._received_s[target_id] = now_s
 
--- a/packages/router/src/damaskwind/router/forwarding/target_states.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_states.py
@@ -123,18 +123,18 @@
         for detector in self._slow_detectors.values():
             detector.forget(target_id)
 
-    def note_sent(self, target: TargetRecord, now_s: float) -> None:
+    def record_sent(self, target: TargetRecord, now_s: float) -> None:
         """Record that a request is being sent to a target."""
-        self._pool_health(target.service, now_s).note_sent(target.target_id, now_s)
-        self.cold.note_sent(target, now_s)
+        self._pool_health(target.service, now_s).record_sent(target.target_id, now_s)
+        self.cold.record_sent(target, now_s)
 
-    def note_answer_started(
+    def record_answer_started(
         self, service: str, target_id: str, objective_share: float, now_s: float
     ) -> None:
         """Record that an answer began after this fraction of its latency objective."""
         self._slow_detector(service).observe(target_id, objective_share, now_s)
 
-    def note_signal(self, target: TargetRecord, signals: AnswerSignals) -> None:
+    def record_signals(self, target: TargetRecord, signals: AnswerSignals) -> None:
         """Record what a target asks for in an answer: a pause, or no requests as it is leaving."""
         signal = self.signals.observe(_incarnation(target), signals, read_clock())
         if signal is not TargetSignal.NOTHING:
@@ -147,7 +147,7 @@
                 phase=target.phase.name.lower(),
             )
 
-    def note_ended(self, target: TargetRecord, result: SendResult, now_s: float) -> None:
+    def record_ended(self, target: TargetRecord, result: SendResult, now_s: float) -> None:
         """Update the state of a target from the outcome of an attempt."""
         target_id = target.target_id
         if result.is_displaced:
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
@@ -34,12 +34,12 @@
         record = self.view.targets.record_of("t0")
         target_states.loads.observe_report("t0", TargetLoad(8, 4, 8), now_s)
         target_states.loads.sent("t0")
-        target_states.note_ended(record, SendResult(False, was_refused=True), now_s)
+        target_states.record_ended(record, SendResult(False, was_refused=True), now_s)
         for _ in range(20):
-            target_states.note_sent(record, now_s)
-            target_states.note_ended(record, SendResult(False), now_s)
-            target_states.note_answer_started("pool", "t0", 9.0, now_s)
-        target_states.note_ended(record, SendResult(True, is_displaced=True), now_s)
+            target_states.record_sent(record, now_s)
+            target_states.record_ended(record, SendResult(False), now_s)
+            target_states.record_answer_started("pool", "t0", 9.0, now_s)
+        target_states.record_ended(record, SendResult(True, is_displaced=True), now_s)
 
         def candidate():
             records = list(target_states.serving_or_draining("pool").values())
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_target_signals.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_target_signals.py
@@ -22,7 +22,9 @@
 
 class TargetSignalsTest(ForwarderTestCase):
     def signal(self, index, signals):
-        self.forwarder.target_states.note_signal(self.view.targets.record_of(f"t{index}"), signals)
+        self.forwarder.target_states.record_signals(
+            self.view.targets.record_of(f"t{index}"), signals
+        )
 
     def pause(self, *indexes, rest_s=3.0):
         for index in indexes:
--- a/packages/router/src/damaskwind/router/placing.py
+++ b/packages/router/src/damaskwind/router/placing.py
@@ -102,7 +102,7 @@
                 self._check_available(work, tried | unavailable)
             return None
         self.in_flight[target.target_id] += 1
-        self._health.note_sent(target)
+        self._health.record_sent(target)
         placer.started(
             work.request_id,
             target.target_id,
--- a/packages/router/src/damaskwind/router/target_health.py
+++ b/packages/router/src/damaskwind/router/target_health.py
@@ -61,10 +61,10 @@
             self._failing_pools.add(view.service)
         pool.observe(view.target_id, succeeded, self._clock.seconds(), self._random)
 
-    def note_sent(self, view: TargetView) -> None:
+    def record_sent(self, view: TargetView) -> None:
         """Record that a request is being sent to a target."""
         if view.service in self._failing_pools:
-            self._pools[view.service].note_sent(view.target_id, self._clock.seconds())
+            self._pools[view.service].record_sent(view.target_id, self._clock.seconds())
 
     def ejected(self, service: str) -> frozenset[str]:
         """Return the targets of a pool that are ejected now."""
--- a/packages/wire/src/damaskwind/wire/news_link.py
+++ b/packages/wire/src/damaskwind/wire/news_link.py
@@ -52,8 +52,8 @@
     hold_s: float = 1.0
     answer_margin_s: float = 0.8
     connect_s: float = 0.5
-    backoff_first_s: float = 0.05
-    backoff_limit_s: float = 0.15
+    initial_backoff_s: float = 0.05
+    max_backoff_s: float = 0.15
 
 
 DEFAULT_TIMING = NewsTiming()
@@ -152,7 +152,7 @@
 
     async def _run(self, delay_s: float) -> None:
         await asyncio.sleep(delay_s)
-        backoff_s = self._timing.backoff_first_s
+        backoff_s = self._timing.initial_backoff_s
         while True:
             try:
                 await self._follow()
@@ -160,9 +160,9 @@
                 self._note_loss(error)
             except (AnswerBrokenError, MessageError, TimeoutError) as error:
                 self._note_loss(error)
-                backoff_s = self._timing.backoff_first_s
+                backoff_s = self._timing.initial_backoff_s
             await asyncio.sleep(self._random.uniform(0.5, 1.0) * backoff_s)
-            backoff_s = min(2 * backoff_s, self._timing.backoff_limit_s)
+            backoff_s = min(2 * backoff_s, self._timing.max_backoff_s)
 
     def _note_loss(self, error: Exception) -> None:
         """Tell the subscriber, and log the loss if the link was up."""
