--- a/benchmarks/overload/plain_ways.py
+++ b/benchmarks/overload/plain_ways.py
@@ -129,20 +129,20 @@
         return choice.candidate.target_id if choice else None
 
     def sent(self, number, name, objective_s, now_s) -> None:
-        self.loads.sent(name, False)
-        self.admission.sent(number, name, objective_s, now_s)
+        self.loads.record_sent(name, False)
+        self.admission.record_sent(number, name, objective_s, now_s)
 
     def shed(self, number, name, now_s) -> None:
-        self.loads.ended(name, False)
-        self.admission.ended(number)
-        self.admission.rejected_by_target(name, now_s)
+        self.loads.record_ended(name, False)
+        self.admission.record_ended(number)
+        self.admission.record_rejection(name, now_s)
         self.busy_until_s[name] = now_s + BUSY_COOLDOWN_S
         self.admit_waiting(now_s)
 
     def answered(self, number, name, sent_s, now_s) -> None:
-        self.loads.ended(name, False)
-        self.admission.answer_started(number, now_s)
-        self.admission.ended(number)
+        self.loads.record_ended(name, False)
+        self.admission.record_answer_started(number, now_s)
+        self.admission.record_ended(number)
         self.admit_waiting(now_s)
 
     def retry_after_s(self, objective_s, remaining_s, now_s) -> float:
--- a/benchmarks/overload/simulation.py
+++ b/benchmarks/overload/simulation.py
@@ -247,8 +247,8 @@
         kind = arrival.kind
         shared_prefixes = ((f"{kind.name}-{arrival.subject}", kind.shared_tokens),)
         attempt.job = Job(attempt.number, shared_prefixes, kind.own_tokens, kind.out_tokens)
-        router.loads.sent(name)
-        router.admission.sent(attempt.number, name, kind.objective_s, self.now_s)
+        router.loads.record_sent(name)
+        router.admission.record_sent(attempt.number, name, kind.objective_s, self.now_s)
         engine = self._engines[name]
         if not engine.is_up:
             self._release(router, attempt, name)
@@ -276,7 +276,7 @@
                 continue
             attempt.is_done = True
             router.loads.observe_report(engine.name, report, self.now_s)
-            router.admission.answer_started(job.number, self.now_s)
+            router.admission.record_answer_started(job.number, self.now_s)
             took_s = self.now_s - attempt.arrival.at_s
             end = "in time" if took_s <= attempt.arrival.kind.objective_s else "late"
             self.outcomes.append(Outcome(attempt.arrival, end, took_s, None))
@@ -287,8 +287,8 @@
         self._step(engine)
 
     def _release(self, router: _Router, attempt: _Attempt, name: str) -> None:
-        router.loads.ended(name)
-        router.admission.ended(attempt.number)
+        router.loads.record_ended(name)
+        router.admission.record_ended(attempt.number)
         self._admit_waiting(router)
 
     def _admit_waiting(self, router: _Router) -> None:
--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -184,7 +184,7 @@
     def _serve(self, chat: Chat, engine: Engine, router: int, prompt: int, need: int) -> None:
         """Start a request at an engine and schedule its first token."""
         request_id = str(next(self.order))
-        self.placers[router].started(request_id, engine.name, chat.digest, need, self.now_s)
+        self.placers[router].record_started(request_id, engine.name, chat.digest, need, self.now_s)
         reused = min(engine.cached_prefix_tokens(chat), prompt)
         if self.now_s > self.setting.warm_up_s:
             self.counts["reused"] += reused
@@ -217,7 +217,7 @@
     def end(self, *arguments: Any) -> None:
         """End an answer; the chat continues after a pause."""
         chat, engine, epoch, router, request_id, _, answer = arguments
-        self.placers[router].finished(request_id, epoch == engine.epoch, self.now_s)
+        self.placers[router].record_finished(request_id, epoch == engine.epoch, self.now_s)
         if epoch == engine.epoch:
             engine.load_at(self.now_s)
             engine.running -= 1
--- a/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/pool_admission.py
@@ -101,7 +101,8 @@
     >>> slots = [TargetSlots("t", 8.0)]
     >>> pool.offer(first, slots, 0.0).step.value, pool.offer(second, slots, 0.0).step.value
     ('start', 'wait')
-    >>> pool.sent(1, "t", 1.0, 0.0); pool.answer_started(1, 0.05); pool.admit_waiting(slots, 0.05)
+    >>> pool.record_sent(1, "t", 1.0, 0.0)
+    >>> pool.record_answer_started(1, 0.05); pool.admit_waiting(slots, 0.05)
     (2,)
     """
 
@@ -145,30 +146,30 @@
         """Return how many requests wait at this router for a target."""
         return self.queue.waiting_for(target_id)
 
-    def sent(self, number: int, target_id: str, objective_s: float, now_s: float) -> None:
+    def record_sent(self, number: int, target_id: str, objective_s: float, now_s: float) -> None:
         """Record the target that a request is sent to, for the first time or again."""
         self._admitted_unsent.discard(number)
         if self._target_of.get(number) == target_id:
             return
-        self.ended(number)
+        self.record_ended(number)
         self._target_of[number] = target_id
-        self._window(target_id).sent(number, now_s, objective_s)
-        self._pool_window.sent(number, now_s, objective_s)
+        self._window(target_id).record_sent(number, now_s, objective_s)
+        self._pool_window.record_sent(number, now_s, objective_s)
 
-    def answer_started(self, number: int, now_s: float) -> None:
+    def record_answer_started(self, number: int, now_s: float) -> None:
         """Record that an answer started."""
         target_id = self._target_of.get(number)
         if target_id is not None:
-            self._window(target_id).answer_started(number, now_s)
-            self._pool_window.answer_started(number, now_s)
+            self._window(target_id).record_answer_started(number, now_s)
+            self._pool_window.record_answer_started(number, now_s)
 
-    def ended(self, number: int) -> None:
+    def record_ended(self, number: int) -> None:
         """Record that the last send of a request will not start an answer any more."""
         self._admitted_unsent.discard(number)
         target_id = self._target_of.pop(number, None)
         if target_id is not None:
-            self._window(target_id).ended(number)
-            self._pool_window.ended(number)
+            self._window(target_id).record_ended(number)
+            self._pool_window.record_ended(number)
 
     def admit_waiting(self, target_slots: Sequence[TargetSlots], now_s: float) -> tuple[int, ...]:
         """Return the numbers of the waiting requests that may be sent now."""
@@ -186,9 +187,9 @@
             admitted.append(request.number)
         return tuple(admitted)
 
-    def rejected_by_target(self, target_id: str, now_s: float) -> None:
+    def record_rejection(self, target_id: str, now_s: float) -> None:
         """Record that a target rejected a request because it had no free slot."""
-        self._window(target_id).rejected(now_s)
+        self._window(target_id).record_rejection(now_s)
 
     def forget(self, target_id: str) -> None:
         """Drop the state of a target that is gone."""
@@ -211,7 +212,7 @@
     def _admit(self, request: PoolRequest, now_s: float) -> None:
         self.queue.record_served(request.account, now_s)
         if request.target_id:
-            self.sent(request.number, request.target_id, request.objective_s, now_s)
+            self.record_sent(request.number, request.target_id, request.objective_s, now_s)
         else:
             self._admitted_unsent.add(request.number)
 
--- a/packages/decisions/src/damaskwind/decisions/admission/start_window.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/start_window.py
@@ -86,7 +86,7 @@
     """One router's window for one target; `pool_delays` is shared by all targets of the pool.
 
     >>> window = StartWindow(WindowPolicy(initial_limit=8.0))
-    >>> for number in range(8): window.sent(number, 0.0, 1.0)
+    >>> for number in range(8): window.record_sent(number, 0.0, 1.0)
     >>> window.headroom(0.1), window.headroom(0.7), window.limit
     (0, -2, 6.0)
     """
@@ -101,11 +101,11 @@
         self._pool_delays = pool_delays or StartDelays(policy.memory_s)
         self._last_decrease_s = float("-inf")
 
-    def sent(self, number: int, now_s: float, objective_s: float) -> None:
+    def record_sent(self, number: int, now_s: float, objective_s: float) -> None:
         """Record that a request is sent."""
         self._pending[number] = _PendingStart(now_s, objective_s)
 
-    def answer_started(self, number: int, now_s: float) -> None:
+    def record_answer_started(self, number: int, now_s: float) -> None:
         """Record that an answer started."""
         pending_start = self._pending.pop(number, None)
         if pending_start is None:
@@ -119,7 +119,7 @@
             increased = self.limit + self._policy.increase / max(self.limit, 1.0)
             self.limit = min(self._policy.max_limit, increased)
 
-    def ended(self, number: int) -> None:
+    def record_ended(self, number: int) -> None:
         """Record that no answer will start."""
         self._pending.pop(number, None)
 
@@ -138,7 +138,7 @@
         fractions = self._recent_fractions(now_s)
         return median(fractions) if fractions else 0.0
 
-    def rejected(self, now_s: float) -> None:
+    def record_rejection(self, now_s: float) -> None:
         """Record that the target rejected a request because it had no free slot."""
         self._shrink(now_s)
 
--- a/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
+++ b/packages/decisions/src/damaskwind/decisions/admission/tests/test_pool_admission.py
@@ -20,22 +20,22 @@
     def test_late_answers_shrink_the_window_and_early_ones_grow_it(self):
         window = StartWindow(WindowPolicy(initial_limit=8.0))
         for number in range(20):
-            window.sent(number, number * 0.2, 1.0)
-            window.answer_started(number, number * 0.2 + 0.9)
+            window.record_sent(number, number * 0.2, 1.0)
+            window.record_answer_started(number, number * 0.2 + 0.9)
         self.assertLess(window.limit, 4.0)
         before = window.limit
         for number in range(100, 200):
             now_s = 10.0 + number * 0.05
-            window.sent(number, now_s, 1.0)
-            window.sent(number + 1000, now_s, 1.0)
-            window.answer_started(number, now_s + 0.04)
-            window.answer_started(number + 1000, now_s + 0.04)
+            window.record_sent(number, now_s, 1.0)
+            window.record_sent(number + 1000, now_s, 1.0)
+            window.record_answer_started(number, now_s + 0.04)
+            window.record_answer_started(number + 1000, now_s + 0.04)
         self.assertGreater(window.limit, before)
 
     def test_overdue_answers_shrink_the_window_before_they_start(self):
         window = StartWindow(WindowPolicy(initial_limit=8.0))
         for number in range(8):
-            window.sent(number, 0.0, 1.0)
+            window.record_sent(number, 0.0, 1.0)
         headrooms = [window.headroom(0.7 + step * 0.2) for step in range(10)]
         self.assertLess(window.limit, 2.0)
         self.assertGreaterEqual(window.limit, 1.0)
@@ -45,10 +45,10 @@
     def test_window_with_few_answers_uses_those_of_the_whole_pool(self):
         admission = PoolAdmission(Random(1), WindowPolicy(initial_limit=4.0))
         for number in range(12):
-            admission.sent(number, f"t{number}", 1.0, 0.0)
-            admission.answer_started(number, 0.9)
-        admission.sent(99, "t0", 1.0, 1.0)
-        admission.answer_started(99, 1.1)
+            admission.record_sent(number, f"t{number}", 1.0, 0.0)
+            admission.record_answer_started(number, 0.9)
+        admission.record_sent(99, "t0", 1.0, 1.0)
+        admission.record_answer_started(99, 1.1)
         self.assertLess(admission._window("t0").limit, 4.0)
 
 
@@ -67,7 +67,7 @@
     def test_targets_share_one_window(self):
         steps = [self.offer(number) for number in range(5)]
         self.assertEqual(steps, [AdmissionStep.START] * 3 + [AdmissionStep.WAIT] * 2)
-        self.admission.answer_started(0, 0.05)
+        self.admission.record_answer_started(0, 0.05)
         # One request started its answer, and early, so that the limit grew too.
         self.assertEqual(self.admission.admit_waiting(self.target_slots, 0.05), (3, 4))
         self.assertEqual(self.offer(5, now_s=0.05), AdmissionStep.WAIT)
@@ -113,7 +113,7 @@
         self.assertIs(outcome.step, AdmissionStep.WAIT)
         self.assertNotIn(50, [item.number for item in outcome.turned_away])
         self.assertLessEqual(len(self.admission.queue), waiting + 1)
-        self.admission.ended(0)
+        self.admission.record_ended(0)
         self.assertEqual(self.admission.admit_waiting(TARGET_SLOTS, 0.05), (50,))
 
     def test_full_target_is_sent_no_request(self):
@@ -132,7 +132,7 @@
             self.offer(request(number))
         retry = self.offer(request(100, came_back=True, left_s=5.0), 0.1)
         self.assertIs(retry.step, AdmissionStep.WAIT)
-        self.admission.ended(0)
+        self.admission.record_ended(0)
         self.assertNotIn(100, self.admission.admit_waiting(TARGET_SLOTS, 0.1))
 
     def test_retries_start_at_once_after_the_surge(self):
@@ -140,7 +140,7 @@
             self.offer(request(number))
         for number in range(20):
             self.admission.withdraw(number)
-            self.admission.ended(number)
+            self.admission.record_ended(number)
         retry = self.offer(request(100, came_back=True, left_s=5.0), 2.0)
         self.assertIs(retry.step, AdmissionStep.START)
 
--- a/packages/decisions/src/damaskwind/decisions/cold_targets/cold_periods.py
+++ b/packages/decisions/src/damaskwind/decisions/cold_targets/cold_periods.py
@@ -84,11 +84,11 @@
             return WARM
         return ColdState(True, period.slots.is_open(now_s, routers, limits.per_s))
 
-    def sent(self, target_id: str, limits: ColdStartLimits, routers: int) -> None:
+    def record_sent(self, target_id: str, limits: ColdStartLimits, routers: int) -> None:
         """Record that a request is being sent to a target."""
         period = self._periods.get(target_id)
         if period is not None and limits.per_s:
-            period.slots.sent(routers, limits.per_s)
+            period.slots.record_sent(routers, limits.per_s)
 
     def forget(self, target_id: str) -> None:
         """Remove a target that is gone."""
--- a/packages/decisions/src/damaskwind/decisions/cold_targets/send_slots.py
+++ b/packages/decisions/src/damaskwind/decisions/cold_targets/send_slots.py
@@ -49,7 +49,7 @@
         self._opens_s = opens_s
         return now_s >= opens_s
 
-    def sent(self, routers: int, per_s: float) -> None:
+    def record_sent(self, routers: int, per_s: float) -> None:
         """Record that a request was sent; the slot is used."""
         if self._opens_s is not None:
             self._opens_s += _interval_s(routers, per_s)
--- a/packages/decisions/src/damaskwind/decisions/cold_targets/tests/test_fleet_rate.py
+++ b/packages/decisions/src/damaskwind/decisions/cold_targets/tests/test_fleet_rate.py
@@ -44,7 +44,7 @@
         return periods.cold_state(target, LIMITS, len(self.routers), now_s).may_send
 
     def send(self, periods, target):
-        periods.sent(target, LIMITS, len(self.routers))
+        periods.record_sent(target, LIMITS, len(self.routers))
 
 
 class FleetRateTest(unittest.TestCase):
--- a/packages/decisions/src/damaskwind/decisions/load/estimate.py
+++ b/packages/decisions/src/damaskwind/decisions/load/estimate.py
@@ -105,14 +105,14 @@
         self._own_since_report_tokens = sum(tokens for _, tokens in self._own_since_report)
         return covered_tokens
 
-    def started(self, request_id: str, need_tokens: float, now_s: float) -> None:
+    def record_started(self, request_id: str, need_tokens: float, now_s: float) -> None:
         """Add work that this router just sent."""
         self._own_in_flight[request_id] = need_tokens
         self._own_tokens += need_tokens
         self._own_since_report.append((now_s, need_tokens))
         self._own_since_report_tokens += need_tokens
 
-    def finished(self, request_id: str, done: bool, now_s: float) -> None:
+    def record_finished(self, request_id: str, done: bool, now_s: float) -> None:
         """Remove ended work from what this router has in flight.
 
         Work that was not done is subtracted from the target's load, whatever the last
@@ -159,7 +159,7 @@
 
     >>> table = LoadTable()
     >>> table.observe("a", LoadReport(100, 1000, 1, 0, 0.5), now_s=10.0)
-    >>> table.started("r1", "a", 30.0, now_s=10.1)
+    >>> table.record_started("r1", "a", 30.0, now_s=10.1)
     >>> table.estimate_tokens("a", now_s=10.2)
     130.0
     """
@@ -184,17 +184,19 @@
         """Process a report on a target."""
         self.load(target_id).observe(report, now_s)
 
-    def started(self, request_id: str, target_id: str, need_tokens: float, now_s: float) -> None:
+    def record_started(
+        self, request_id: str, target_id: str, need_tokens: float, now_s: float
+    ) -> None:
         """Record a request sent to a target."""
         self._target_of_request[request_id] = target_id
-        self.load(target_id).started(request_id, need_tokens, now_s)
+        self.load(target_id).record_started(request_id, need_tokens, now_s)
 
-    def finished(self, request_id: str, done: bool, now_s: float) -> None:
+    def record_finished(self, request_id: str, done: bool, now_s: float) -> None:
         """Record the end of a request; an unknown request is ignored."""
         target_id = self._target_of_request.pop(request_id, None)
         load = self._loads.get(target_id) if target_id is not None else None
         if load is not None:
-            load.finished(request_id, done, now_s)
+            load.record_finished(request_id, done, now_s)
 
     def estimate_tokens(self, target_id: str, now_s: float) -> float:
         """Return the estimated outstanding work at a target."""
--- a/packages/decisions/src/damaskwind/decisions/load/held_requests.py
+++ b/packages/decisions/src/damaskwind/decisions/load/held_requests.py
@@ -118,7 +118,7 @@
     the reports.
 
     >>> loads = LoadEstimator()
-    >>> loads.observe_report("a", TargetLoad(6, 0, 64), 0.0); loads.sent("b")
+    >>> loads.observe_report("a", TargetLoad(6, 0, 64), 0.0); loads.record_sent("b")
     >>> loads.estimates(["a", "b", "c"], 2, 0.1)
     {'a': 6, 'b': 8.0, 'c': 6.0}
     >>> held = HeldSum((HeldCount(target_digest("c"), 3),), 2, 0.5)
@@ -134,7 +134,7 @@
         self._last_reported: dict[str, dict[int, int]] = {}
         self._sums: dict[str, _Sum] = {}
 
-    def sent(self, target_id: str, is_shared: bool = True) -> None:
+    def record_sent(self, target_id: str, is_shared: bool = True) -> None:
         """Record a request that is being sent; one with `is_shared` is reported to replicas.
 
         Requests of a plain service end within a tenth of a second, so that what others
@@ -144,7 +144,7 @@
         if is_shared:
             self._shared_in_flight[target_id] = self._shared_in_flight.get(target_id, 0) + 1
 
-    def ended(self, target_id: str, is_shared: bool = True) -> None:
+    def record_ended(self, target_id: str, is_shared: bool = True) -> None:
         """Record a request that has ended."""
         self._in_flight[target_id] = max(0, self._in_flight.get(target_id, 0) - 1)
         if is_shared:
--- a/packages/decisions/src/damaskwind/decisions/load/tests/partial_view_replay.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/partial_view_replay.py
@@ -102,7 +102,7 @@
         loads = self.random.choices(self.routers, self.shares)[0]
         key, lasts_s = self.random.choices(self.keys, self.weights)[0]
         engine = self.place(loads, key, now_s)
-        loads.sent(engine.name)
+        loads.record_sent(engine.name)
         engine.held += 1
         slowness = engine.slowness()
         begins_s = 0.08 + self.random.expovariate(1 / 0.15) * slowness
@@ -138,7 +138,7 @@
         loads.observe_report(engine.name, TargetLoad(engine.held, 0, SLOTS), now_s)
 
     def end(self, now_s, loads, engine):
-        loads.ended(engine.name)
+        loads.record_ended(engine.name)
         engine.held -= 1
 
     def worst_share_above(self):
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_estimate.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_estimate.py
@@ -20,8 +20,8 @@
         self.table = LoadTable()
 
     def test_own_work_after_the_measurement_is_added_once(self) -> None:
-        self.table.started("before", "a", 50.0, 1.0)
-        self.table.started("after", "a", 70.0, 2.5)
+        self.table.record_started("before", "a", 50.0, 1.0)
+        self.table.record_started("after", "a", 70.0, 2.5)
         self.table.observe("a", _report(500, age_s=1.0), 3.0)
         self.assertEqual(self.table.estimate_tokens("a", 3.0), 570.0)
         self.table.observe("a", _report(560, age_s=0.0), 3.2)
@@ -34,21 +34,21 @@
 
     def test_work_that_was_not_done_is_subtracted(self) -> None:
         self.table.observe("a", _report(500), 1.0)
-        self.table.started("r", "a", 70.0, 1.1)
-        self.table.finished("r", False, 1.2)
+        self.table.record_started("r", "a", 70.0, 1.1)
+        self.table.record_finished("r", False, 1.2)
         self.assertEqual(self.table.estimate_tokens("a", 1.2), 500.0)
 
     def test_a_target_without_reports_has_own_work_from_each_router(self) -> None:
         self.table.router_count = 8
-        self.table.started("r", "a", 70.0, 1.0)
+        self.table.record_started("r", "a", 70.0, 1.0)
         self.assertEqual(self.table.estimate_tokens("a", 1.0), 560.0)
-        self.table.finished("r", True, 2.0)
+        self.table.record_finished("r", True, 2.0)
         self.assertEqual(self.table.estimate_tokens("a", 2.0), 0.0)
 
     def test_a_removed_target_starts_without_load(self) -> None:
-        self.table.started("r", "a", 70.0, 1.0)
+        self.table.record_started("r", "a", 70.0, 1.0)
         self.table.forget("a")
-        self.table.finished("r", True, 2.0)
+        self.table.record_finished("r", True, 2.0)
         self.assertEqual(self.table.estimate_tokens("a", 2.0), 0.0)
 
     def test_steady_peers_are_extrapolated(self) -> None:
@@ -59,7 +59,7 @@
     def test_own_work_is_not_mistaken_for_drift(self) -> None:
         load_tokens = 1000.0
         for step in range(40):
-            self.table.started(str(step), "a", 100.0, step + 0.5)
+            self.table.record_started(str(step), "a", 100.0, step + 0.5)
             load_tokens += 100.0
             self.table.observe("a", _report(load_tokens), step + 1.0)
         self.assertLess(abs(self.table.estimate_tokens("a", 42.0) - load_tokens), 1.0)
--- a/packages/decisions/src/damaskwind/decisions/load/tests/test_held_requests.py
+++ b/packages/decisions/src/damaskwind/decisions/load/tests/test_held_requests.py
@@ -51,7 +51,7 @@
             self.sent += 1
             self.away += choice.rank > 0
             self.above += held[name] > 2 * sum(held.values()) / len(TARGETS) + 3
-        loads.sent(name)
+        loads.record_sent(name)
         loads.observe_report(name, TargetLoad(held[name] + 1, 0, 128), now_s)
         self.ends[name].append((now_s + LASTS_S, loads))
 
@@ -59,14 +59,14 @@
         for name, ends in self.ends.items():
             for end_s, loads in ends:
                 if end_s <= now_s:
-                    loads.ended(name)
+                    loads.record_ended(name)
             self.ends[name] = [item for item in ends if item[0] > now_s]
 
 
 class ColdStartTest(unittest.TestCase):
     def test_own_requests_to_a_target_without_reports_count_for_other_routers_too(self):
         loads = LoadEstimator()
-        loads.sent("a")
+        loads.record_sent("a")
         self.assertEqual(loads.estimates(["a", "b"], 8, 0.0), {"a": 8.0, "b": 0.0})
         self.assertEqual(loads.estimates(["a", "b"], 2100, 0.0), {"a": 8.0, "b": 0.0})
 
@@ -83,13 +83,13 @@
         return self.loads.estimates(["a", "b"], 8, now_s)[target]
 
     def test_own_requests_are_counted_at_their_current_number(self):
-        self.loads.sent("a")
+        self.loads.record_sent("a")
         self.loads.report_to("replica")
-        self.loads.sent("a")
+        self.loads.record_sent("a")
         self.receive_sum(a=7)
         self.assertEqual(self.estimate(1.0), 8)
-        self.loads.ended("a")
-        self.loads.ended("a")
+        self.loads.record_ended("a")
+        self.loads.record_ended("a")
         self.assertEqual(self.estimate(1.1), 6)
 
     def test_fresher_of_report_and_sum_counts(self):
@@ -126,7 +126,7 @@
         self.assertEqual(self.estimate(1.0), 0)
 
     def test_plain_requests_are_not_reported(self):
-        self.loads.sent("a", is_shared=False)
+        self.loads.record_sent("a", is_shared=False)
         self.assertEqual(self.loads.report_to("replica"), ())
         self.assertEqual(self.loads.own_in_flight("a"), 1)
 
--- a/packages/decisions/src/damaskwind/decisions/placement/placer.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/placer.py
@@ -141,18 +141,18 @@
         loads = [RankedTarget(name, self.load_table.estimate_tokens(name, now_s)) for name in first]
         return PoolSnapshot(len(tier.target_ids), mean_tokens, tuple(loads))
 
-    def started(
+    def record_started(
         self, request_id: str, target_id: str, chat_digest: str, need_tokens: float, now_s: float
     ) -> None:
         """Record that a request was just sent to a target."""
-        self.load_table.started(request_id, target_id, need_tokens, now_s)
+        self.load_table.record_started(request_id, target_id, need_tokens, now_s)
         self._add_to_mean(target_id, need_tokens)
         self._chat_of_request[request_id] = chat_digest
         self._chats_in_flight[chat_digest] += 1
 
-    def finished(self, request_id: str, done: bool, now_s: float) -> None:
+    def record_finished(self, request_id: str, done: bool, now_s: float) -> None:
         """Record the end of a request; `done` is set if it was served completely."""
-        self.load_table.finished(request_id, done, now_s)
+        self.load_table.record_finished(request_id, done, now_s)
         chat_digest = self._chat_of_request.pop(request_id, None)
         if chat_digest is None:
             return
--- a/packages/decisions/src/damaskwind/decisions/placement/tests/test_burst.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/tests/test_burst.py
@@ -43,4 +43,4 @@
                 query = PlacementQuery(digest, (), "a", 116.0, "local", POOL, is_new=True)
                 choice = placer.place(query, 0.0)
                 self.assertIsNotNone(choice.target_id, f"{number} of {count} targets")
-                placer.started(f"r{number}", choice.target_id, digest, 116.0, 0.0)
+                placer.record_started(f"r{number}", choice.target_id, digest, 116.0, 0.0)
--- a/packages/decisions/src/damaskwind/decisions/placement/tests/test_placer.py
+++ b/packages/decisions/src/damaskwind/decisions/placement/tests/test_placer.py
@@ -199,7 +199,7 @@
             choice = self.placer.place(query("batch", prefix_digests=(str(number),)), 1.0)
             used.add(choice.target_id)
             digest = query("batch").chat_digest
-            self.placer.started(str(number), choice.target_id, digest, NEED_TOKENS, 1.0)
+            self.placer.record_started(str(number), choice.target_id, digest, NEED_TOKENS, 1.0)
         self.assertGreater(len(used), 5)
 
 
@@ -257,7 +257,9 @@
                 name = busy[step * 10 + number] if number < hot_chats else (step, number)
                 chat = query(name, is_new=is_new)
                 target_id = router.place(chat, step + 0.5).target_id
-                router.started(f"{step}/{number}", target_id, chat.chat_digest, 300.0, step + 0.5)
+                router.record_started(
+                    f"{step}/{number}", target_id, chat.chat_digest, 300.0, step + 0.5
+                )
                 loads[target_id] += NEED_TOKENS
             if step > 5:
                 worst = max(worst, max(loads.values()) / (sum(loads.values()) / len(loads)))
--- a/packages/router/src/damaskwind/router/forwarding/attempt.py
+++ b/packages/router/src/damaskwind/router/forwarding/attempt.py
@@ -152,7 +152,7 @@
             self.connections.return_unused(target.target_id, connection)
             return AttemptOutcome(AttemptEnd.WITHHELD, "the target no longer accepts work")
         is_engine = call.key is not None
-        self._loads.sent(target.target_id, is_engine)
+        self._loads.record_sent(target.target_id, is_engine)
         wait_number = self.activity.begin_wait(target.target_id, read_clock())
         try:
             return await self._exchange(connection, request, call, placement, delivery, may_reroute)
@@ -165,7 +165,7 @@
         except TimeoutError:
             return AttemptOutcome(AttemptEnd.STALLED, "the target was silent")
         finally:
-            self._loads.ended(target.target_id, is_engine)
+            self._loads.record_ended(target.target_id, is_engine)
             self.activity.end_wait(target.target_id, wait_number)
             if connection.is_in_use:
                 connection.abort()
--- a/packages/router/src/damaskwind/router/forwarding/cold_targets.py
+++ b/packages/router/src/damaskwind/router/forwarding/cold_targets.py
@@ -38,7 +38,9 @@
     def record_sent(self, record: TargetRecord, now_s: float) -> None:
         """Record that a request is being sent to a target."""
         routers = self._view.max_routers.value(now_s) or 1
-        self._periods.sent(record.target_id, self._view.cold_start_limits(record.service), routers)
+        self._periods.record_sent(
+            record.target_id, self._view.cold_start_limits(record.service), routers
+        )
 
     def forget(self, target_id: str) -> None:
         """Drop a target that is gone."""
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -121,7 +121,7 @@
             self.answers.log(call, delivery, "caller left", "the caller closed its connection")
             raise
         finally:
-            self.admissions.ended(call)
+            self.admissions.record_ended(call)
         self.answers.finish(exchange, call, delivery, outcome)
 
     def _admit(self, exchange: Exchange) -> Call | None:
@@ -222,7 +222,7 @@
         if basis.age_s is not None:
             self.tallies.observe("load_age", basis.age_s, source=basis.source.value)
         self.tallies.count("placements", load_from=basis.source.value)
-        self.admissions.sent(call, target.target_id)
+        self.admissions.record_sent(call, target.target_id)
         call.sends += 1
         call.tried.add(target.target_id)
         self.target_states.record_sent(target, begun_s)
@@ -238,7 +238,7 @@
             )
         finally:
             now_s = read_clock()
-            self.admissions.ended(call)
+            self.admissions.record_ended(call)
             call.notes.append(
                 AttemptNote(
                     target.target_id,
@@ -270,7 +270,7 @@
         if outcome.end is AttemptEnd.NOT_RUN:
             call.may_have_run = could_have_run
             if outcome.was_reached and not outcome.is_displaced:
-                self.admissions.rejected_by_target(call, target.target_id)
+                self.admissions.record_rejection(call, target.target_id)
         self.target_states.record_ended(target, _send_result(outcome), now_s)
         if outcome.is_connection_lost:
             broken = BrokenSend(call.digest, level, call.facts.request_id)
@@ -283,9 +283,9 @@
         """Record the answer time or the refusal of a service that reports no load."""
         result = _send_result(outcome)
         if outcome.answer is not None or result.is_good:
-            self.throttles.answered(call, took_s)
+            self.throttles.record_answer(call, took_s)
         elif result.was_refused and not result.is_displaced and not outcome.asks_for_pause:
-            self.throttles.rejected(call)
+            self.throttles.record_rejection(call)
 
     def _record_target_crash(self, target: TargetRecord, sends: list[BrokenSend]) -> None:
         """Put the requests in flight at a target that crashed under suspicion."""
@@ -298,7 +298,7 @@
         self.target_states.record_answer_started(
             call.service, target_id, objective_share, read_clock()
         )
-        self.admissions.answer_started(call)
+        self.admissions.record_answer_started(call)
 
     def _choose_target(self, call: Call) -> Placement | None:
         """Choose the next target for a request, `None` if there is none to try."""
--- a/packages/router/src/damaskwind/router/forwarding/pool_admissions.py
+++ b/packages/router/src/damaskwind/router/forwarding/pool_admissions.py
@@ -79,24 +79,24 @@
             item._replace(load=item.load + pool.waiting_for(item.target_id)) for item in candidates
         ]
 
-    def sent(self, call: Call, target_id: str) -> None:
+    def record_sent(self, call: Call, target_id: str) -> None:
         """Record that a request is sent to a target."""
         pool = self._pool(call.service)
-        pool.sent(call.number, target_id, call.route.objective_s, read_clock())
+        pool.record_sent(call.number, target_id, call.route.objective_s, read_clock())
 
-    def answer_started(self, call: Call) -> None:
+    def record_answer_started(self, call: Call) -> None:
         """Record that the answer to a request began."""
-        self._pool(call.service).answer_started(call.number, read_clock())
+        self._pool(call.service).record_answer_started(call.number, read_clock())
         self._start_ready(call.service)
 
-    def ended(self, call: Call) -> None:
+    def record_ended(self, call: Call) -> None:
         """Record that the last attempt of a request has ended, or that its answer can't begin."""
-        self._pool(call.service).ended(call.number)
+        self._pool(call.service).record_ended(call.number)
         self._start_ready(call.service)
 
-    def rejected_by_target(self, call: Call, target_id: str) -> None:
+    def record_rejection(self, call: Call, target_id: str) -> None:
         """Record that a target refused a request because it had no free slot."""
-        self._pool(call.service).rejected_by_target(target_id, read_clock())
+        self._pool(call.service).record_rejection(target_id, read_clock())
 
     def retry_after_s(self, call: Call) -> float:
         """Return the seconds after which a caller that is refused now should retry."""
--- a/packages/router/src/damaskwind/router/forwarding/service_throttles.py
+++ b/packages/router/src/damaskwind/router/forwarding/service_throttles.py
@@ -52,13 +52,13 @@
         """Return the seconds after which a caller that is rejected here should retry."""
         return round(self._random.uniform(*RETRY_AFTER_SHARES) * call.route.objective_s, 3)
 
-    def answered(self, call: Call, took_s: float) -> None:
+    def record_answer(self, call: Call, took_s: float) -> None:
         """Record that a target answered after `took_s`."""
         is_late = took_s > LATE_SHARE * call.route.objective_s
         stats = ServiceStats(answered=1, late=int(is_late), busy_ms=round(took_s * 1000))
         self._count(call.service, stats)
 
-    def rejected(self, call: Call) -> None:
+    def record_rejection(self, call: Call) -> None:
         """Record that a target refused a request because it had no free slot."""
         self._count(call.service, ServiceStats(turned_away=1))
 
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_restarted_target.py
@@ -33,7 +33,7 @@
         target_states, now_s = self.forwarder.target_states, read_clock()
         record = self.view.targets.record_of("t0")
         target_states.loads.observe_report("t0", TargetLoad(8, 4, 8), now_s)
-        target_states.loads.sent("t0")
+        target_states.loads.record_sent("t0")
         target_states.record_ended(record, SendResult(False, was_refused=True), now_s)
         for _ in range(20):
             target_states.record_sent(record, now_s)
--- a/packages/router/src/damaskwind/router/placing.py
+++ b/packages/router/src/damaskwind/router/placing.py
@@ -75,7 +75,7 @@
         self.in_flight[target.target_id] -= 1
         if not self.in_flight[target.target_id]:
             del self.in_flight[target.target_id]
-        self._directory.placers[work.kind].finished(
+        self._directory.placers[work.kind].record_finished(
             work.request_id, succeeded, self._clock.seconds()
         )
         self._directory.capacity_changed()
@@ -103,7 +103,7 @@
             return None
         self.in_flight[target.target_id] += 1
         self._health.record_sent(target)
-        placer.started(
+        placer.record_started(
             work.request_id,
             target.target_id,
             work.query.chat_digest,
