--- a/packages/decisions/src/damaskwind/decisions/following/tests/test_document_sources.py
+++ b/packages/decisions/src/damaskwind/decisions/following/tests/test_document_sources.py
@@ -64,11 +64,11 @@
         self.assertEqual(make_sources("r", hosts=("a",)).choose(6, 1, 0.0), "a")
 
     @given(st.lists(st.tuples(st.sampled_from(HOSTS), st.integers(0, 9)), min_size=1))
-    def test_newer_version_is_always_fetched_in_the_end(self, told):
+    def test_newer_version_is_always_fetched_in_the_end(self, reported):
         sources = DocumentSources("r")
-        for number, (host, version) in enumerate(told):
+        for number, (host, version) in enumerate(reported):
             sources.record_version(host, version, True, host == "a", number / 1000)
-        newest = dict(told)
+        newest = dict(reported)
         host = sources.choose(4, 6, 100.0)
         self.assertEqual(host is not None, max(newest.values()) > 4)
         if host is not None:
--- a/packages/decisions/src/damaskwind/decisions/membership/target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_table.py
@@ -401,7 +401,7 @@
         phase = TargetPhase.SERVING
         return [entry.record for entry in self._entries.values() if entry.record.phase is phase]
 
-    def living(self) -> list[TargetRecord]:
+    def serving_or_leaving(self) -> list[TargetRecord]:
         """Return the records of all targets that are not gone."""
         gone = TargetPhase.GONE
         return [entry.record for entry in self._entries.values() if entry.record.phase is not gone]
--- a/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/tests/test_target_table.py
@@ -54,7 +54,7 @@
         table.merge(record(phase=TargetPhase.LEAVING, sequence=3), 0.0)
         self.assertFalse(table.merge(record(sequence=4), 0.0))
         self.assertEqual(table.serving(), [])
-        self.assertEqual(len(table.living()), 1)
+        self.assertEqual(len(table.serving_or_leaving()), 1)
 
     def test_heartbeat_without_changes_keeps_the_revision(self):
         table = TargetTable()
@@ -195,7 +195,7 @@
     def test_limited_changes_and_phase_changes_converge(self, records):
         source, replica, known_revision = TargetTable(), TargetTable(), 0
 
-        def tell():
+        def send_changes():
             changes = source.compact_changes_since(known_revision, 1)
             for change in (*changes.records, *replica.expand_phases(changes.phases)):
                 replica.merge(change, 0.0)
@@ -203,9 +203,9 @@
 
         for item in records:
             source.merge(item, 0.0)
-            known_revision = tell()
+            known_revision = send_changes()
         while known_revision < source.revision:
-            known_revision = tell()
+            known_revision = send_changes()
         self.assertEqual(replica.digest, source.digest)
 
     @given(RECORDS)
--- a/packages/decisions/src/damaskwind/decisions/target_signals/signal_table.py
+++ b/packages/decisions/src/damaskwind/decisions/target_signals/signal_table.py
@@ -64,12 +64,12 @@
             return TargetSignal.LEAVE
         if not signals.rest_s:
             return TargetSignal.NOTHING
-        was_resting = self._rest_until_s.get(incarnation, 0.0) > now_s
-        if not was_resting:
+        was_paused = self._rest_until_s.get(incarnation, 0.0) > now_s
+        if not was_paused:
             self._drop_expired(now_s)
         until_s = now_s + signals.rest_s
         self._rest_until_s[incarnation] = max(until_s, self._rest_until_s.get(incarnation, 0.0))
-        return TargetSignal.NOTHING if was_resting else TargetSignal.REST
+        return TargetSignal.NOTHING if was_paused else TargetSignal.REST
 
     def signal(self, incarnation: Hashable, now_s: float) -> TargetSignal:
         """Return the current signal of a target incarnation."""
@@ -88,22 +88,22 @@
             if self.signal(incarnation, now_s) is not TargetSignal.NOTHING
         )
 
-    def rest_left_s(self, incarnations: Iterable[Hashable], now_s: float) -> float | None:
+    def pause_left_s(self, incarnations: Iterable[Hashable], now_s: float) -> float | None:
         """Return the seconds until the first of these incarnations ends its rest, if any rests.
 
         >>> table = SignalTable()
         >>> for incarnation, rest_s in (("t", 3.0), ("u", 1.0)):
         ...     _ = table.observe(incarnation, AnswerSignals(rest_s), 10.0)
-        >>> table.rest_left_s(("t", "u"), 10.5), table.rest_left_s(("v",), 10.5)
+        >>> table.pause_left_s(("t", "u"), 10.5), table.pause_left_s(("v",), 10.5)
         (0.5, None)
         """
-        resting = [
+        paused = [
             incarnation
             for incarnation in incarnations
             if self.signal(incarnation, now_s) is TargetSignal.REST
         ]
         return min(
-            (self._rest_until_s[incarnation] - now_s for incarnation in resting), default=None
+            (self._rest_until_s[incarnation] - now_s for incarnation in paused), default=None
         )
 
     def count(self, signal: TargetSignal, now_s: float) -> int:
@@ -112,9 +112,9 @@
 
     def _drop_expired(self, now_s: float) -> None:
         """Drop signals that have expired."""
-        rests, leaving = self._rest_until_s, self._leaving_since_s
+        paused, leaving = self._rest_until_s, self._leaving_since_s
         self._rest_until_s = {
-            incarnation: until_s for incarnation, until_s in rests.items() if until_s > now_s
+            incarnation: until_s for incarnation, until_s in paused.items() if until_s > now_s
         }
         self._leaving_since_s = {
             incarnation: at_s
--- a/packages/decisions/src/damaskwind/decisions/target_signals/tests/test_target_signals.py
+++ b/packages/decisions/src/damaskwind/decisions/target_signals/tests/test_target_signals.py
@@ -52,7 +52,7 @@
         self.assertIs(table.observe("t", AnswerSignals(2.0, True), 0.0), TargetSignal.LEAVE)
         self.assertIs(table.observe("t", AnswerSignals(), 1.0), TargetSignal.NOTHING)
         self.assertIs(table.signal("t", 60.0), TargetSignal.LEAVE)
-        self.assertIsNone(table.rest_left_s(["t"], 1.0))
+        self.assertIsNone(table.pause_left_s(["t"], 1.0))
 
 
 class ParseSignalsTest(unittest.TestCase):
--- a/packages/router/src/damaskwind/router/caller.py
+++ b/packages/router/src/damaskwind/router/caller.py
@@ -15,7 +15,7 @@
         self.gone = False
         self._watchers: list[Callable[[], None]] = []
         self._request = request
-        request.notifyFinish().addErrback(self._lost)
+        request.notifyFinish().addErrback(self._connection_lost)
 
     def when_gone(self, watcher: Callable[[], None]) -> None:
         """Call `watcher` when the caller disconnects, or immediately if it already has."""
@@ -36,7 +36,7 @@
         if transport:
             transport.abortConnection()
 
-    def _lost(self, failure: Any) -> None:
+    def _connection_lost(self, failure: Any) -> None:
         """Notify the watchers once."""
         self.gone = True
         watchers, self._watchers = self._watchers, []
--- a/packages/router/src/damaskwind/router/forwarding/fleet_view.py
+++ b/packages/router/src/damaskwind/router/forwarding/fleet_view.py
@@ -201,14 +201,14 @@
     def serving_or_draining(self, service: str) -> list[TargetRecord]:
         """Return the targets of a service that take work or still finish their requests."""
         departed = self.targets.departed(read_clock(), LINGER_S)
-        records = [*self.targets.living(), *departed]
+        records = [*self.targets.serving_or_leaving(), *departed]
         return [record for record in records if record.service == service]
 
     def is_silent(self, target_id: str, now_s: float) -> bool:
         """Tell whether a target has missed its heartbeats, as far as this router can tell."""
         # While this process was suspended, it received no heartbeats at all.
-        heard_s = max(self.targets.last_seen_s(target_id), last_woken_s())
-        return now_s - heard_s > SILENT_S and self.count_reachable_replicas() > 0
+        seen_s = max(self.targets.last_seen_s(target_id), last_woken_s())
+        return now_s - seen_s > SILENT_S and self.count_reachable_replicas() > 0
 
     def table_digest(self) -> int:
         """Return a digest of the targets known here."""
@@ -295,10 +295,10 @@
         """Apply evacuations of a newer revision; older ones are ignored."""
         if evacuations.revision <= self.evacuations.revision:
             return
-        taken_back = frozenset(self.evacuations.failure_domains) - set(evacuations.failure_domains)
+        lifted = frozenset(self.evacuations.failure_domains) - set(evacuations.failure_domains)
         self.evacuations = evacuations
         for callback in self.on_evacuations_lifted:
-            callback(taken_back)
+            callback(lifted)
         logger.info(
             "evacuations in force",
             revision=evacuations.revision,
--- a/packages/router/src/damaskwind/router/forwarding/forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/forwarder.py
@@ -343,7 +343,7 @@
 
     def _set_retry_after(self, call: Call) -> None:
         """Let the caller retry when the first pause ends, if all targets asked for one."""
-        rest_s = self.target_states.rest_left_s(self._allowed_targets(call).values(), read_clock())
+        rest_s = self.target_states.pause_left_s(self._allowed_targets(call).values(), read_clock())
         if rest_s is not None:
             call.retry_after_s = draw_retry_after_pause_s(
                 rest_s, call.route.objective_s, self._random
--- a/packages/router/src/damaskwind/router/forwarding/table_exchange.py
+++ b/packages/router/src/damaskwind/router/forwarding/table_exchange.py
@@ -50,7 +50,7 @@
 class TableExchange:
     """Serves and fetches the target tables of one router.
 
-    `seen` returns the epoch and revision that this router has seen of each replica. `take` is
+    `seen` returns the epoch and revision that this router has seen of each replica. `merge` is
     called with the host and the table when one was fetched.
     """
 
@@ -58,13 +58,13 @@
         self,
         table: TargetTable,
         seen: Callable[[], tuple[SeenRevision, ...]],
-        take: Callable[[str, TableCopy], None],
+        merge: Callable[[str, TableCopy], None],
         port: int,
         link_bytes_per_s: float,
     ) -> None:
         self._table = table
         self._seen = seen
-        self._take = take
+        self._merge = merge
         self._port = port
         self._pacer = BulkPacer(link_bytes_per_s * TABLE_LINK_SHARE, read_clock())
         self._copy = Answer(503, [])
@@ -105,7 +105,7 @@
     async def _fetch(self, hosts: tuple[str, ...]) -> None:
         for host in hosts:
             try:
-                self._take(host, await self._ask(host))
+                self._merge(host, await self._ask(host))
                 return
             except (AnswerBrokenError, ConnectFailedError, MessageError, TimeoutError) as error:
                 logger.info("targets not fetched", host=host, why=repr(error))
--- a/packages/router/src/damaskwind/router/forwarding/target_states.py
+++ b/packages/router/src/damaskwind/router/forwarding/target_states.py
@@ -191,12 +191,12 @@
         """Tell whether a target announced in an answer that it is leaving."""
         return self.signals.signal(_incarnation(target), read_clock()) is TargetSignal.LEAVE
 
-    def rest_left_s(self, records: Collection[TargetRecord], now_s: float) -> float | None:
+    def pause_left_s(self, records: Collection[TargetRecord], now_s: float) -> float | None:
         """Return the seconds until the first pause ends, if all serving targets are paused."""
         if any(self.takes_work(record, now_s) for record in records):
             return None
         incarnations = [_incarnation(record) for record in records if self.view.takes_work(record)]
-        return self.signals.rest_left_s(incarnations, now_s)
+        return self.signals.pause_left_s(incarnations, now_s)
 
     def serving_or_draining(self, service: str) -> dict[str, TargetRecord]:
         """Return the targets of a service that take work or still finish their requests, by id."""
--- a/packages/router/src/damaskwind/router/placing.py
+++ b/packages/router/src/damaskwind/router/placing.py
@@ -133,7 +133,7 @@
         """Raise `RefusedError` when all targets that are left are paused or leaving."""
         if not self._directory.serves(work.query.pool, excluded):
             detail = "every live target that can serve this request wants none now"
-            rest_left_s = self._signals.rest_left_s(self._directory.offering(work.query.pool))
-            retry_s = _NO_TARGET_RETRY_S if rest_left_s is None else rest_left_s
+            pause_left_s = self._signals.pause_left_s(self._directory.offering(work.query.pool))
+            retry_s = _NO_TARGET_RETRY_S if pause_left_s is None else pause_left_s
             retry_s += self._random.uniform(0.0, _RETRY_JITTER_S)
             raise RefusedError(Refusal(Reason.NO_TARGET, Verdict.NOT_RUN, detail, retry_s))
--- a/packages/router/src/damaskwind/router/target_signals.py
+++ b/packages/router/src/damaskwind/router/target_signals.py
@@ -76,10 +76,10 @@
             incarnation.target_id for incarnation in incarnations if self._is_live(incarnation)
         )
 
-    def rest_left_s(self, views: Iterable[TargetView]) -> float | None:
+    def pause_left_s(self, views: Iterable[TargetView]) -> float | None:
         """Return the seconds until the first requested pause of these targets ends."""
         incarnations = [_incarnation(view) for view in views]
-        return self._table.rest_left_s(incarnations, self._clock.seconds())
+        return self._table.pause_left_s(incarnations, self._clock.seconds())
 
     def _is_live(self, incarnation: _Incarnation) -> bool:
         view = self._find(incarnation.target_id)
