--- a/packages/decisions/src/damaskwind/decisions/health/ejection.py
+++ b/packages/decisions/src/damaskwind/decisions/health/ejection.py
@@ -34,7 +34,7 @@
     def set_targets(self, target_ids: Iterable[str], now_s: float) -> None:
         """Set the pool's targets; the circuits of others are dropped.
 
-        In a pool that shrank, the targets ejected longest ago are taken back until
+        In a pool that shrank, the targets ejected longest ago are readmitted until
         the limit holds again.
         """
         self._circuits = {
--- a/packages/decisions/src/damaskwind/decisions/membership/target_record.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_record.py
@@ -22,7 +22,7 @@
     `slots` is the number of requests that it runs concurrently. `sequence` grows with each
     report of an incarnation. `born_ms` is the Unix time of its start in ms, or 0 if it
     reports none. The target stays cold for `cold_s` after the record is received, in a cold
-    spell first reported with sequence `cold_sequence`; 0 is the spell after its start.
+    period first reported with sequence `cold_sequence`; 0 is the period after its start.
     `clock_steps` counts how often an earlier start time was accepted as a later incarnation;
     the last one replaced the incarnation started at `superseded_born_ms`.
     """
--- a/packages/decisions/src/damaskwind/decisions/membership/target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_table.py
@@ -44,7 +44,7 @@
 # any partition delays a report. After that, an earlier start time means that the target's
 # clock was stepped back, and not that a report is late.
 STALE_INCARNATION_S = 10.0
-# A report that puts the end of a cold spell later by at most this belongs to the same spell.
+# A report that puts the end of a cold period later by at most this belongs to the same period.
 COLD_PERIOD_TOLERANCE_S = 0.3
 
 
@@ -157,9 +157,9 @@
         return changed
 
     def _cold_period_sequence(self, record: TargetRecord, now_s: float) -> int:
-        """Return the first sequence of a report's cold spell: its own if it starts a new one.
+        """Return the first sequence of a report's cold period: its own if it starts a new one.
 
-        A spell is new if it ends later than the known one.
+        A period is new if it ends later than the known one.
         """
         entry = self._entries[record.target_id]
         if record.born_ms != entry.record.born_ms:
--- a/packages/decisions/src/damaskwind/decisions/target_signals/signal_table.py
+++ b/packages/decisions/src/damaskwind/decisions/target_signals/signal_table.py
@@ -55,8 +55,8 @@
     def observe(self, incarnation: Hashable, signals: AnswerSignals, now_s: float) -> TargetSignal:
         """Record the signals of an answer; return the one that is new.
 
-        A target that is already resting and asks for a longer rest has no new signal, but
-        its rest is extended.
+        A target that is already paused and asks for a longer pause has no new signal, but
+        its pause is extended.
         """
         if signals.is_leaving and incarnation not in self._leaving_since_s:
             self._drop_expired(now_s)
@@ -89,7 +89,7 @@
         )
 
     def pause_left_s(self, incarnations: Iterable[Hashable], now_s: float) -> float | None:
-        """Return the seconds until the first of these incarnations ends its rest, if any rests.
+        """Return the seconds until the first pause of these incarnations ends, if any is paused.
 
         >>> table = SignalTable()
         >>> for incarnation, rest_s in (("t", 3.0), ("u", 1.0)):
--- a/packages/router/src/damaskwind/router/engine_client.py
+++ b/packages/router/src/damaskwind/router/engine_client.py
@@ -136,7 +136,7 @@
         return await self._send_checked(call, request_id, timeout_s, caller)
 
     def cancel(self, target: TargetView, request_id: str) -> Deferred:
-        """Tell an engine to stop generating an answer that is no longer needed."""
+        """Ask an engine to stop generating an answer that is no longer needed."""
         return ensureDeferred(self._cancel(target, request_id))
 
     async def _cancel(self, target: TargetView, request_id: str) -> None:
--- a/packages/router/src/damaskwind/router/forwarding/attempt.py
+++ b/packages/router/src/damaskwind/router/forwarding/attempt.py
@@ -44,7 +44,7 @@
 UNRESPONSIVE_OBJECTIVES = 1.5
 UNRESPONSIVE_MIN_S = 0.8
 UNRESPONSIVE_POLL_S = 0.1
-# And after this many objectives if only this request is kept waiting.
+# A request is also rerouted after this many objectives if only this request is kept waiting.
 STALL_OBJECTIVES = 4.0
 STALL_MIN_S = 1.2
 # The same between two events of a stream, in multiples of the route's gap objective, the
@@ -295,7 +295,7 @@
     ) -> bytes | None:
         """Return the next chunk; raise `TimeoutError` if none arrives in time.
 
-        After this process was suspended, data that arrived meanwhile is read before the target
+        After this process was suspended, data that arrived in that time is read before the target
         is given up on.
         """
         while True:
--- a/packages/router/src/damaskwind/router/forwarding/document_relay.py
+++ b/packages/router/src/damaskwind/router/forwarding/document_relay.py
@@ -100,7 +100,7 @@
         self.documents_served += 1
 
     async def _serve_read(self, exchange: Exchange, query: bytes) -> None:
-        """Serve the configuration to an operator whom a replica referred to this router."""
+        """Serve the configuration to an operator that a replica redirected to this router."""
         asked_s = read_clock()
         version = read_version(query)
         if version is None:
--- a/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
+++ b/packages/router/src/damaskwind/router/forwarding/tests/test_forwarder.py
@@ -284,7 +284,7 @@
     async def until(self, condition, limit_s=3.0):
         deadline_s = read_clock() + limit_s
         while not condition():
-            self.assertLess(read_clock(), deadline_s, "waited in vain")
+            self.assertLess(read_clock(), deadline_s, "timed out waiting")
             await asyncio.sleep(0.01)
 
 
--- a/packages/router/src/damaskwind/router/tests/test_target_signals.py
+++ b/packages/router/src/damaskwind/router/tests/test_target_signals.py
@@ -39,7 +39,7 @@
         return (await self.ask(bench, CALL_PATH))[0]
 
     async def check_one_pauses(self, bench, targets, ask):
-        """Let one target ask for a pause; all requests are served by others meanwhile."""
+        """Let one target ask for a pause; others serve all requests until it ends."""
         pausing = targets[0]
         pausing.requested_pause_s = REST_S
         statuses = [(await ask(bench)).code for _ in range(30)]
