--- a/packages/decisions/src/damaskwind/decisions/load/held_requests.py
+++ b/packages/decisions/src/damaskwind/decisions/load/held_requests.py
@@ -156,8 +156,8 @@
         previous = self._reports.get(target_id)
         mean = float(held)
         if previous is not None:
-            kept = math.exp(-(now_s - previous.at_s) / SMOOTHING_S)
-            mean = held + (previous.mean - held) * kept
+            weight = math.exp(-(now_s - previous.at_s) / SMOOTHING_S)
+            mean = held + (previous.mean - held) * weight
         self._reports[target_id] = _Report(held, mean, self.own_in_flight(target_id), now_s)
 
     def report_to(self, replica: str) -> tuple[HeldCount, ...]:
--- a/packages/decisions/src/damaskwind/decisions/membership/core.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/core.py
@@ -72,7 +72,7 @@
             self.parameters.announcement_share * self.parameters.control_bytes_per_s, now_s
         )
         self._next_maintenance_s = now_s + _MAINTENANCE_INTERVAL_S
-        self._left = False
+        self._has_left = False
         self._started_s = now_s
         self.target_table.lease_floor_s = self._lease_floor_s()
 
@@ -172,7 +172,7 @@
         updates = group_updates([self.router_table.leave(self.now_s)])
         for router_id in peers:
             self._state.send_to(router_id, updates, Urgency.LEAVE)
-        self._left = True
+        self._has_left = True
         return self._state.take_output()
 
     # Messages and ticks
@@ -189,7 +189,7 @@
         """Process an authenticated message from another router."""
         self._state.advance(now_s)
         handler = HANDLERS.get(type(message))
-        if self._left or handler is None or sender_id == self.router_table.own_record.router_id:
+        if self._has_left or handler is None or sender_id == self.router_table.own_record.router_id:
             return self._state.take_output()
         self._gossip.headroom_bytes = headroom_bytes
         sender = self._state.sender_record(sender_id, sender_incarnation)
@@ -201,7 +201,7 @@
     def tick(self, now_s: float, headroom_bytes: int = _UNLIMITED_BYTES) -> Output:
         """Run periodic work; to be called about ten times a second."""
         self._state.advance(now_s)
-        if self._left:
+        if self._has_left:
             return self._state.take_output()
         self._gossip.headroom_bytes = headroom_bytes
         self._check_probes()
--- a/packages/decisions/src/damaskwind/decisions/membership/prober.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/prober.py
@@ -46,11 +46,11 @@
     """
     if len(ring) < 2 or router_id not in ring:
         return []
-    here = ring.index(router_id)
+    own_index = ring.index(router_id)
     cycle, step = divmod(round_number, len(ring) - 1)
     offsets = _offsets(len(ring), cycle)
     chosen = [offsets[(step + i) % len(offsets)] for i in range(min(count, len(offsets)))]
-    return [ring[(here + offset) % len(ring)] for offset in chosen]
+    return [ring[(own_index + offset) % len(ring)] for offset in chosen]
 
 
 class Prober:
--- a/packages/decisions/src/damaskwind/decisions/membership/state.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/state.py
@@ -113,8 +113,8 @@
     def would_return(self, target_id: str, incarnation: int) -> bool:
         """Tell whether a record of this incarnation would bring back a known target."""
         known = self.targets.known_incarnation(target_id)
-        gone = target_id not in self.targets.live
-        return known >= 0 and (gone or incarnation > known)
+        is_gone = target_id not in self.targets.live
+        return known >= 0 and (is_gone or incarnation > known)
 
     def publish_target(
         self, target_id: str, outcome: MergeOutcome, would_return: bool, forward: bool
--- a/packages/router/src/damaskwind/router/forwarding/delivery.py
+++ b/packages/router/src/damaskwind/router/forwarding/delivery.py
@@ -67,7 +67,7 @@
 
     def end_stream(self) -> bool:
         """Finish the answer; return `False` instead if the stream ended inside an event."""
-        if self._is_resumable and self._splitter.rest:
+        if self._is_resumable and self._splitter.partial:
             return False
         self._exchange.finish()
         return True
--- a/packages/router/src/damaskwind/router/forwarding/events.py
+++ b/packages/router/src/damaskwind/router/forwarding/events.py
@@ -25,25 +25,25 @@
 class EventSplitter:
     r"""Buffers chunks of a stream and returns complete events.
 
-    `rest` is the start of an event that is still incomplete.
+    `partial` is the start of an event that is still incomplete.
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\n\nid: 2\n")
     [b'id: 1\n\n']
-    >>> splitter.rest
+    >>> splitter.partial
     b'id: 2\n'
     """
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.partial = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """Add a chunk and return the events that are complete now."""
-        buffer = self.rest + data
+        buffer = self.partial + data
         events = []
         start = 0
         for match in _END.finditer(buffer):
             events.append(buffer[start : match.end()])
             start = match.end()
-        self.rest = buffer[start:]
+        self.partial = buffer[start:]
         return events
