--- a/packages/decisions/src/damaskwind/decisions/membership/target_table.py
+++ b/packages/decisions/src/damaskwind/decisions/membership/target_table.py
@@ -44,8 +44,8 @@
 # any partition delays a report. After that, an earlier start time means that the target's
 # clock was stepped back, and not that a report is late.
 STALE_INCARNATION_S = 10.0
-# A report that puts the end of a cold spell later by at most this belongs to the same spell.
-COLD_SPELL_TOLERANCE_S = 0.3
+# A report that puts the end of a cold period later by at most this belongs to the same period.
+COLD_PERIOD_TOLERANCE_S = 0.3
 
 
 class Changes(NamedTuple):
@@ -150,23 +150,23 @@
         record = record._replace(
             clock_steps=steps,
             superseded_born_ms=superseded_born_ms,
-            cold_sequence=self._cold_spell_sequence(record, now_s),
+            cold_sequence=self._cold_period_sequence(record, now_s),
         )
         changed = self.merge(record, now_s)
         self.mark_seen(record.target_id, now_s, record.born_ms)
         return changed
 
-    def _cold_spell_sequence(self, record: TargetRecord, now_s: float) -> int:
-        """Return the first sequence of a report's cold spell: its own if it starts a new one.
+    def _cold_period_sequence(self, record: TargetRecord, now_s: float) -> int:
+        """Return the first sequence of a report's cold period: its own if it starts a new one.
 
-        A spell is new if it ends later than the known one.
+        A period is new if it ends later than the known one.
         """
         entry = self._entries[record.target_id]
         if record.born_ms != entry.record.born_ms:
             return 0
         is_new = (
             record.cold_s > 0
-            and now_s + record.cold_s > entry.cold_until_s + COLD_SPELL_TOLERANCE_S
+            and now_s + record.cold_s > entry.cold_until_s + COLD_PERIOD_TOLERANCE_S
         )
         return record.sequence if is_new else entry.record.cold_sequence
 
@@ -401,7 +401,7 @@
         phase = TargetPhase.SERVING
         return [entry.record for entry in self._entries.values() if entry.record.phase is phase]
 
-    def living(self) -> list[TargetRecord]:
+    def serving_or_leaving(self) -> list[TargetRecord]:
         """Return the records of all targets that are not gone."""
         gone = TargetPhase.GONE
         return [entry.record for entry in self._entries.values() if entry.record.phase is not gone]
--- a/packages/router/src/damaskwind/router/forwarding/attempt.py
+++ b/packages/router/src/damaskwind/router/forwarding/attempt.py
@@ -44,7 +44,7 @@
 UNRESPONSIVE_OBJECTIVES = 1.5
 UNRESPONSIVE_MIN_S = 0.8
 UNRESPONSIVE_POLL_S = 0.1
-# And after this many objectives if only this request is kept waiting.
+# A request is also rerouted after this many objectives if only this request is kept waiting.
 STALL_OBJECTIVES = 4.0
 STALL_MIN_S = 1.2
 # The same between two events of a stream, in multiples of the route's gap objective, the
@@ -152,7 +152,7 @@
             self.connections.return_unused(target.target_id, connection)
             return AttemptOutcome(AttemptEnd.WITHHELD, "the target no longer accepts work")
         is_engine = call.key is not None
-        self._loads.sent(target.target_id, is_engine)
+        self._loads.record_sent(target.target_id, is_engine)
         wait_number = self.activity.begin_wait(target.target_id, read_clock())
         try:
             return await self._exchange(connection, request, call, placement, delivery, may_reroute)
@@ -165,7 +165,7 @@
         except TimeoutError:
             return AttemptOutcome(AttemptEnd.STALLED, "the target was silent")
         finally:
-            self._loads.ended(target.target_id, is_engine)
+            self._loads.record_ended(target.target_id, is_engine)
             self.activity.end_wait(target.target_id, wait_number)
             if connection.is_in_use:
                 connection.abort()
@@ -189,7 +189,7 @@
         connection.send(Request(request.method, request.target, headers, request.body))
         head = await self._read_head_in_time(connection, call, target.target_id, may_reroute)
         first_s = read_clock() - sent_s
-        self.activity.note_received(target.target_id, read_clock())
+        self.activity.record_received(target.target_id, read_clock())
         self.on_answer_started(call, target.target_id, first_s)
         signals = self._read_signals(head, target)
         if head.status == MISDIRECTED or header(head.headers, self._names.not_run) is not None:
@@ -282,7 +282,7 @@
             data = await self._read_data_in_time(connection, gap_s if may_reroute else None)
             if data is None:
                 break
-            self.activity.note_received(target.target_id, read_clock())
+            self.activity.record_received(target.target_id, read_clock())
             delivery.write_stream(data)
             await delivery.drained()
         self.connections.release(target.target_id, connection, head.headers)
@@ -295,7 +295,7 @@
     ) -> bytes | None:
         """Return the next chunk; raise `TimeoutError` if none arrives in time.
 
-        After this process was suspended, data that arrived meanwhile is read before the target
+        After this process was suspended, data that arrived in that time is read before the target
         is given up on.
         """
         while True:
@@ -324,5 +324,5 @@
             header(headers, self._names.leaving),
             header(headers, b"date"),
         )
-        self._target_states.note_signal(target, signals)
+        self._target_states.record_signals(target, signals)
         return signals
--- a/packages/router/src/damaskwind/router/placing.py
+++ b/packages/router/src/damaskwind/router/placing.py
@@ -75,7 +75,7 @@
         self.in_flight[target.target_id] -= 1
         if not self.in_flight[target.target_id]:
             del self.in_flight[target.target_id]
-        self._directory.placers[work.kind].finished(
+        self._directory.placers[work.kind].record_finished(
             work.request_id, succeeded, self._clock.seconds()
         )
         self._directory.capacity_changed()
@@ -102,8 +102,8 @@
                 self._check_available(work, tried | unavailable)
             return None
         self.in_flight[target.target_id] += 1
-        self._health.note_sent(target)
-        placer.started(
+        self._health.record_sent(target)
+        placer.record_started(
             work.request_id,
             target.target_id,
             work.query.chat_digest,
@@ -133,7 +133,7 @@
         """Raise `RefusedError` when all targets that are left are paused or leaving."""
         if not self._directory.serves(work.query.pool, excluded):
             detail = "every live target that can serve this request wants none now"
-            rest_left_s = self._signals.rest_left_s(self._directory.offering(work.query.pool))
-            retry_s = _NO_TARGET_RETRY_S if rest_left_s is None else rest_left_s
+            pause_left_s = self._signals.pause_left_s(self._directory.offering(work.query.pool))
+            retry_s = _NO_TARGET_RETRY_S if pause_left_s is None else pause_left_s
             retry_s += self._random.uniform(0.0, _RETRY_JITTER_S)
             raise RefusedError(Refusal(Reason.NO_TARGET, Verdict.NOT_RUN, detail, retry_s))
