--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -19,7 +19,7 @@
 __all__ = ["main", "measure"]
 
 REPORTS = Path("build/measure")
-EXIT_FINE = 0
+EXIT_OK = 0
 EXIT_BROKEN = 1
 EXIT_BAD_USAGE = 2
 
@@ -36,7 +36,7 @@
     broken = broken_promises(deployment, figures[0])
     for line in broken:
         print(f"promise broken: {line}")
-    return EXIT_BROKEN if broken else EXIT_FINE
+    return EXIT_BROKEN if broken else EXIT_OK
 
 
 def _parse_policies(policies: str) -> list[str]:
--- a/packages/commands/src/damaskwind/commands/tests/fault_cluster.py
+++ b/packages/commands/src/damaskwind/commands/tests/fault_cluster.py
@@ -248,10 +248,12 @@
 
     def record_confirmation(self, answer: dict[str, Any], name: str) -> Confirmation:
         """Record a confirmed outcome, unless it is recorded already."""
-        told = Confirmation(answer["outcome"]["revision"], answer["outcome"]["plan_id"], name)
-        if told not in self.confirmed:
-            self.confirmed.append(told)
-        return told
+        confirmation = Confirmation(
+            answer["outcome"]["revision"], answer["outcome"]["plan_id"], name
+        )
+        if confirmation not in self.confirmed:
+            self.confirmed.append(confirmation)
+        return confirmation
 
     async def add_viewer(self, at: str, name: str) -> Confirmation:
         """Add a viewer with this name."""
@@ -312,11 +314,11 @@
 
     async def all_vote(self, ats: tuple[str, ...]) -> bool:
         """Return whether these replicas report three voters and the same leader."""
-        told = [await self.replica_status(at) for at in ats]
-        leaders = {each.get("leader") for each in told}
-        return all(len(each.get("voters", ())) == 3 and not each["learners"] for each in told) and (
-            len(leaders) == 1 and leaders != {""}
-        )
+        statuses = [await self.replica_status(at) for at in ats]
+        leaders = {each.get("leader") for each in statuses}
+        return all(
+            len(each.get("voters", ())) == 3 and not each["learners"] for each in statuses
+        ) and (len(leaders) == 1 and leaders != {""})
 
     async def leader(self, ats: tuple[str, ...] = REPLICAS) -> str:
         """Wait until these replicas agree on a leader; return it."""
@@ -386,8 +388,8 @@
         last = self.confirmed[-1].revision
 
         async def caught_up() -> bool:
-            told = [await self.replica_status(at) for at in ats]
-            return all(each.get("revision", 0) >= last for each in told)
+            statuses = [await self.replica_status(at) for at in ats]
+            return all(each.get("revision", 0) >= last for each in statuses)
 
         try:
             await wait_until(caught_up, DEADLINE_S, f"replicas at revision {last}")
--- a/packages/commands/src/damaskwind/commands/tests/fault_oracle.py
+++ b/packages/commands/src/damaskwind/commands/tests/fault_oracle.py
@@ -48,7 +48,7 @@
 ) -> list[str]:
     """Return every outcome that is lost, duplicated, out of order or never confirmed."""
     viewers = shown["operators"].keys() - set(OPERATORS)
-    named = [told.name for told in confirmed if told.name != FIRST_CHANGE]
+    named = [confirmation.name for confirmation in confirmed if confirmation.name != FIRST_CHANGE]
     faults = [f"'{name}' is lost" for name in named if name not in viewers]
     faults += [f"'{name}' was never confirmed" for name in viewers if name not in named]
     last = confirmed[-1].revision
@@ -60,7 +60,7 @@
         for entry in trail
         if entry.action == "confirm" and entry.result == "confirmed"
     ]
-    told = [(each.revision, each.plan_id) for each in confirmed]
-    if done != told:
-        faults.append(f"trail {done} in place of {told}")
+    expected = [(each.revision, each.plan_id) for each in confirmed]
+    if done != expected:
+        faults.append(f"trail {done} in place of {expected}")
     return faults
--- a/packages/control/src/damaskwind/control/claim_holding.py
+++ b/packages/control/src/damaskwind/control/claim_holding.py
@@ -56,8 +56,8 @@
             read_clock(),
             start.is_first_start,
         )
-        if start.kept is not None:
-            holder.resume(start.kept, read_clock())
+        if start.saved_memory is not None:
+            holder.resume(start.saved_memory, read_clock())
         return holder
 
     async def stop(self) -> None:
--- a/packages/control/src/damaskwind/control/claims/start.py
+++ b/packages/control/src/damaskwind/control/claims/start.py
@@ -22,11 +22,11 @@
 
 
 class HolderStart(NamedTuple):
-    """One start of a holder; `kept` is the memory saved by the previous clean stop."""
+    """One start of a holder; `saved_memory` comes from the previous clean stop."""
 
     incarnation: int
     is_first_start: bool
-    kept: HolderMemory | None = None
+    saved_memory: HolderMemory | None = None
 
 
 class _StartRecord(NamedTuple):
@@ -58,11 +58,11 @@
     """
     path = folder / FILE_NAME
     last = _read_last_start(path, holder_id)
-    kept = load_records(folder, holder_id, last.incarnation)
+    saved_memory = load_records(folder, holder_id, last.incarnation)
     record = _StartRecord(holder_id, last.incarnation + 1)
     try:
         replace_file_synced(path, msgspec.json.encode(record))
     except OSError as error:
         raise StorageError(f"{path.name}: {error}") from error
     delete_records(folder)
-    return HolderStart(record.incarnation, is_founder and last.incarnation == 0, kept)
+    return HolderStart(record.incarnation, is_founder and last.incarnation == 0, saved_memory)
--- a/packages/control/src/damaskwind/control/fleet/calls.py
+++ b/packages/control/src/damaskwind/control/fleet/calls.py
@@ -162,17 +162,17 @@
         asked_s = read_clock()
         access = self._access()
         is_current = access is not None and await access.read_current(READ_TIMEOUT_S)
-        vouched_s = read_clock() - asked_s
+        confirmation_s = read_clock() - asked_s
         if not is_current:
             self.tallies.count("reads", outcome=ReadOutcome.REFUSED)
             why = "no majority vouches for this replica" if access else "the disk is not usable"
             logger.info(
-                "read refused", caller=caller, why=why, waited_ms=round(vouched_s * 1000, 1)
+                "read refused", caller=caller, why=why, waited_ms=round(confirmation_s * 1000, 1)
             )
-            return ConfigurationRead(caller, 0, b"", asked_s, vouched_s)
+            return ConfigurationRead(caller, 0, b"", asked_s, confirmation_s)
         machine = self._machine()
         return self._redirect(
-            ConfigurationRead(caller, machine.version, machine.document, asked_s, vouched_s)
+            ConfigurationRead(caller, machine.version, machine.document, asked_s, confirmation_s)
         )
 
     def _redirect(self, read: ConfigurationRead) -> ConfigurationRead:
--- a/packages/control/src/damaskwind/control/fleet/heard_targets.py
+++ b/packages/control/src/damaskwind/control/fleet/heard_targets.py
@@ -67,10 +67,10 @@
         """
         now_s = read_clock()
         self._drop_expired(now_s)
-        heard = self._seen_at_routers | self._seen_here if is_router else self._seen_here
+        last_seen = self._seen_at_routers | self._seen_here if is_router else self._seen_here
         return tuple(
             LastSeen(key, round(now_s - at, 2), (self._table.incarnation_of(key) or (0, 0))[1])
-            for key, at in heard.items()
+            for key, at in last_seen.items()
         )
 
     def _silent_targets(self, now_s: float) -> SilentTargets:
@@ -87,6 +87,6 @@
         self._seen_at_routers = _seen_after(self._seen_at_routers, now_s - HEARTBEAT_WINDOW_S)
 
 
-def _seen_after(heard: dict[str, float], oldest_s: float) -> dict[str, float]:
+def _seen_after(last_seen: dict[str, float], oldest_s: float) -> dict[str, float]:
     """Return the heartbeats after a time."""
-    return {target_id: at_s for target_id, at_s in heard.items() if at_s > oldest_s}
+    return {target_id: at_s for target_id, at_s in last_seen.items() if at_s > oldest_s}
--- a/packages/control/src/damaskwind/control/fleet/news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/news_feed.py
@@ -127,11 +127,11 @@
             self._schedule_wake()
         return changed
 
-    def merge(self, records: Iterable[TargetRecord], heard: Iterable[LastSeen]) -> None:
+    def merge(self, records: Iterable[TargetRecord], last_seen: Iterable[LastSeen]) -> None:
         """Merge records and heartbeats from another replica or a router."""
         now_s = read_clock()
         changed = [self.table.merge(record, now_s) for record in records]
-        for target_id, age_s, born_ms in heard:
+        for target_id, age_s, born_ms in last_seen:
             self.table.mark_seen(target_id, now_s - age_s, born_ms)
         if any(changed):
             self._schedule_wake()
--- a/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_calls.py
@@ -115,8 +115,8 @@
     @asyncio_test
     async def test_read_of_a_large_document_is_redirected_to_a_router_with_a_faster_link(self):
         for node, rate in (("narrow", 50.0), ("wide", 1000.0)):
-            relay = RelayEndpoint(f"{node}.example", rate)
-            request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, relay=relay)
+            endpoint = RelayEndpoint(f"{node}.example", rate)
+            request = NewsRequest(node, SubscriberKind.ROUTER, "", 0, 0, 0.0, relay=endpoint)
             await self.feed.wait_for_updates(request)
         await self.calls.publish(b"1")
         self.assertEqual((await self.calls.read("o")).redirect_url, "")
