--- a/benchmarks/capacity_streams.py
+++ b/benchmarks/capacity_streams.py
@@ -130,7 +130,7 @@
 async def _follow(port: int, count: int) -> None:
     """Keep streams open until a line is read; print the bytes of the updates."""
     received = [0]
-    tasks = [asyncio.ensure_future(_follow_one(port, i, received)) for i in range(count)]
+    tasks = [asyncio.ensure_future(_follow_stream(port, i, received)) for i in range(count)]
     loop = asyncio.get_running_loop()
     await loop.run_in_executor(None, sys.stdin.readline)
     print(received[0])
@@ -139,7 +139,7 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _follow_one(port: int, number: int, received: list[int]) -> None:
+async def _follow_stream(port: int, number: int, received: list[int]) -> None:
     """Follow one stream as a router does, without applying the updates."""
     name = f"router-{number:04d}"
     upstream = Upstream(name, f"domain-{number % 40:02d}", CallSigner(CLUSTER, KEY, name))
--- a/benchmarks/measuring/driver.py
+++ b/benchmarks/measuring/driver.py
@@ -32,7 +32,7 @@
     verdict: str
     reason: str
     text: str
-    is_whole: bool
+    is_complete: bool
     prompt_tokens: int
     cached_tokens: int
     detail: str = ""
@@ -245,16 +245,16 @@
     turn: Turn, request_id: str, status: int, stream: _Stream, detail: str
 ) -> TurnOutcome:
     """Return the outcome of a turn that streamed."""
-    is_whole = stream.is_done and not stream.error
+    is_complete = stream.is_done and not stream.error
     details = stream.usage.get("prompt_tokens_details") or {}
     return TurnOutcome(
         turn,
         request_id,
         status,
-        "ran" if is_whole else str(stream.error.get("verdict", "")),
+        "ran" if is_complete else str(stream.error.get("verdict", "")),
         str(stream.error.get("code", "")),
         "".join(stream.text),
-        is_whole,
+        is_complete,
         stream.usage.get("prompt_tokens", 0),
         details.get("cached_tokens", 0),
         detail or str(stream.error.get("message", "")),
--- a/benchmarks/measuring/promises.py
+++ b/benchmarks/measuring/promises.py
@@ -35,11 +35,11 @@
 def _turn_violations(outcome: TurnOutcome, runs: int) -> list[str]:
     """Return the guarantees that one turn violates."""
     violations = []
-    if outcome.is_whole and outcome.text != outcome.turn.answer:
+    if outcome.is_complete and outcome.text != outcome.turn.answer:
         violations.append("crossed or altered answer")
-    if not outcome.is_whole and not outcome.turn.answer.startswith(outcome.text):
+    if not outcome.is_complete and not outcome.turn.answer.startswith(outcome.text):
         violations.append("crossed or altered part of an answer")
-    if not outcome.is_whole and not outcome.verdict:
+    if not outcome.is_complete and not outcome.verdict:
         violations.append("lost without a verdict")
     return violations + _verdict_violations(outcome.verdict, runs)
 
@@ -110,7 +110,7 @@
     """Count the outcomes of all requests: whole, or refused by verdict and reason."""
     outcomes: Counter[str] = Counter()
     for outcome in turns:
-        outcomes["whole" if outcome.is_whole else _refusal_name(outcome)] += 1
+        outcomes["whole" if outcome.is_complete else _refusal_name(outcome)] += 1
     for outcome in calls:
         outcomes["whole" if outcome.status == 200 else _refusal_name(outcome)] += 1
     return dict(outcomes)
--- a/benchmarks/measuring/run.py
+++ b/benchmarks/measuring/run.py
@@ -193,7 +193,7 @@
     driver, direct = observed.driver, observed.direct
     spans = down_spans(observed.events, [*deployment.engines, deployment.joiner])
     cache_tokens = deployment.engine_table["cache_tokens"]
-    answered = [outcome.turn for outcome in driver.turns if outcome.is_whole]
+    answered = [outcome.turn for outcome in driver.turns if outcome.is_complete]
     answered.sort(key=lambda turn: turn.at_s)
     ideal = all_knowing_reuse(answered, deployment.model, spans, cache_tokens)
     ideal_of_all = all_knowing_reuse(turns, deployment.model, spans, cache_tokens)
--- a/benchmarks/measuring/tests/test_promises.py
+++ b/benchmarks/measuring/tests/test_promises.py
@@ -38,18 +38,18 @@
         )
 
     def test_a_partial_answer_must_be_a_prefix(self):
-        cut = outcome_of(TURN, is_whole=False, verdict="may-have-run", text=TURN.answer[:3])
+        cut = outcome_of(TURN, is_complete=False, verdict="may-have-run", text=TURN.answer[:3])
         self.assertEqual(found(cut, oracles(1)), [])
         self.assertEqual(
             found(cut._replace(text="x"), oracles(1)), ["crossed or altered part of an answer"]
         )
 
     def test_an_end_without_a_verdict_is_a_lost_request(self):
-        lost = outcome_of(TURN, is_whole=False, verdict="", text="")
+        lost = outcome_of(TURN, is_complete=False, verdict="", text="")
         self.assertEqual(found(lost, oracles(0)), ["lost without a verdict"])
 
     def test_verdicts_are_checked_against_the_count(self):
-        refused = outcome_of(TURN, is_whole=False, verdict="not-run", text="")
+        refused = outcome_of(TURN, is_complete=False, verdict="not-run", text="")
         self.assertEqual(found(refused, oracles(0)), [])
         self.assertEqual(found(refused, oracles(1)), ["told not-run but it ran"])
         self.assertEqual(found(outcome_of(TURN), oracles(0)), ["told ran but it did not"])
@@ -93,8 +93,8 @@
 
 class TestEnds(TestCase):
     def test_ends_are_counted_by_verdict_and_reason(self):
-        refused = outcome_of(TURN, is_whole=False, verdict="not-run", reason="queue_full")
-        lost = outcome_of(TURN, is_whole=False, verdict="", reason="")
+        refused = outcome_of(TURN, is_complete=False, verdict="not-run", reason="queue_full")
+        lost = outcome_of(TURN, is_complete=False, verdict="", reason="")
         self.assertEqual(
             count_outcomes([outcome_of(TURN), refused, lost], []),
             {"whole": 1, "not-run queue_full": 1, "no verdict no reason": 1},
--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -277,12 +277,12 @@
             leaver.alive = False
             leaver.restart(self.now_s)
             self.announce_state(leaver.name, TargetState.LAPSED)
-            self.at(self.now_s + 15.0, self.come_back, leaver)
+            self.at(self.now_s + 15.0, self.rejoin, leaver)
         for placer in self.random.sample(self.placers, (len(self.placers) + 1) // 2):
             self.set_state(placer, flapper.name, TargetState.LAPSED)
             self.at(self.now_s + 5.0, self.set_state, placer, flapper.name, TargetState.SERVING)
 
-    def come_back(self, engine: Engine) -> None:
+    def rejoin(self, engine: Engine) -> None:
         """Restart an engine with an empty cache."""
         engine.alive = True
         engine.updated_s = self.now_s
--- a/benchmarks/rest_at_size.py
+++ b/benchmarks/rest_at_size.py
@@ -51,7 +51,7 @@
     served: float
     turned_away: float
     refused_over_budget: float
-    most_held_of_mean: float
+    max_load_ratio: float
 
 
 class _RestRequest(NamedTuple):
@@ -71,7 +71,7 @@
         self.shared_signals: list[tuple[float, int, str, float]] = []
         self.completions: list[tuple[float, int, str]] = []
         self.outcomes: Counter[str] = Counter()
-        self.most_held = 0.0
+        self.max_load_ratio = 0.0
         self._numbers = count()
         terms = BudgetTerms()
         self.budgets = [
@@ -94,7 +94,7 @@
         parts = [
             self.outcomes[name] / requests for name in ("served", "turned away", "over budget")
         ]
-        return RestFigures(worst, *parts, self.most_held)
+        return RestFigures(worst, *parts, self.max_load_ratio)
 
     def _apply_due_events(self, now_s: float) -> None:
         """Apply the completions and the shared signals that are due."""
@@ -155,7 +155,7 @@
         self.in_progress[name] += 1
         heappush(self.completions, (now_s + WORK_S, next(self._numbers), name))
         mean = sum(self.in_progress.values()) / len(self.names)
-        self.most_held = max(self.most_held, self.in_progress[name] / (2 * mean + 3))
+        self.max_load_ratio = max(self.max_load_ratio, self.in_progress[name] / (2 * mean + 3))
 
     def _observe_rest(self, router: int, name: str, now_s: float) -> None:
         until_s = now_s + self.load.rest_s
--- a/packages/commands/src/damaskwind/commands/daemon.py
+++ b/packages/commands/src/damaskwind/commands/daemon.py
@@ -26,7 +26,7 @@
         sys.exit(EXIT_BAD_USAGE)
 
 
-def _need_table(file: Path, settings: Settings, name: str) -> None:
+def _require_table(file: Path, settings: Settings, name: str) -> None:
     """Exit with code 2 if the settings lack the table of the role."""
     if getattr(settings, name) is None:
         print(f"{file}: {name}: missing table", file=sys.stderr)
@@ -36,7 +36,7 @@
 def router(file: Path) -> int:
     """Run a router with the settings in FILE until SIGTERM."""
     settings = _read_or_exit(file)
-    _need_table(file, settings, "router")
+    _require_table(file, settings, "router")
     node = settings.node
     configure_logging(node.log_level, node.log_format, node.node_id)
     install_reactor()
@@ -48,7 +48,7 @@
 def control(file: Path) -> int:
     """Run a control replica with the settings in FILE until SIGTERM."""
     settings = _read_or_exit(file)
-    _need_table(file, settings, "control")
+    _require_table(file, settings, "control")
     node = settings.node
     configure_logging(node.log_level, node.log_format, node.node_id)
     install_reactor()
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_control_domains.py
@@ -91,12 +91,12 @@
         await cluster.wait_in_force(names, unknown.revision)
         for name in names:
             await wait_until(
-                lambda name=name: self.is_sure(name),
+                lambda name=name: self.is_current(name),
                 DEADLINE_S,
                 "routers that report to be current",
             )
         self.assertEqual(await cluster.find_faults(), [])
 
-    async def is_sure(self, name):
+    async def is_current(self, name):
         """Return whether a router reports that it is current."""
         return (await self.cluster.router_state(name)).get("may_be_behind") is False
--- a/packages/control/src/damaskwind/control/fleet/tests/test_news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_news_feed.py
@@ -152,7 +152,7 @@
         )
         return await self.feed.answer(request._replace(is_first=is_first, **changes))
 
-    def pass_time(self, seconds):
+    def advance_clock(self, seconds):
         """Advance the clock, so that everything recorded so far is older."""
         later_s = read_clock() + seconds
         clock = override_clock(lambda: later_s)
@@ -164,7 +164,7 @@
         news = await self.ask()
         self.assertEqual((news.last_seen, news.others_last_seen.silent), ((), ()))
         self.assertEqual(news.others_last_seen.digest, self.feed.table.digest)
-        self.pass_time(HEARTBEAT_WINDOW_S + 0.1)
+        self.advance_clock(HEARTBEAT_WINDOW_S + 0.1)
         self.feed.report(record("t-0", sequence=2))
         for number in range(2, MAX_LISTED_TARGETS + 1):
             self.feed.report(record(f"t-{number}", sequence=2))
@@ -175,7 +175,7 @@
     @asyncio_test
     async def test_a_router_whose_table_differs_for_long_gets_a_list_of_heartbeats(self):
         await self.ask(table_digest=5)
-        self.pass_time(MAX_MISMATCH_S + 0.1)
+        self.advance_clock(MAX_MISMATCH_S + 0.1)
         news = await self.ask(table_digest=5, wait_s=0.0)
         self.assertIsNone(news.others_last_seen)
         self.assertEqual(len(news.last_seen), MAX_LISTED_TARGETS + 1)
@@ -190,7 +190,7 @@
         self.assertEqual((news.records, news.revision), ((), revision))
         self.assertEqual((await self.ask(is_first=False)).revision, self.feed.table.revision)
         self.feed.leave("t-1")
-        self.pass_time(LAG_THRESHOLD_S + 0.1)
+        self.advance_clock(LAG_THRESHOLD_S + 0.1)
         lacking = {"is_first": False, "table_digest": digest, "revision": revision, "wait_s": 0.0}
         news = await self.ask(**lacking)
         self.assertEqual([item.target_id for item in news.phases], ["t-0", "t-1"])
@@ -241,7 +241,7 @@
         for number in range(5):
             request = {"node_id": f"r{number}", "revision": 0, "table_digest": 1}
             await self.ask(**request)
-            self.pass_time(MAX_MISMATCH_S + 0.1)
+            self.advance_clock(MAX_MISMATCH_S + 0.1)
             for target in range(MAX_LISTED_TARGETS + 1):
                 self.feed.report(record(f"t-{target}", sequence=2 + number))
             listed.append(len((await self.ask(**request)).last_seen))
--- a/packages/control/src/damaskwind/control/operator_api/http_api.py
+++ b/packages/control/src/damaskwind/control/operator_api/http_api.py
@@ -208,8 +208,8 @@
         except Exception as error:
             # The message of an unexpected error may quote the request, and thus a key.
             path = request.path.decode("ascii", "replace")
-            kind, place = type(error).__name__, _location_of(error)
-            logger.error("operator request failed", path=path, error=kind, place=place)
+            kind, location = type(error).__name__, _location_of(error)
+            logger.error("operator request failed", path=path, error=kind, place=location)
             internal_error = OperatorRefusedError(
                 OperatorCode.FAILED, "internal error; the outcome is not known", False
             )
--- a/packages/runtime/src/damaskwind/runtime/http1/exchange.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/exchange.py
@@ -51,7 +51,7 @@
     last_byte_s: float
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether the last piece was accepted before the caller left."""
         return self.taken_bytes == self.body_bytes
 
--- a/packages/runtime/src/damaskwind/runtime/http1/tests/test_server.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/tests/test_server.py
@@ -78,7 +78,7 @@
         writer.write(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
         await self.read(reader, b"\r\n\r\nok")
         (delivery,) = self.deliveries
-        self.assertTrue(delivery.is_whole)
+        self.assertTrue(delivery.is_complete)
         self.assertEqual(delivery.taken_bytes, LARGE_BYTES)
         self.assertLessEqual(delivery.first_byte_s, delivery.last_byte_s)
 
@@ -92,7 +92,7 @@
         while not self.deliveries and read_clock() < until_s:
             await asyncio.sleep(0.02)
         (delivery,) = self.deliveries
-        self.assertFalse(delivery.is_whole)
+        self.assertFalse(delivery.is_complete)
         self.assertLess(delivery.taken_bytes, LARGE_BYTES)
 
     @asyncio_test
--- a/packages/wire/src/damaskwind/wire/configuration_read.py
+++ b/packages/wire/src/damaskwind/wire/configuration_read.py
@@ -58,7 +58,7 @@
 
 def outcome_of(delivery: Delivery) -> ReadOutcome:
     """Return how an answered read ended."""
-    return ReadOutcome.WHOLE if delivery.is_whole else ReadOutcome.CALLER_LEFT
+    return ReadOutcome.WHOLE if delivery.is_complete else ReadOutcome.CALLER_LEFT
 
 
 def log_read(read: ConfigurationRead, delivery: Delivery) -> None:
--- a/packages/wire/src/damaskwind/wire/news_link.py
+++ b/packages/wire/src/damaskwind/wire/news_link.py
@@ -157,14 +157,14 @@
             try:
                 await self._follow()
             except ConnectFailedError as error:
-                self._note_loss(error)
+                self._report_loss(error)
             except (AnswerBrokenError, MessageError, TimeoutError) as error:
-                self._note_loss(error)
+                self._report_loss(error)
                 backoff_s = self._timing.backoff_first_s
             await asyncio.sleep(self._random.uniform(0.5, 1.0) * backoff_s)
             backoff_s = min(2 * backoff_s, self._timing.backoff_limit_s)
 
-    def _note_loss(self, error: Exception) -> None:
+    def _report_loss(self, error: Exception) -> None:
         """Tell the subscriber, and log the loss if the link was up."""
         if self.is_up:
             logger.warning("replica lost", host=self.address.host, why=repr(error))
