--- a/benchmarks/rest_at_size.py
+++ b/benchmarks/rest_at_size.py
@@ -51,7 +51,7 @@
     served: float
     turned_away: float
     refused_over_budget: float
-    max_load_ratio: float
+    most_held_of_mean: float
 
 
 class _RestRequest(NamedTuple):
--- a/packages/commands/src/damaskwind/commands/operator_status.py
+++ b/packages/commands/src/damaskwind/commands/operator_status.py
@@ -34,7 +34,7 @@
 
 
 def _latest_reports(replicas: dict[str, dict[str, Any]]) -> dict[str, dict[str, Any]]:
-    """Return each router's most recent report among those held by the replicas."""
+    """Return each router's most recent report among those stored by the replicas."""
     newest: dict[str, dict[str, Any]] = {}
     for body in replicas.values():
         for report in body.get("routers", []):
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
@@ -1,7 +1,7 @@
 """Fault test with real processes: engines that flap or are killed, and a lost router.
 
-Traffic continues meanwhile. Each caller knows its complete answer, which distinguishes answers
-that may be lost from those that must continue.
+Traffic continues during the faults. Each caller knows its complete answer, which
+distinguishes answers that may be lost from those that must continue.
 """
 
 import asyncio
--- a/packages/control/src/damaskwind/control/fleet/evacuation_calls.py
+++ b/packages/control/src/damaskwind/control/fleet/evacuation_calls.py
@@ -63,7 +63,7 @@
     async def order(
         self, failure_domain: str, is_evacuated: bool, caller: str = ""
     ) -> EvacuationResult:
-        """Order or withdraw the evacuation of a failure domain."""
+        """Order the evacuation of a failure domain, or lift it."""
         started_s = read_clock()
         result = await self._order(failure_domain, is_evacuated)
         took_s = read_clock() - started_s
--- a/packages/control/src/damaskwind/control/fleet/evacuations_site.py
+++ b/packages/control/src/damaskwind/control/fleet/evacuations_site.py
@@ -1,4 +1,4 @@
-"""Let operators list, order and withdraw evacuations at a replica's metrics address."""
+"""Let operators list, order and lift evacuations at a replica's metrics address."""
 
 from urllib.parse import unquote
 
--- a/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
+++ b/packages/control/src/damaskwind/control/fleet/fatal_requests_site.py
@@ -1,4 +1,4 @@
-"""Show operators the requests that are suspected or held fatal, and let them clear these."""
+"""Show operators the requests that are suspected or known as fatal, and let them clear these."""
 
 import msgspec
 from loguru import logger
--- a/packages/control/src/damaskwind/control/fleet/log_host.py
+++ b/packages/control/src/damaskwind/control/fleet/log_host.py
@@ -43,7 +43,7 @@
 class LogHost:
     """The replicated log of one replica, with its data folder and its server.
 
-    `state` is the state machine driven by the log, created anew each time the log is
+    `state` is the state machine driven by the log, created again each time the log is
     opened. `on_applied` is called when it has changed. `started_s` is when the
     process started: any promise that the replica made as a voter is older.
     """
--- a/packages/control/src/damaskwind/control/fleet/news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/news_feed.py
@@ -93,7 +93,7 @@
         self.evacuations = evacuations
         # Returns whether the link is idle enough for deferrable updates; set by `NewsSite`.
         self.has_headroom: Callable[[], bool] = lambda: True
-        # Reserves bytes of the link's share for news if there is no backlog; set by `NewsSite`.
+        # Reserves bytes of the link's share for updates if there is no backlog; set by `NewsSite`.
         self.reserve_headroom: Callable[[int], bool] = lambda size_bytes: True
         self._heartbeats = TargetHeartbeats(self.table)
         self._report_assignment = ReportAssignment()
--- a/packages/control/src/damaskwind/control/fleet/process.py
+++ b/packages/control/src/damaskwind/control/fleet/process.py
@@ -65,7 +65,7 @@
     "damaskwind.control.fleet.log_host",
 )
 # Routers try to reconnect to a lost replica at least every 0.15 s. Imports block the event loop,
-# so routers that connect meanwhile would wait until the last module is loaded.
+# so routers that connect during an import would wait until the last module is loaded.
 LOG_LOAD_DELAY_S = 0.15
 # Removing old targets and discovering peers need no finer interval.
 MAINTENANCE_INTERVAL_S = 0.5
@@ -206,7 +206,7 @@
             mark_first_start(self._folder, self._files)
         self._may_found = self.settings.may_found or was_first_start(self._folder)
         self._saved_state = read_saved_state(self._folder, self._files)
-        # How old the saved cold times are is unknown; targets report them anew within a heartbeat.
+        # How old the saved cold times are is unknown; targets report them again within a heartbeat.
         self.feed.merge((item._replace(cold_s=0.0) for item in self._saved_state.records), ())
         self.feed.merge_suspicions(self._saved_state.suspicions)
         if self._saved_state.version:
--- a/packages/control/src/damaskwind/control/operator_api/authentication.py
+++ b/packages/control/src/damaskwind/control/operator_api/authentication.py
@@ -1,4 +1,4 @@
-"""Find the operator to whom a key belongs, in constant time."""
+"""Find the operator that a key belongs to, in constant time."""
 
 import hashlib
 import secrets
--- a/packages/control/src/damaskwind/control/orders/delivery.py
+++ b/packages/control/src/damaskwind/control/orders/delivery.py
@@ -107,7 +107,7 @@
         progress.next_attempt_s = now_s + self._random.uniform(0, max_backoff_s)
 
     def _is_due(self, order: TargetOrder, now_s: float) -> bool:
-        """Tell whether an attempt to send an order should start."""
+        """Return whether an attempt to send an order should start."""
         if not order.address:
             return False
         progress = self._targets.setdefault(order.target_id, _TargetProgress())
--- a/packages/control/src/damaskwind/control/replica/forwarding.py
+++ b/packages/control/src/damaskwind/control/replica/forwarding.py
@@ -49,7 +49,7 @@
 
 
 def _is_not_sent(error: BaseException) -> bool:
-    """Tell whether a failed call certainly had no effect."""
+    """Return whether a failed call certainly had no effect."""
     if isinstance(error, GRPCError):
         return error.status is Status.UNAVAILABLE and error.message == STOPPED
     return isinstance(error, ConnectionRefusedError)
--- a/packages/control/src/damaskwind/control/replica/joining.py
+++ b/packages/control/src/damaskwind/control/replica/joining.py
@@ -126,7 +126,7 @@
 def _can_found_cluster(
     bootstrap: tuple[ReplicaSettings, ...], own_id: str, hellos: list[Any]
 ) -> bool:
-    """Tell whether this replica is the founder and all others are ready for it."""
+    """Return whether this replica is the founder and all others are ready for it."""
     return bootstrap[0].replica_id == own_id and all(reply.is_founding for reply in hellos)
 
 
--- a/packages/control/src/damaskwind/control/replica/replica.py
+++ b/packages/control/src/damaskwind/control/replica/replica.py
@@ -120,17 +120,17 @@
 
     @property
     def has_log(self) -> bool:
-        """Tell whether this replica has ever been part of a log."""
+        """Return whether this replica has ever been part of a log."""
         return self.core.last_index > 0
 
     @property
     def is_running(self) -> bool:
-        """Tell whether this replica has neither failed nor been stopped."""
+        """Return whether this replica has neither failed nor been stopped."""
         return self.failure is None and not self._is_stopped
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica leads."""
+        """Return whether this replica leads."""
         return self.is_running and self.core.role == "leader"
 
     def leading_term(self) -> int | None:
@@ -140,7 +140,7 @@
 
     @property
     def is_current(self) -> bool:
-        """Tell whether this replica presumably has all committed state.
+        """Return whether this replica presumably has all committed state.
 
         The staleness is bounded in time: by the lease if this replica leads,
         else by a message from the leader less than an election timeout ago.
@@ -210,7 +210,7 @@
     def feed(self, event: Input) -> None:
         """Pass one input to the core and execute its outputs.
 
-        Inputs that arise meanwhile are queued; once the replica has stopped,
+        Inputs that arise during this are queued; once the replica has stopped,
         inputs are dropped.
         """
         if not self.is_running:
--- a/packages/control/src/damaskwind/control/state/configuration_machine.py
+++ b/packages/control/src/damaskwind/control/state/configuration_machine.py
@@ -150,7 +150,7 @@
         self._trail.append(event)
 
     def _is_forbidden(self, actor: Actor, role: str, action: str, subject: str) -> bool:
-        """Tell whether the actor lacks a role; if so, record that on the audit trail."""
+        """Return whether the actor lacks a role; if so, record that on the audit trail."""
         if role in operator_roles(self._configuration, actor.operator):
             return False
         self._append_to_trail(actor, action, subject, ResultStatus.FORBIDDEN)
@@ -210,7 +210,7 @@
         return self._commit_plan(actor, plan)
 
     def _is_stale(self, plan: Plan) -> bool:
-        """Tell whether the configuration has changed since the plan's base revision."""
+        """Return whether the configuration has changed since the plan's base revision."""
         return plan.base_revision != self._configuration.revision
 
     def _commit_plan(self, actor: Actor, plan: Plan) -> ApplyResult:
--- a/packages/control/src/damaskwind/control/state/evacuation_orders.py
+++ b/packages/control/src/damaskwind/control/state/evacuation_orders.py
@@ -70,7 +70,7 @@
 
 
 def is_order_command(payload: bytes) -> bool:
-    """Tell whether a command of the log is an evacuation order."""
+    """Return whether a command of the log is an evacuation order."""
     return payload[:1] != b"" and payload[0] & _MAP_MASK == _MAP
 
 
--- a/packages/control/src/damaskwind/control/state/plan_book.py
+++ b/packages/control/src/damaskwind/control/state/plan_book.py
@@ -49,7 +49,7 @@
 
 
 def plan_has_expired(plan: Plan, now_s: float) -> bool:
-    """Tell whether a plan has expired at `now_s`, the time in a command.
+    """Return whether a plan has expired at `now_s`, the time in a command.
 
     Both times come from the clocks of the replicas that received the requests.
     If `now_s` is earlier than the plan's time by more than the tolerance, a clock
@@ -94,7 +94,7 @@
             self._remove(next(iter(self._plans)))
 
     def _is_too_large(self) -> bool:
-        """Tell whether the open plans exceed the size limit; one plan alone always fits."""
+        """Return whether the open plans exceed the size limit; one plan alone always fits."""
         return self._total_bytes > MAX_OPEN_PLANS_BYTES and len(self._plans) > 1
 
     def _remove(self, plan_id: str) -> None:
--- a/packages/control/src/damaskwind/control/storage/folder.py
+++ b/packages/control/src/damaskwind/control/storage/folder.py
@@ -47,7 +47,7 @@
 
     @property
     def is_founding(self) -> bool:
-        """Tell whether this replica existed before its cluster was founded."""
+        """Return whether this replica existed before its cluster was founded."""
         return _FOUNDING_NAME in self.files.list_names(self.path)
 
     def mark_founding(self) -> None:
--- a/packages/model/src/damaskwind/model/__init__.py
+++ b/packages/model/src/damaskwind/model/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages and errors that every other package speaks; pure."""
+"""Typed messages and errors that all other packages use; pure."""
--- a/packages/model/src/damaskwind/model/checking.py
+++ b/packages/model/src/damaskwind/model/checking.py
@@ -31,7 +31,7 @@
 
 
 def _is_tuple_type(kind: Any) -> bool:
-    """Tell whether a type is a `NamedTuple` class."""
+    """Return whether a type is a `NamedTuple` class."""
     return isinstance(kind, type) and issubclass(kind, tuple) and hasattr(kind, "_fields")
 
 
--- a/packages/model/src/damaskwind/model/configuration_checks.py
+++ b/packages/model/src/damaskwind/model/configuration_checks.py
@@ -83,7 +83,7 @@
 
 
 def is_name(text: str) -> bool:
-    """Tell whether a text is a valid name of an object.
+    """Return whether a text is a valid name of an object.
 
     >>> is_name("damaskwind-pool"), is_name("a b"), is_name("")
     (True, False, False)
@@ -92,7 +92,7 @@
 
 
 def is_key_hash(text: str) -> bool:
-    """Tell whether a text is a SHA-256 in lower-case hex."""
+    """Return whether a text is a SHA-256 in lower-case hex."""
     return _KEY_HASH.fullmatch(text) is not None
 
 
--- a/packages/model/src/damaskwind/model/traffic_configuration.py
+++ b/packages/model/src/damaskwind/model/traffic_configuration.py
@@ -61,7 +61,7 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a request may run more than once.
+        """Return whether a request may run more than once.
 
         A stream may only if it can be resumed.
         """
--- a/packages/runtime/src/damaskwind/runtime/http1/client.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/client.py
@@ -85,7 +85,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the peer has neither closed nor sent unrequested bytes."""
+        """Return whether the peer has neither closed nor sent unrequested bytes."""
         return not self._is_lost and not self.has_stray_bytes
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -196,7 +196,7 @@
         self._parser = parser
 
     def release(self) -> bool:
-        """End the present request; tell whether the connection can be reused.
+        """End the present request; return whether the connection can be reused.
 
         It can be reused only if the last answer was framed, complete and not followed
         by further bytes; otherwise it is reset.
--- a/packages/runtime/src/damaskwind/runtime/http1/exchange.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/exchange.py
@@ -52,7 +52,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether the last piece was accepted before the caller left."""
+        """Return whether the last piece was accepted before the caller left."""
         return self.taken_bytes == self.body_bytes
 
 
--- a/packages/runtime/src/damaskwind/runtime/http1/server.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/server.py
@@ -65,7 +65,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is being read or answered."""
+        """Return whether no request is being read or answered."""
         return self._task is None and self._head is None and not self._has_partial_head
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -168,7 +168,7 @@
             self._refuse(error.error_status_hint)
 
     def _handle_event(self, event: Any) -> bool:
-        """Handle one event; tell whether to continue reading."""
+        """Handle one event; return whether to continue reading."""
         if isinstance(event, h11.Request):
             if _head_bytes(event) > self._server.limits.header_bytes:
                 self._refuse(431)
--- a/packages/wire/src/damaskwind/wire/configuration_history.py
+++ b/packages/wire/src/damaskwind/wire/configuration_history.py
@@ -74,7 +74,7 @@
         return self.latest.revision if self.latest is not None else 0
 
     def set(self, configuration: Configuration) -> bool:
-        """Set the latest configuration; tell whether it is a new one.
+        """Set the latest configuration; return whether it is a new one.
 
         Revision 0, before anything was confirmed, is ignored.
         """
--- a/packages/wire/src/damaskwind/wire/news.py
+++ b/packages/wire/src/damaskwind/wire/news.py
@@ -174,7 +174,7 @@
 class DocumentRequest(NamedTuple):
     """A request for the newest configuration from a process that has `held_version`.
 
-    A router gives its `host`, at which it relays documents, unless it wants the document
+    A router gives its `host`, at which it relays documents, unless it requests the document
     itself and no referral to other routers. Another router is asked for at least `version`.
     """
 
--- a/packages/wire/src/damaskwind/wire/news_link.py
+++ b/packages/wire/src/damaskwind/wire/news_link.py
@@ -75,7 +75,7 @@
         ...
 
     def is_first(self, host: str) -> bool:
-        """Tell whether this replica is the one that sends changes at once."""
+        """Return whether this replica is the one that sends changes at once."""
         ...
 
     def recently_seen_targets(self) -> tuple[LastSeen, ...]:
@@ -165,7 +165,7 @@
             backoff_s = min(2 * backoff_s, self._timing.backoff_limit_s)
 
     def _report_loss(self, error: Exception) -> None:
-        """Tell the subscriber, and log the loss if the link was up."""
+        """Notify the subscriber, and log the loss if the link was up."""
         if self.is_up:
             logger.warning("replica lost", host=self.address.host, why=repr(error))
         self.is_up = False
