--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -178,13 +178,13 @@
 
 def main() -> None:
     """Print the figures of the present size and of the target size."""
-    today = LimitPolicy()
-    measure(3, 10, 60, 30_000, today, 10.0)
-    measure(8, 10, 160, 80_000, today, 10.0)
-    measure(8, 10, 16, 80_000, today, 10.0)
-    measure(8, 10, 2, 80_000, today, 10.0)
-    measure(50, 1400, 28, 2000, today, 37.0)
-    measure(50, 1400, 640, 40_000, today, 37.0)
+    policy = LimitPolicy()
+    measure(3, 10, 60, 30_000, policy, 10.0)
+    measure(8, 10, 160, 80_000, policy, 10.0)
+    measure(8, 10, 16, 80_000, policy, 10.0)
+    measure(8, 10, 2, 80_000, policy, 10.0)
+    measure(50, 1400, 28, 2000, policy, 37.0)
+    measure(50, 1400, 640, 40_000, policy, 37.0)
 
 
 if __name__ == "__main__":
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_losses.py
@@ -32,8 +32,8 @@
             for number in range(3)
         ]
         await fleet.start_targets("targets", engines, [])
-        doomed = {"target_id": "doomed", "failure_domain": DOMAINS[0], **SLOW}
-        await fleet.start_targets("doomed-process", [doomed], [])
+        victim = {"target_id": "doomed", "failure_domain": DOMAINS[0], **SLOW}
+        await fleet.start_targets("doomed-process", [victim], [])
         await fleet.wait_until_ready()
         traffic = Traffic(fleet)
         for _ in range(2):
@@ -44,7 +44,7 @@
 
         texts, streams = self.start_long_streams("doomed")
         await self.wait_for_runs("doomed", await self.runs("doomed") + 4)
-        ran_by_doomed = (await fleet.oracles())["doomed"]["runs_by_id"]
+        ran_by_victim = (await fleet.oracles())["doomed"]["runs_by_id"]
         await fleet.harness.processes["doomed-process"].kill()
         fleet.remove_targets("doomed")
         answers = await asyncio.gather(*streams)
@@ -60,7 +60,7 @@
         self.assertTrue(truncated)
         for answer in truncated:
             self.assertIn(b'"may-have-run"', answer.body)
-            self.assertIn(answer.request_id, ran_by_doomed)
+            self.assertIn(answer.request_id, ran_by_victim)
         await self.wait_for_complete_answers(traffic, 30)
 
         texts, streams = self.start_long_streams("orphans", "router-3")
--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_once.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_once.py
@@ -266,8 +266,10 @@
         stages = {call.body.decode().rpartition("-")[0] for call, _ in self.seen}
         self.assertEqual(len(stages), 11)
         for stage in ("after-send", "caller-cut", "answer-lost", "killed"):
-            again = [answers for call, answers in self.seen if call.body.decode().startswith(stage)]
-            self.assertTrue(any(len(answers) > 1 for answers in again), (stage, again))
+            resent = [
+                answers for call, answers in self.seen if call.body.decode().startswith(stage)
+            ]
+            self.assertTrue(any(len(answers) > 1 for answers in resent), (stage, resent))
 
     @asyncio_test
     async def test_nothing_runs_twice_and_every_verdict_is_true(self):
--- a/packages/control/src/damaskwind/control/fleet/tests/test_news_feed.py
+++ b/packages/control/src/damaskwind/control/fleet/tests/test_news_feed.py
@@ -109,10 +109,10 @@
         revision = self.feed.table.revision
         self.assertFalse(await self.feed.wait_until_replicated(revision, 0.05))
         news = await first
-        again = self.request(SubscriberKind.REPLICA, "c", wait_s=0.3, revision=news.revision)
-        asking = asyncio.ensure_future(self.feed.answer(again))
+        next_request = self.request(SubscriberKind.REPLICA, "c", wait_s=0.3, revision=news.revision)
+        polling = asyncio.ensure_future(self.feed.answer(next_request))
         self.assertTrue(await self.feed.wait_until_replicated(revision, 1.0))
-        await asking
+        await polling
 
     @asyncio_test
     async def test_leave_is_replicated_at_once_without_other_replicas(self):
--- a/packages/control/src/damaskwind/control/operator_api/plan_warnings.py
+++ b/packages/control/src/damaskwind/control/operator_api/plan_warnings.py
@@ -51,12 +51,12 @@
 @_rule
 def _lost_grants(before: Configuration, after: Configuration) -> Iterator[str]:
     for old, new in _remaining_accounts(before, after):
-        held = _granted(new)
+        granted = _granted(new)
         for version, adapters in _granted(old).items():
-            if version not in held:
+            if version not in granted:
                 yield f"accounts.{old.name} loses {version}: its callers get 404 for it"
                 continue
-            for adapter in sorted(adapters - held[version]):
+            for adapter in sorted(adapters - granted[version]):
                 yield f"accounts.{old.name} loses {version}+{adapter}: its callers get 404 for it"
 
 
--- a/packages/control/src/damaskwind/control/operator_api/tests/test_intent_service.py
+++ b/packages/control/src/damaskwind/control/operator_api/tests/test_intent_service.py
@@ -125,16 +125,16 @@
     @asyncio_test
     async def test_second_confirm_on_one_revision_is_refused_with_the_conflicting_operator(self):
         fleet = await started_fleet()
-        mine = await fleet.plan(0, "mei", priority_class("batch", 5))
-        theirs = await fleet.plan(1, "tuan", priority_class("night", 6))
-        self.assertEqual(mine["base_revision"], theirs["base_revision"])
-        await fleet.confirm(1, "mei", theirs["id"])
-        lost = await self.refusal(fleet.confirm(0, "mei", mine["id"]))
+        batch_plan = await fleet.plan(0, "mei", priority_class("batch", 5))
+        night_plan = await fleet.plan(1, "tuan", priority_class("night", 6))
+        self.assertEqual(batch_plan["base_revision"], night_plan["base_revision"])
+        await fleet.confirm(1, "mei", night_plan["id"])
+        lost = await self.refusal(fleet.confirm(0, "mei", batch_plan["id"]))
         self.assertEqual((lost.code, lost.nothing_changed), (OperatorCode.CONFLICT, True))
-        note = lost.details["outcome"]["conflicts"][0]
-        self.assertEqual((note["operator"], note["revision"]), ("mei", 2))
-        self.assertEqual(note["touches"], ["priority_classes.night"])
-        resent = await self.refusal(fleet.confirm(2, "mei", mine["id"]))
+        conflict = lost.details["outcome"]["conflicts"][0]
+        self.assertEqual((conflict["operator"], conflict["revision"]), ("mei", 2))
+        self.assertEqual(conflict["touches"], ["priority_classes.night"])
+        resent = await self.refusal(fleet.confirm(2, "mei", batch_plan["id"]))
         self.assertEqual(resent.code, OperatorCode.CONFLICT)
         await fleet.change("mei", priority_class("batch", 5))
         self.assertEqual(fleet.revision(), 3)
--- a/packages/control/src/damaskwind/control/tests/test_process.py
+++ b/packages/control/src/damaskwind/control/tests/test_process.py
@@ -62,10 +62,10 @@
         )
 
     async def start(self, name, files=None):
-        mine = next(item for item in self.bootstrap if item.replica_id == name)
-        node = NodeSettings(name, "kl", "key", "kl-central", mine.failure_domain)
+        replica = next(item for item in self.bootstrap if item.replica_id == name)
+        node = NodeSettings(name, "kl", "key", "kl-central", replica.failure_domain)
         control = ControlSettings(
-            mine.address,
+            replica.address,
             "127.0.0.1:0",
             str(self.folder / name),
             self.bootstrap,
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -40,7 +40,7 @@
     :param bug: the guarantee whose seeded bug is injected into the programs
     """
     chosen_seeds = [seed] if seed else [random.randrange(1, SEED_BELOW) for _ in range(seeds)]
-    kept_faults = {int(place) for place in only.split(",")} if only else None
+    kept_faults = {int(index) for index in only.split(",")} if only else None
     findings_folder = Path(folder or tempfile.mkdtemp(prefix="soak-"))
     return run_on_reactor(lambda: _play(chosen_seeds, seconds, kept_faults, findings_folder, bug))
 
