--- a/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
+++ b/packages/commands/src/damaskwind/commands/tests/test_faults_data_path_drain.py
@@ -105,7 +105,7 @@
         self.assertEqual(statuses, [200, 503, 0], "readiness fails first, then the listener closes")
         self.assertIsNone(router.exit_code)
         before = (await fleet.total_counts("events"))["run"]
-        # Neither an idle connection nor one with an answer in progress may bring a new request.
+        # Neither an idle connection nor one with an answer in progress may carry a new request.
         idle_writer.write(self.raw_chat("new on an idle one", 1))
         busy_writer.write(self.raw_chat("new behind a stream", 1))
         self.assertEqual(await asyncio.wait_for(idle.read(), 20), b"")
--- a/packages/control/src/damaskwind/control/fleet/saved_state.py
+++ b/packages/control/src/damaskwind/control/fleet/saved_state.py
@@ -8,7 +8,7 @@
 requests itself.
 
 The whole file is rewritten beside the log after changes. It may be lost without
-harm, so a failure is logged and the replica goes on.
+harm, so a failure is logged and the replica continues.
 """
 
 import asyncio
--- a/packages/control/src/damaskwind/control/operator_api/http_api.py
+++ b/packages/control/src/damaskwind/control/operator_api/http_api.py
@@ -243,7 +243,7 @@
         return await self._service.plan(caller.operator, caller.origin, _json_body(request))
 
     async def _plan(self, request: Any, caller: _Caller, plan_id: str) -> Answer:
-        """Show what came of a plan, which is final, or the plan while it is open."""
+        """Show the final outcome of a plan, or the plan while it is open."""
         self._require_viewer(caller)
         if self._machine.plans.outcome(plan_id) is None:
             await self._service.read_current()
--- a/packages/control/src/damaskwind/control/replica/forwarding.py
+++ b/packages/control/src/damaskwind/control/replica/forwarding.py
@@ -243,7 +243,7 @@
         return ProposalOutcome("", Outcome(reply.state), reply.index, reason)
 
     async def _call_leader(self, method: str, request: Any, timeout_s: float) -> Any:
-        """Call the leader; return `None` when no reply came.
+        """Call the leader; return `None` when no reply arrived.
 
         Raises `_NotSentError` when the call certainly had no effect: the
         connection was refused, or the replica replied that it has stopped.
--- a/packages/model/src/damaskwind/model/tests/test_configuration_codec.py
+++ b/packages/model/src/damaskwind/model/tests/test_configuration_codec.py
@@ -68,7 +68,7 @@
     policy=Policy(load_factor=1.5),
 )
 
-# Each case: where in the table to write, what, and a part of the mistake it must bring.
+# Each case: where in the table to write, what, and a part of the expected mistake.
 MISTAKES = (
     (("accounts", "clerks", "priority_class"), "gone", "no priority class 'gone'"),
     (("accounts", "clerks", "services"), ["gone"], "no service 'gone'"),
