--- a/packages/control/src/damaskwind/control/replica/forwarding.py
+++ b/packages/control/src/damaskwind/control/replica/forwarding.py
@@ -49,7 +49,7 @@
 
 
 def _is_not_sent(error: BaseException) -> bool:
-    """Tell whether a failed call certainly had no effect."""
+    """Return whether a failed call certainly had no effect."""
     if isinstance(error, GRPCError):
         return error.status is Status.UNAVAILABLE and error.message == STOPPED
     return isinstance(error, ConnectionRefusedError)
@@ -243,7 +243,7 @@
         return ProposalOutcome("", Outcome(reply.state), reply.index, reason)
 
     async def _call_leader(self, method: str, request: Any, timeout_s: float) -> Any:
-        """Call the leader; return `None` when no reply came.
+        """Call the leader; return `None` when no reply arrived.
 
         Raises `_NotSentError` when the call certainly had no effect: the
         connection was refused, or the replica replied that it has stopped.
--- a/packages/runtime/src/damaskwind/runtime/http1/exchange.py
+++ b/packages/runtime/src/damaskwind/runtime/http1/exchange.py
@@ -51,8 +51,8 @@
     last_byte_s: float
 
     @property
-    def is_whole(self) -> bool:
-        """Tell whether the last piece was accepted before the caller left."""
+    def is_complete(self) -> bool:
+        """Return whether the last piece was accepted before the caller left."""
         return self.taken_bytes == self.body_bytes
 
 
--- a/packages/wire/src/damaskwind/wire/news_link.py
+++ b/packages/wire/src/damaskwind/wire/news_link.py
@@ -75,7 +75,7 @@
         ...
 
     def is_first(self, host: str) -> bool:
-        """Tell whether this replica is the one that sends changes at once."""
+        """Return whether this replica is the one that sends changes at once."""
         ...
 
     def recently_seen_targets(self) -> tuple[LastSeen, ...]:
@@ -157,15 +157,15 @@
             try:
                 await self._follow()
             except ConnectFailedError as error:
-                self._note_loss(error)
+                self._report_loss(error)
             except (AnswerBrokenError, MessageError, TimeoutError) as error:
-                self._note_loss(error)
+                self._report_loss(error)
                 backoff_s = self._timing.initial_backoff_s
             await asyncio.sleep(self._random.uniform(0.5, 1.0) * backoff_s)
             backoff_s = min(2 * backoff_s, self._timing.max_backoff_s)
 
-    def _note_loss(self, error: Exception) -> None:
-        """Tell the subscriber, and log the loss if the link was up."""
+    def _report_loss(self, error: Exception) -> None:
+        """Notify the subscriber, and log the loss if the link was up."""
         if self.is_up:
             logger.warning("replica lost", host=self.address.host, why=repr(error))
         self.is_up = False
