--- a/packages/router/src/damaskwind/router/chat_path.py
+++ b/packages/router/src/damaskwind/router/chat_path.py
@@ -92,7 +92,7 @@
         return await self._send_whole(context, answer)
 
     def _make_work_item(self, admitted: AdmittedRequest, chat: ChatRequest) -> WorkItem:
-        """Return the work item of a chat."""
+        """Return the `WorkItem` of a chat."""
         query = PlacementQuery(
             chat_digest=chat.digest,
             prefix_digests=chat.prefixes,
--- a/packages/router/src/damaskwind/router/front.py
+++ b/packages/router/src/damaskwind/router/front.py
@@ -71,7 +71,7 @@
         return answer_json(request, 200, {"object": "list", "data": listed})
 
     def live(self, request: Any) -> bytes:
-        """Answer the liveness check."""
+        """Answer the liveness probe."""
         request.setHeader(b"content-type", b"text/plain")
         return b"ok\n"
 
--- a/packages/router/src/damaskwind/router/service_path.py
+++ b/packages/router/src/damaskwind/router/service_path.py
@@ -144,7 +144,7 @@
         return None
 
     def _make_work_item(self, admitted: AdmittedRequest, call: ServiceCall) -> WorkItem:
-        """Return the work item of a call."""
+        """Return the `WorkItem` of a call."""
         query = PlacementQuery(
             chat_digest=admitted.request_id,
             prefix_digests=(),
